--- a/brookhub/cli.py
+++ b/brookhub/cli.py
@@ -13,7 +13,7 @@
 
 import click
 
-from .config import ConfigError, Experiment, GatewayFile, MembershipFile, PlanFile, load
+from .config import ConfigError, Experiment, GatewayFile, MembershipFile, PlanFile, SiteFile, load
 from .program import log
 
 DEFAULT = "limiters"  # the embedded experiment of `brookhub emulate` without a file
@@ -52,7 +52,7 @@
 
 @main.command("check-config")
 @click.argument("path", type=click.Path(dir_okay=False))
-@click.option("--kind", type=click.Choice(["auto", "experiment", "gateway", "membership", "plan"]), default="auto", show_default=True)
+@click.option("--kind", type=click.Choice(["auto", "experiment", "gateway", "membership", "plan", "site"]), default="auto", show_default=True)
 def check_config(path: str, kind: str) -> None:
     """Check a configuration file; one line naming key and line for the first fault, exit 2."""
     if kind == "auto":
@@ -60,7 +60,7 @@
             text = Path(path).read_text(errors="replace")
         except OSError as broken:
             refuse(ConfigError(path, "", 0, broken.strerror or str(broken)))
-        kind = "experiment" if "[fleet" in text else "membership" if "[[peers]]" in text else "plan" if "[[machines]]" in text else "gateway"
+        kind = "experiment" if "[fleet" in text else "membership" if "[[peers]]" in text else "plan" if "[[machines]]" in text else "site" if "[[tier]]" in text else "gateway"
     try:
         if kind == "experiment":
             load(path, Experiment)
@@ -68,6 +68,8 @@
             load(path, MembershipFile)
         elif kind == "plan":
             load(path, PlanFile)
+        elif kind == "site":
+            load(path, SiteFile)
         elif path.endswith(".json"):
             from .program import startfile
             startfile.read({"NODE_CONFIG": path})
--- a/brookhub/emulator/world.py
+++ b/brookhub/emulator/world.py
@@ -11,6 +11,7 @@
 import random
 from collections import deque
 from dataclasses import dataclass, field
+from math import sqrt
 from typing import Callable
 
 from ..interface import Outcome, State
@@ -46,6 +47,7 @@
     sent: deque = field(default_factory=deque)  # times (s) of the tries sent while cold, over the last window
     falls: int = 0
     push: float = 0.0  # the most sent in a window while cold, as a share of what makes it fall
+    push_beside_chance: float = 0.0  # the same as a share of N + 2 x root of N + 2, N being what makes it fall
 
     def entry(self) -> tuple:
         """As discovery tells it: (id, zone, kind, cell, state, weight, up since)."""
@@ -68,6 +70,7 @@
             self.sent.popleft()
         bound = self.fall_multiple * self.capacity(now) / self.service * self.fall_within
         self.push = max(self.push, len(self.sent) / bound)
+        self.push_beside_chance = max(self.push_beside_chance, len(self.sent) / (bound + 2 * sqrt(bound) + 2))
         return len(self.sent) > bound
 
 
--- a/brookhub/program/log.py
+++ b/brookhub/program/log.py
@@ -3,10 +3,32 @@
 from __future__ import annotations
 
 import sys
+from typing import TextIO
 
 import structlog
 
 
+class LossyFile:
+    """A log file that never fails its writer: a line that can't be written (nobody reads the pipe any more, the disk is
+    full) is dropped and counted. Threads that serve write here, and no request is to end for want of a log."""
+
+    def __init__(self, file: TextIO):
+        self._file = file
+        self.dropped = 0
+
+    def write(self, text: str) -> None:
+        try:
+            self._file.write(text)
+        except (OSError, ValueError):
+            self.dropped += 1
+
+    def flush(self) -> None:
+        try:
+            self._file.flush()
+        except (OSError, ValueError):
+            self.dropped += 1
+
+
 def setup(form: str = "json") -> None:
     """One log configuration for every sub-command: JSON lines (`json`) or a terminal's (`console`), on stderr."""
     render = structlog.dev.ConsoleRenderer(colors=False) if form == "console" else structlog.processors.JSONRenderer()
@@ -15,7 +37,7 @@
                     structlog.processors.TimeStamper(fmt="iso", utc=True),
                     structlog.processors.format_exc_info,
                     render],
-        logger_factory=structlog.WriteLoggerFactory(file=sys.stderr),
+        logger_factory=structlog.WriteLoggerFactory(file=LossyFile(sys.stderr)),
         cache_logger_on_first_use=True)
 
 
--- a/brookhub/program/run.py
+++ b/brookhub/program/run.py
@@ -37,6 +37,8 @@
 PAUSES = (0.05, 1.0)  # s between two dials, doubled while they bring nothing
 LIST_TAKES = 0.1  # s of pause for each gateway where lists are asked for: discovery has them all to answer, one by one
 LIST_SOON, LIST_LATE = 0.5, 2.0  # shares of the time to ask in: the longest first pause, the longest of all
+LIST_AGAIN = 5.25  # s after discovery was last heard until it is called again: a change counts as told 6 s after it had
+# it and could be reached, whatever became of the calls before, and the answer needs a moment
 GRAIN = 0.001  # s between looks at the timers: each costs a thread's wake; no timer is that exact
 GARBAGE = 5000  # objects made between two looks for garbage in cycles: that of about a hundred API calls
 SIGNALS = {signal.SIGTERM, signal.SIGINT, signal.SIGHUP}
@@ -68,7 +70,8 @@
                                servers_most, int(start.memory * LARGEST), int(start.memory * ALL_HELD))
         self.start, chance = start, Random(start.seed).random
         port.discovery = self.discovery = Discovery(
-            port, lambda address: Dialling("discovery", address, DISCOVERY_CONNECT, list_pauses(start.terms), chance, ends, self.fault),
+            port, lambda address: Dialling("discovery", address, DISCOVERY_CONNECT, list_pauses(start.terms), chance, ends,
+                                           self.fault, LIST_AGAIN),
             start.zones, start.kinds, time() - monotonic(), DISCOVERY_SILENT)
         if start.counter:
             port.counter = Counter(
@@ -219,5 +222,4 @@
         print(f"brookhub: {refused}", file=sys.stderr)
         return 2
     program.run()
-    sys.stderr.flush()
     os._exit(0)  # the threads that wait on sockets end with it
--- /dev/null
+++ b/brookhub/protocol/documents.py
@@ -0,0 +1,58 @@
+"""Puts JSON objects together from the lines they came in.
+
+Discovery writes one object a line, but may also indent it, so that one object spans many lines. An object is whole
+once as many brackets are closed as were opened outside of strings; nothing is parsed before that, so an object of
+n bytes costs O(n) in however many lines it comes.
+"""
+
+from __future__ import annotations
+
+import re
+
+from .resp import Malformed
+
+LONGEST_DOCUMENT = 1024 * 1024  # bytes of one object with its line ends: a whole list of some thousand servers
+STRING = re.compile(rb'"(?:[^"\\]|\\.)*"')  # JSON strings hold no raw line ends, so none spans two lines
+
+
+class DocumentReader:
+    """Collects the lines of one JSON object at a time."""
+
+    def __init__(self) -> None:
+        self._lines: list[bytes] = []
+        self._size = 0
+        self._depth = 0
+
+    def feed(self, line: bytes) -> bytes | None:
+        """Take one line without its line end; the object that it completes, or None.
+
+        A blank line between two objects is a heartbeat. Raises Malformed where no JSON object can come of the lines.
+        """
+        blank = not line.strip()
+        if blank and not self._lines:
+            return None
+        self._check(line, blank)
+        self._lines.append(line)
+        self._size += len(line) + 1
+        if self._size > LONGEST_DOCUMENT:
+            raise Malformed("a server list too long", "oversized")
+        self._depth += nesting(line)
+        if self._depth > 0:
+            return None
+        document = b"\n".join(self._lines)
+        self._lines, self._size, self._depth = [], 0, 0
+        return document
+
+    def _check(self, line: bytes, blank: bool) -> None:
+        if blank:
+            raise Malformed("a server list that ends before it is whole")
+        if not self._lines and not line.lstrip().startswith(b"{"):
+            raise Malformed("a server list that is not a JSON object")
+        if line.count(b'"') % 2 and STRING.sub(b"", line).count(b'"'):
+            raise Malformed("a server list with a string that does not end")
+
+
+def nesting(line: bytes) -> int:
+    """How many more brackets a line opens than it closes, those in strings left out."""
+    bare = STRING.sub(b"", line)
+    return bare.count(b"{") + bare.count(b"[") - bare.count(b"}") - bare.count(b"]")
--- a/brookhub/protocol/http.py
+++ b/brookhub/protocol/http.py
@@ -23,11 +23,15 @@
     def __init__(self):
         self.step, self.left, self.headers = self.status, 0, 0
         self.chunked, self.length, self.ended = False, None, False
+        self.to_end = False  # whether the answer states no length and lasts until the connection ends
         self.turned_away, self.asked = False, 0.0  # s that who turned the request away wants to be left alone
         self.rest = bytearray()  # the line under way
 
     def feed(self, ring) -> Iterator[bytes]:
         while not self.ended:
+            if self.to_end:
+                yield from self.lines(ring.take(len(ring)))
+                return
             if self.step == self.body:
                 data = ring.take(min(self.left, len(ring))) if self.left else b""
                 self.left -= len(data)
@@ -69,9 +73,8 @@
         elif not line and self.turned_away:
             raise Malformed("turned away", "turned-away")
         elif not line:
-            if not self.chunked and self.length is None:
-                raise Malformed("an answer of no stated length")
-            self.step, self.left = (self.chunk, 0) if self.chunked else (self.body, self.length)
+            self.to_end = not self.chunked and self.length is None
+            self.step, self.left = (self.chunk, 0) if self.chunked else (self.body, self.length or 0)
         elif not colon:
             raise Malformed("a header without a colon")
         elif name == b"retry-after" and value.isdigit() and len(value) < 5:
@@ -104,6 +107,12 @@
     def finish(self) -> None:
         self.ended = True
 
+    def end(self) -> bytes:
+        """Tell that the other side ended the connection in order; the last line of an answer that lasts until then."""
+        rest = bytes(self.rest) if self.to_end else b""
+        self.rest = bytearray()
+        return rest
+
     def body(self, line: bytes) -> None:
         raise AssertionError("a body is not read by lines")
 
--- a/brookhub/routing/clients.py
+++ b/brookhub/routing/clients.py
@@ -75,6 +75,8 @@
                     asked.append(self.understand(words))
             except resp.Malformed as met:
                 bad = met
+            if (asked or bad) and stream.other_side_ended():
+                return True  # it left before what it asked was begun: nothing is sent on for it
             if asked or bad:
                 port.run(at, self.take, asked, bad)
             return bad is not None  # what follows bytes that can't be read is not waited for
--- a/brookhub/routing/connections.py
+++ b/brookhub/routing/connections.py
@@ -2,12 +2,17 @@
 
 from __future__ import annotations
 
+from math import inf
 from threading import Event
 from time import monotonic
 from typing import Callable
 
 from ..protocol.resp import Malformed
 from ..transport.sockets import dial
+from ..transport.threads import spawn
+
+THREAD_PAUSE = 0.5  # s until a thread is asked for again that the system had none left to give
+SHORTEST_PAUSE = 0.05  # s between two dials at least, also where the time to be back in is over
 
 
 def read_to_end(wait: Callable[[], bool], took: Callable[[float], bool | None], faults: Callable) -> str:
@@ -28,33 +33,58 @@
         return "fault"
 
 
+def spawn_surely(port, name: str, work: Callable[[], None]) -> None:
+    """Start a thread that the program can't do without; again and again where the system has none left to give.
+
+    Called outside the port's lock.
+    """
+    if not spawn(name, work):
+        port.run(monotonic(), port.later, THREAD_PAUSE, lambda: port.todo.append((spawn_surely, port, name, work)))
+
+
 class Dialling:
-    """One peer's address, kept dialled by a thread: after a pause that doubles while no connection brings an answer,
-    until it is `over`. Each pause is drawn between half of it and one and a half: all gateways lose a peer at the same
-    moment, and would come back to it together, each time. `asked` s that the peer wants to be left alone go before."""
+    """Keeps one peer's address dialled, from a thread of its own, until it is `over`.
+
+    The pause between two dials doubles while no connection brings an answer, up to the longest of `pauses`. Each is
+    drawn between half of it and one and a half, because all gateways lose a peer at the same moment and would return
+    to it together, each time. `asked` is how long (s) the peer wants to be left alone; it goes before the pause.
+    The next dial begins at the latest `again_within` s after the peer was last heard, whatever pause is due.
+    """
 
     def __init__(self, peer: str, address: tuple[str, int], within: float, pauses: tuple[float, float],
-                 chance: Callable[[], float], log_end: Callable, faults: Callable):
+                 chance: Callable[[], float], log_end: Callable, faults: Callable, again_within: float = inf):
         self.peer, self.address, self.within, self.pauses, self.chance = peer, address, within, pauses, chance
-        self.log_end, self.faults, self.over, self.asked = log_end, faults, Event(), 0.0
+        self.log_end, self.faults, self.again_within = log_end, faults, again_within
+        self.over, self.asked = Event(), 0.0
+        self.heard_at = 0.0  # when the peer last said anything, or else when the last dial began
 
     def run(self, serve: Callable[[object], tuple[str, int]]) -> None:
         """`serve` tells why its connection ended and how many answers it brought."""
         pause, longest = self.pauses
         while not self.over.is_set():
-            began = monotonic()
-            try:
-                sock = dial(self.address, self.within)
-            except OSError:
-                reason, answers = "unconnected", 0
-            else:
-                try:
-                    reason, answers = serve(sock)
-                except Exception as met:  # the next connection may fare better
-                    self.faults(met)
-                    sock.close()
-                    reason, answers = "fault", 0
+            began = self.heard_at = monotonic()
+            reason, answers = self._connection(serve)
             self.log_end(self.peer, reason, None, monotonic() - began, answers)
             pause = self.pauses[0] if answers else min(longest, 2 * pause)
-            self.over.wait(max(pause, self.asked) * (0.5 + self.chance()) + 0.5 * self.asked)
+            self.over.wait(self.wait_after(pause, monotonic()))
             self.asked = 0.0
+
+    def _connection(self, serve: Callable[[object], tuple[str, int]]) -> tuple[str, int]:
+        try:
+            sock = dial(self.address, self.within)
+        except OSError:
+            return "unconnected", 0
+        try:
+            return serve(sock)
+        except Exception as met:  # the next connection may fare better
+            self.faults(met)
+            sock.close()
+            return "fault", 0
+
+    def wait_after(self, pause: float, now: float) -> float:
+        """Seconds from `now` to the next dial: the pause drawn, or else a part of the time left to be back in."""
+        wait = max(pause, self.asked) * (0.5 + self.chance()) + 0.5 * self.asked
+        left = self.heard_at + self.again_within - now
+        if wait <= left:
+            return wait
+        return max(SHORTEST_PAUSE, left) * (0.5 + self.chance()) / 1.5
--- a/brookhub/routing/counter.py
+++ b/brookhub/routing/counter.py
@@ -10,8 +10,7 @@
 from ..interface import Outcome, Told
 from ..protocol import counts, resp
 from ..transport.stream import Stream
-from ..transport.threads import spawn
-from .connections import Dialling, read_to_end
+from .connections import Dialling, read_to_end, spawn_surely
 
 
 class Count:
@@ -150,7 +149,7 @@
             link = self.coming[place] = CounterLink(self, place, self.dialling(address))
             if self.links[place] is None or self.links[place].stream is None:
                 self.take_over(link)
-            self.port.todo.append((spawn, "counter", link.run))
+            self.port.todo.append((spawn_surely, self.port, "counter", link.run))
 
     def take_over(self, link: CounterLink) -> None:
         held, self.links[link.place] = self.links[link.place], link
--- a/brookhub/routing/discovery.py
+++ b/brookhub/routing/discovery.py
@@ -6,12 +6,12 @@
 from typing import Callable
 
 from ..interface import State
-from ..protocol import http, hosts
+from ..protocol import hosts, http
+from ..protocol.documents import DocumentReader
 from ..roster import Roster
 from ..transport.sockets import time_limits
 from ..transport.stream import Stream
-from ..transport.threads import spawn
-from .connections import Dialling, read_to_end
+from .connections import Dialling, read_to_end, spawn_surely
 
 
 class Watch:
@@ -24,24 +24,34 @@
         self.dialling.run(self.serve)
 
     def serve(self, sock) -> tuple[str, int]:
-        port, reader, count = self.discovery.port, http.Lines(), 0
+        """Read one watch to its end; why it ended and how many lines it brought."""
+        port, reader, documents = self.discovery.port, http.Lines(), DocumentReader()
         stream = Stream(sock, 2 * http.LONGEST_HEAD)
+        lines = 0
 
         def took(at: float) -> bool:
-            nonlocal count
+            nonlocal lines
             for line in reader.feed(stream.inbound):
-                if line.strip():
-                    port.run(at, self.heard, hosts.parse(line))
-                count += 1
+                lines += 1
+                self.dialling.heard_at = at
+                self.tell(at, documents.feed(line))
             return reader.ended
 
         time_limits(sock, reading=self.discovery.silent_after)
         port.run(monotonic(), self.up, stream)
         stream.flush()
-        stream.end(read_to_end(stream.read, took, port.faults))
+        reason = read_to_end(stream.read, took, port.faults)
+        if reason == "closed" and (rest := reader.end()):  # an answer of no stated length, whose last line has no end
+            self.tell(monotonic(), documents.feed(rest))
+        stream.end(reason)
         stream.close()
         self.dialling.asked = reader.asked
-        return stream.reason, count
+        return stream.reason, lines
+
+    def tell(self, at: float, document: bytes | None) -> None:
+        """Have one list, or one change to it, taken in; nothing while it is not whole."""
+        if document is not None:
+            self.discovery.port.run(at, self.heard, hosts.parse(document))
 
     # under the port's lock
 
@@ -85,7 +95,7 @@
             self.watch.leave()
             self.version = 0
         self.watch = Watch(self, self.dialling(address))
-        self.port.todo.append((spawn, "discovery", self.watch.run))
+        self.port.todo.append((spawn_surely, self.port, "discovery", self.watch.run))
 
     def heard(self, news: hosts.News) -> None:
         """Take in a list, whole or what changed since the last one."""
--- a/brookhub/transport/stream.py
+++ b/brookhub/transport/stream.py
@@ -2,6 +2,7 @@
 
 from __future__ import annotations
 
+import select
 import socket
 import sys
 from threading import Lock
@@ -11,6 +12,7 @@
 from .threads import spawn
 
 
+ENDED = select.POLLRDHUP | select.POLLHUP | select.POLLERR  # the other side sends no more, or the connection broke
 LAST_HEARD = 52  # place in Linux' struct tcp_info of the ms since the last bytes came (tcpi_last_data_recv)
 NOWHERE = bytearray(16 * 1024)  # bytes waited for at a time, at most: well within what the system holds of one
 # connection. Nothing is written there: they are counted, not taken
@@ -70,6 +72,13 @@
         except OSError:
             return False
 
+    def other_side_ended(self) -> bool:
+        """Whether the other side has ended its sending or the connection broke, also where bytes that came before
+        that have not been read yet. Only for the thread that reads."""
+        look = select.poll()
+        look.register(self.sock, select.POLLRDHUP)
+        return any(events & ENDED for _, events in look.poll(0))
+
     def lain(self, at_most: float) -> float:
         """Seconds for which what nobody has read yet has been there, by the system's word; 0 where nothing has come.
         `at_most` where the system does not tell."""
--- a/tests/test_choices_processes.py
+++ b/tests/test_choices_processes.py
@@ -20,6 +20,8 @@
 from test_fleet_processes import all_hold, fleet, lab  # noqa: F401  the fixture
 from test_processes import experiment
 
+pytestmark = pytest.mark.xdist_group("process lab")  # its limiters have the same addresses in each lab: one at a time
+
 BAD, USERS = 5, 2  # the server that turns bad; limiters that use it once it is well: more than a holder
 
 
--- /dev/null
+++ b/tests/test_endings.py
@@ -0,0 +1,393 @@
+"""Endings in the worst order, over real connections: whoever is owed something still gets it, nobody else does."""
+
+import contextlib
+import os
+import random
+import signal
+import socket
+import struct
+import subprocess
+import sys
+import threading
+import time
+from concurrent.futures import ThreadPoolExecutor
+
+import pytest
+
+from brookhub.protocol import http, resp
+from brookhub.protocol.documents import DocumentReader
+from brookhub.routing import connections
+from brookhub.routing.connections import Dialling
+from brookhub.routing.port import SocketPort
+from brookhub.transport import threads
+from brookhub.transport.ring import Ring
+from brookhub.transport.sockets import Listener
+from helpers import PORTS, Client, ServerStandIn, api_call, command, host, read_value, until
+
+RESET = struct.pack("ii", 1, 0)  # SO_LINGER: close sends RST
+
+
+# Discovery: the list arrives in every form, and a change is known in time after whatever became of the calls.
+
+
+@pytest.mark.parametrize("form", [{"indent": 2}, {"indent": 2, "cut": True}, {"cut": True}, {"chunked": False}, {"chunked": False, "indent": 1}])
+def test_a_list_and_its_changes_are_read_in_every_form(started, form):
+    # Before: each line was parsed as a whole list, so the first line of an indented one ended the watch as nonsense.
+    one, two = ServerStandIn(), ServerStandIn()
+    program = started(servers=[one], start={"known": None}, discovery=form)
+    try:
+        with Client(program) as client:
+            assert client.ask(api_call(1)) == b"ok" and len(one.asked) == 1
+            program.discovery.tell(host("s-0", one.address, "Terminating"), host("s-9", two.address))
+            assert until(lambda: client.ask(api_call(2)) == b"ok" and two.asked, 5)
+        assert ("discovery", "nonsense") not in program.ended()
+    finally:
+        two.close()
+
+
+def test_an_object_is_whole_once_its_brackets_are_closed_and_its_strings_may_hold_brackets():
+    lines = [b"", b'{"seq": 1, "hosts": [', b'  {"host": "a}]{\\"["}', b"]", b"}", b"", b'{"seq": 2}']
+    reader = DocumentReader()
+    assert [text for text in map(reader.feed, lines) if text] == [b"\n".join(lines[1:5]), b'{"seq": 2}']
+
+
+@pytest.mark.parametrize("lines, reason", [([b"[1]"], "malformed"), ([b"{ no JSON", b""], "malformed"), ([b'{"a": "b'], "malformed"),
+                                           ([b"{"] + [b'"x": 1,' * 1000] * 200, "oversized")])
+def test_lines_that_no_object_can_come_of_are_refused(lines, reason):
+    reader = DocumentReader()
+    with pytest.raises(resp.Malformed) as met:
+        for line in lines:
+            reader.feed(line)
+    assert met.value.reason == reason
+
+
+@pytest.mark.parametrize("data, ended, rest", [(b'{"a":1}\n{"b"', [b'{"a":1}'], b'{"b"'), (b'{"a":1}\n', [b'{"a":1}'], b"")])
+def test_an_answer_of_no_stated_length_lasts_until_the_connection_ends(data, ended, rest):
+    reader, ring = http.Lines(), Ring(8192)
+    ring.put(b"HTTP/1.1 200 OK\r\n\r\n" + data)
+    assert list(reader.feed(ring)) == ended and not reader.ended and reader.end() == rest
+
+
+@pytest.mark.parametrize("refusal", [b"HTTP/1.1 503 Busy\r\nRetry-After: 60\r\n\r\n", b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n",
+                                     b"HTTP/1.1 500 Down\r\n\r\n", b""])
+def test_a_list_refused_at_first_is_had_within_six_seconds(started, refusal):
+    # Before: a Retry-After was heeded up to 60 s, and pauses where lists are asked for grew to 30 s.
+    settings = {"membership_mode": "on_request", "balancers": 200, "invariants": {"must_ask_in_s": 10.0, "ramp_time_s": 1.0}}
+    began = time.monotonic()
+    program = started(start={"known": None}, discovery={"refusals": (refusal,)}, settings=settings)
+    assert time.monotonic() - began < 6.0 + 1.0  # and its start
+    with Client(program) as client:
+        assert client.ask(api_call(1)) == b"ok"
+
+
+@pytest.mark.parametrize("takes, brings, asked, pauses", [
+    (4.5, 0, 0.0, (0.05, 1.0)),  # watches that are silent from the start, one after another
+    (4.5, 3, 0.0, (5.0, 20.0)),  # a watch that fell silent, where lists are asked for
+    (2.0, 0, 60.0, (5.0, 20.0)),  # turned away after a wait in line, with a time to come back in
+    (1.0, 0, 0.0, (5.0, 20.0))])  # nobody there
+def test_discovery_is_called_again_in_time_whatever_became_of_the_call_before(monkeypatch, takes, brings, asked, pauses):
+    clock, begun, heard = [100.0], [], []
+    monkeypatch.setattr(connections, "monotonic", lambda: clock[0])
+    monkeypatch.setattr(connections, "dial", lambda address, within: None)
+    for seed in range(20):
+        def serve(sock):
+            begun.append(clock[0])
+            heard.append(clock[0])
+            clock[0] += takes
+            dialling.asked = asked
+            if len(begun) == 8:
+                dialling.over.set()
+            return "ended", brings
+
+        def wait(seconds):
+            clock[0] += seconds
+
+        begun.clear(), heard.clear()
+        dialling = Dialling("discovery", ("127.0.0.1", 1), 1.0, pauses, random.Random(seed).random, lambda *what: None, lambda met: None, 5.25)
+        dialling.over.wait = wait
+        dialling.run(serve)
+        gaps = [after - before for before, after in zip(heard, begun[1:])]
+        assert len(gaps) == 7 and max(gaps) <= 5.3 and min(gaps) >= takes + 0.01
+        assert len({round(gap, 4) for gap in gaps}) == 7  # drawn: gateways that lost it together return apart
+
+
+def test_a_watch_whose_thread_the_system_refused_is_begun_again(monkeypatch):
+    # Before: the thread was asked for once, and a list never heard of was never heard of.
+    port, begun, refused = SocketPort(print, 0.001), threading.Event(), [True, True]
+    threads.spawn("timers", port.run_timers)
+    monkeypatch.setattr(connections, "THREAD_PAUSE", 0.02)
+    monkeypatch.setattr(connections, "spawn", lambda name, work: not refused.pop() if refused else threads.spawn(name, work))
+    connections.spawn_surely(port, "discovery", begun.set)
+    assert begun.wait(2) and not refused
+
+
+def test_a_log_that_nobody_reads_any_more_ends_no_watch_and_costs_no_request(started):
+    # Before: the first line that could not be written ended the thread that wrote it, so discovery was not watched again.
+    one, two = ServerStandIn(), ServerStandIn()
+    program = started(servers=[one])
+    reader, writer = os.pipe()
+    os.close(reader)
+    try:
+        with unread_log(program, writer) as (port, process):
+            program.discovery.hosts = [host("s-9", two.address)]
+            program.discovery.break_all()
+            assert until(lambda: ask_at(port) == b"ok" and two.asked, 6) and process.poll() is None
+    finally:
+        two.close()
+
+
+@contextlib.contextmanager
+def unread_log(program, log):
+    """Another process of the same start file, on a port of its own, whose log goes to the descriptor `log`."""
+    port = PORTS.draw()
+    environment = {**os.environ, "NODE_CONFIG": str(program.log_path.parent / "config.json"), "NODE_LISTEN": f"127.0.0.1:{port}"}
+    process = subprocess.Popen([sys.executable, "-m", "brookhub"], stderr=log, env=environment)
+    os.close(log)
+    try:
+        assert until(lambda: ask_at(port) == b"ok", 10)
+        yield port, process
+    finally:
+        process.kill()
+        process.wait()
+
+
+def ask_at(port):
+    with contextlib.suppress(OSError, ValueError), socket.create_connection(("127.0.0.1", port), 5) as sock, sock.makefile("rb") as lines:
+        sock.sendall(api_call(random.randrange(10 ** 6)))
+        return read_value(lines)
+
+
+# Clients: nothing is begun for one that has left.
+
+
+@pytest.mark.parametrize("end", ["close", "reset", "half"])
+def test_nothing_is_sent_for_a_client_that_left_before_its_request_was_read(started, end):
+    # Before: a request read together with the end of its connection was begun, and given up an instant later.
+    program = started(servers=[ServerStandIn([0.05] * 99)])
+    with Client(program) as usual:
+        assert usual.ask(api_call(1)) == b"%016x" % 1
+        program.process.send_signal(signal.SIGSTOP)  # what follows is there, whole, before anything of it is read
+        with program.dial() as sock:
+            sock.sendall(b"".join(api_call(n) for n in range(10, 16)))
+            if end == "reset":
+                sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, RESET)
+            if end == "half":
+                sock.shutdown(socket.SHUT_WR)
+            else:
+                sock.close()
+            program.process.send_signal(signal.SIGCONT)
+            assert usual.ask(api_call(2)) == b"%016x" % 2
+            time.sleep(0.3)
+    assert [words[2] for words in program.servers[0].asked] == [b"%016x" % 1, b"%016x" % 2]
+
+
+def test_a_client_that_leaves_between_two_attempts_gets_no_further_one(started):
+    program = started(servers=[ServerStandIn(["silent"] * 9), ServerStandIn(["silent"] * 9)])
+    with Client(program) as client:
+        client.sock.sendall(api_call(1))
+        assert until(lambda: sum(len(one.asked) for one in program.servers) == 1)
+    time.sleep(0.8)  # a further attempt is made at half the target, 0.5 s
+    assert sum(len(one.asked) for one in program.servers) == 1
+
+
+# Attempts: whether one ran is known from what was written, also where its connection comes up late.
+
+
+class LateListener:
+    """A server whose connections stay in the making until `open` is called: its queue of connections is full."""
+
+    def __init__(self):
+        self.sock = socket.create_server(("127.0.0.1", 0), backlog=0)
+        self.address = "%s:%d" % self.sock.getsockname()
+        self.fillers = []
+        for _ in range(3):
+            filler = socket.socket()
+            filler.setblocking(False)
+            filler.connect_ex(self.sock.getsockname())
+            self.fillers.append(filler)
+        self.accepted = []
+
+    def open(self, seconds):
+        """Take connections for so long; the bytes that came on them."""
+        ours = {filler.getsockname() for filler in self.fillers}
+        self.sock.settimeout(0.1)
+        end = time.monotonic() + seconds
+        while time.monotonic() < end:
+            with contextlib.suppress(TimeoutError):
+                conn, peer = self.sock.accept()
+                if peer not in ours:
+                    conn.setblocking(False)
+                    self.accepted.append(conn)
+        return b"".join(filter(None, map(received, self.accepted)))
+
+    def close(self):
+        for sock in (self.sock, *self.fillers, *self.accepted):
+            sock.close()
+
+
+def received(conn):
+    with contextlib.suppress(OSError):
+        return conn.recv(65536)
+    return b""
+
+
+def test_a_connection_that_comes_up_too_late_carries_nothing_and_its_request_runs_once_elsewhere(started):
+    late, good = LateListener(), ServerStandIn()
+    program = started(servers=[late, good])
+    with Client(program) as client:
+        assert [client.ask(api_call(n, "once")) for n in range(8)] == [b"ok"] * 8
+    assert ("server", "unconnected") in program.ended()
+    assert late.open(1.5) == b"" and len(good.asked) == len({words[2] for words in good.asked}) == 8
+
+
+def test_a_client_that_leaves_while_its_attempt_is_dialled_has_nothing_sent(started):
+    limits = {"max_attempts": 3, "cancel": True, "open_cap": 100, "conn_idle_s": 15.0, "connect_timeout_s": 5.0}
+    late = LateListener()
+    program = started(servers=[late], settings={"limits": limits})
+    with Client(program) as client:
+        client.sock.sendall(api_call(1))
+        time.sleep(0.2)
+    assert until(lambda: ("client", "left") in program.ended())
+    assert late.open(3.0) == b"" and late.accepted  # the dial came through, and was not used
+
+
+def test_an_answer_that_never_ends_costs_its_request_its_time_and_its_connection(started):
+    program = started(servers=[ServerStandIn([b"*3\r\n$10\r\nha"])])
+    with Client(program) as client:
+        began = time.monotonic()
+        assert client.ask(api_call(1, "once", patience=500)) == b"-ERR failed"
+        assert 0.45 < time.monotonic() - began < 1.5 and until(lambda: not program.servers[0].open)
+        assert client.ask(api_call(2, "once")) == b"ok"
+
+
+def test_a_further_attempt_tells_its_server_only_the_time_that_is_left(started):
+    servers = [ServerStandIn(["silent"] * 9), ServerStandIn(["silent"] * 9)]
+    program = started(servers=servers)
+    with Client(program) as client:
+        client.sock.sendall(api_call(1, patience=1900))
+        assert until(lambda: sum(len(one.asked) for one in servers) == 2, 5)
+        assert read_value(client.lines) == b"-ERR failed"
+    told = sorted(int(next(field for field in words[3].split(b",") if field.startswith(b"d="))[2:])
+                  for one in servers for words in one.asked)
+    assert told[1] > 1850 and told[0] <= 1900 - 450  # the second began after half the target, 0.5 s
+
+
+# Draining: what was taken is answered once, and nothing read after the shutdown is sent on.
+
+
+def test_further_signals_during_the_drain_change_nothing(started):
+    program = started(servers=[ServerStandIn([1.2])])
+    with Client(program) as client:
+        client.sock.sendall(api_call(1))
+        assert until(lambda: program.servers[0].asked)
+        for sent in (signal.SIGTERM, signal.SIGHUP, signal.SIGTERM, signal.SIGINT, signal.SIGHUP):
+            program.process.send_signal(sent)
+            time.sleep(0.1)
+        assert read_value(client.lines) == b"%016x" % 1 and client.lines.read() == b""
+    assert program.process.wait(5) == 0 and program.log_path.read_text().count('"stopping"') == 1
+
+
+def test_a_request_half_read_at_the_shutdown_is_neither_sent_on_nor_answered_twice(started):
+    program = started()
+    whole = api_call(5)
+    with Client(program) as half:
+        half.sock.sendall(whole[:60])
+        time.sleep(0.1)
+        program.process.send_signal(signal.SIGTERM)
+        answered = half.lines.read  # its connection ends between two requests
+        assert answered() == b""
+        with contextlib.suppress(OSError):
+            half.sock.sendall(whole[60:])
+    assert program.process.wait(5) == 0 and program.servers[0].asked == []
+
+
+def test_a_client_that_keeps_asking_through_the_drain_gets_one_answer_each_in_order(started):
+    program = started(servers=[ServerStandIn([0.01] * 9999)])
+    asked, answers = 0, []
+    with Client(program) as client:
+        client.sock.settimeout(0.005)
+        told_at = time.monotonic()
+        program.process.send_signal(signal.SIGTERM)
+        with contextlib.suppress(ConnectionError):
+            while time.monotonic() - told_at < 4.0:  # there is always one more on its way than was answered
+                client.sock.sendall(api_call(asked))
+                asked += 1
+                with contextlib.suppress(TimeoutError):
+                    while data := client.sock.recv(65536):
+                        answers.append(data)
+                    break
+    assert program.process.wait(5) == 0
+    text = b"".join(answers)
+    count = text.count(b"$16\r\n") + sum(text.count(b"-" + word) for word in (b"BUSY", b"ERR"))
+    reached = [words[2] for words in program.servers[0].asked]
+    assert len(reached) == len(set(reached)) and len(reached) <= count <= asked
+
+
+def test_who_waits_to_be_accepted_at_the_shutdown_is_answered(started):
+    program = started()
+    program.process.send_signal(signal.SIGSTOP)
+    with Client(program) as waiting:
+        waiting.sock.sendall(api_call(3))
+        program.process.send_signal(signal.SIGTERM)
+        program.process.send_signal(signal.SIGCONT)
+        assert read_value(waiting.lines) == b"ok" and waiting.lines.read() == b""
+    assert program.process.wait(5) == 0
+
+
+def test_draining_while_discovery_is_down_ends_in_time(started):
+    program = started(servers=[ServerStandIn([0.3])])
+    program.discovery.close()
+    with Client(program) as client:
+        client.sock.sendall(api_call(1))
+        assert until(lambda: program.servers[0].asked)
+        told_at = time.monotonic()
+        program.process.send_signal(signal.SIGTERM)
+        assert read_value(client.lines) == b"%016x" % 1
+    assert program.process.wait(5) == 0 and time.monotonic() - told_at < 2.7
+
+
+# Restarts and sockets.
+
+
+def test_thirty_processes_started_at_once_on_two_cores_are_ready_in_time(started, tmp_path):
+    cores = sorted(os.sched_getaffinity(0))
+    os.sched_setaffinity(0, cores[:2])  # children take after it
+    began, ready = time.monotonic(), []
+    try:
+        # `started` waits for one at a time, so all but the first start beside it
+        with ThreadPoolExecutor(30) as pool:
+            for _ in pool.map(lambda folder: started(folder=folder), [tmp_path / f"n{index}" for index in range(30)]):
+                ready.append(time.monotonic() - began)
+    finally:
+        os.sched_setaffinity(0, cores)
+    assert sorted(ready)[26] < 10.0
+
+
+def test_small_answers_are_not_held_back_by_the_system():
+    listener = Listener(("127.0.0.1", 0))
+    with socket.create_connection(listener.sock.getsockname()), listener.sock.accept()[0] as accepted:
+        assert accepted.getsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY)
+    listener.sock.close()
+
+
+# Descriptors: idle clients take none that discovery, counter and servers need.
+
+
+def test_clients_that_fill_the_descriptors_while_discovery_is_down_leave_it_its_own(started):
+    program = started(limits={"memory_mb": 192, "sockets": 128})
+    program.discovery.close()
+    with contextlib.ExitStack() as held:
+        for _ in range(160):
+            with contextlib.suppress(OSError):
+                held.enter_context(contextlib.closing(program.dial())).sendall(command(b"PING"))
+        assert until(lambda: program.descriptors() > 70)
+        program.discovery.listen(program.discovery.at)
+        assert until(lambda: program.discovery.open, 6)
+        assert until(lambda: asks(program) == b"ok", 5)
+        assert program.descriptors() < 128
+
+
+def asks(program):
+    """The answer to one request on a new connection; None where it was turned away."""
+    with contextlib.suppress(OSError, ValueError), Client(program) as client:
+        return client.ask(api_call(random.randrange(10 ** 6)))
--- a/tests/test_fleet_processes.py
+++ b/tests/test_fleet_processes.py
@@ -23,6 +23,8 @@
 from helpers import SETTINGS, Program, play_script, until
 from test_processes import experiment
 
+pytestmark = pytest.mark.xdist_group("process lab")  # its limiters have the same addresses in each lab: one at a time
+
 
 
 def fleet(one):
--- a/tests/test_maintenance_processes.py
+++ b/tests/test_maintenance_processes.py
@@ -15,6 +15,8 @@
 from helpers import Program, until
 from test_fleet_processes import PEERS, all_hold, lab  # noqa: F401  the fixture
 
+pytestmark = pytest.mark.xdist_group("process lab")  # its limiters have the same addresses in each lab: one at a time
+
 PLAN = """version = %d
 voters = ["n0", "n1", "n2"]
 most_out = %d
--- a/tests/test_processes.py
+++ b/tests/test_processes.py
@@ -22,6 +22,8 @@
 from brookhub.interface import State
 from helpers import until
 
+pytestmark = pytest.mark.xdist_group("process lab")  # its limiters have the same addresses in each lab: one at a time
+
 
 def experiment(limiters=4, servers=6, duration=4.0, faults=(), rate=40.0, membership=False, signals=False, subsets=False, service=0.02,
                warm=2.0, **more):
--- a/tests/test_recovery_processes.py
+++ b/tests/test_recovery_processes.py
@@ -12,6 +12,8 @@
 from brookhub.recovery import scan
 from helpers import play_script, until
 
+pytestmark = pytest.mark.xdist_group("process lab")  # its limiters have the same addresses in each lab: one at a time
+
 ROUTES = [{"name": "look", "target_s": 0.5, "client_timeout_s": 1.0, "share": 3},
           {"name": "once", "target_s": 0.5, "client_timeout_s": 1.0, "repeat": "non_idempotent"},
           {"name": "kept", "target_s": 0.5, "client_timeout_s": 1.0, "repeat": "tokened", "group": "zone", "window_s": 30.0, "share": 2}]
--- /dev/null
+++ b/tests/trail_digest.py
@@ -0,0 +1,65 @@
+"""Shows that a change leaves the decisions as they were: digests of emulated fleets, compared with another commit.
+
+    python tests/trail_digest.py                   digests of this tree, a line each
+    python tests/trail_digest.py --against HEAD~1  the same for that commit, in a work tree of its own; exit 1 if one differs
+
+Each digest covers every event of one run (attempts, answers, counter calls, faults). Not a test by itself: CI has no
+parent commit to compare with.
+"""
+
+import argparse
+import subprocess
+import sys
+import tempfile
+from pathlib import Path
+
+ROOT = Path(__file__).resolve().parent.parent
+RUNS = [("limiters", 1, 20.0), ("limiters", 2, 20.0), ("hard-split-cold", 3, 16.0), ("counter-wipe", 4, 30.0),
+        ("hard-stall-turns", 5, 16.0), ("zone-cold", 6, 40.0)]  # experiment, seed, simulated seconds
+
+
+def digests() -> list[str]:
+    from brookhub.config import Experiment, load
+    from brookhub.emulator import Fleet
+    from brookhub.lab.sweep import with_value
+
+    lines = []
+    for name, seed, seconds in RUNS:
+        experiment = with_value(load(ROOT / "experiments" / f"{name}.toml", Experiment), "duration_s", seconds)
+        result = Fleet(experiment, seed=seed).run()
+        lines.append(f"{name} seed {seed}: {result.digest}")
+    return lines
+
+
+def digests_of(commit: str) -> list[str]:
+    with tempfile.TemporaryDirectory() as folder:
+        tree = Path(folder) / "tree"
+        subprocess.run(["git", "worktree", "add", "--detach", tree, commit], cwd=ROOT, check=True, capture_output=True)
+        try:
+            (tree / "tests" / Path(__file__).name).write_text(Path(__file__).read_text())
+            command = [sys.executable, f"tests/{Path(__file__).name}"]
+            ran = subprocess.run(command, cwd=tree, check=True, capture_output=True, text=True)
+            return ran.stdout.splitlines()
+        finally:
+            subprocess.run(["git", "worktree", "remove", "--force", tree], cwd=ROOT, check=True, capture_output=True)
+
+
+def main() -> int:
+    sys.path.insert(0, str(ROOT))
+    parser = argparse.ArgumentParser(description=__doc__, formatter_class=argparse.RawDescriptionHelpFormatter)
+    parser.add_argument("--against", metavar="COMMIT")
+    commit = parser.parse_args().against
+    own = digests()
+    print("\n".join(own))
+    if commit is None:
+        return 0
+    differing = [(mine, other) for mine, other in zip(own, digests_of(commit), strict=True) if mine != other]
+    for mine, other in differing:
+        print(f"differs: here {mine}, at {commit} {other}", file=sys.stderr)
+    if not differing:
+        print(f"all as at {commit}")
+    return 1 if differing else 0
+
+
+if __name__ == "__main__":
+    sys.exit(main())
