--- a/benchmarks/cold_sum.py
+++ b/benchmarks/cold_sum.py
@@ -25,15 +25,33 @@
 
 def experiment(limiters: int, fault: str) -> Experiment:
     """Some ten servers a third of which may be lost, under 1.2 times the load that warm ones bear in bursts."""
-    routes = [{"name": "read", "target_s": 0.5, "client_timeout_s": 2.0, "share": 8},
-              {"name": "write", "target_s": 1.0, "client_timeout_s": 3.0, "repeat": "non_idempotent", "share": 2}]
+    routes = [
+        {"name": "read", "target_s": 0.5, "client_timeout_s": 2.0, "share": 8},
+        {"name": "write", "target_s": 1.0, "client_timeout_s": 3.0, "repeat": "non_idempotent", "share": 2},
+    ]
     plans = [{"name": "hard", "rate": 20.0, "burst": 40.0, "customers": 30, "calls_per_s": 15.0}]
-    return Experiment.model_validate({
-        "name": "cold-sum", "duration_s": 18.0,
-        "fleet": {"limiters": limiters, "zones": 3, "routes": routes, "plans": plans, "list_delay_s": 0.05,
-                  "servers": {"count": 12, "places": 4, "service_s": 0.1, "cold_from": 0.25, "warm_after_s": 10.0}},
-        "load": {"shape": "bursty", "burst_factor": 1.5, "burst_every_s": 6.0, "burst_for_s": 3.0},
-        "faults": FAULTS[fault]})
+    return Experiment.model_validate(
+        {
+            "name": "cold-sum",
+            "duration_s": 18.0,
+            "fleet": {
+                "limiters": limiters,
+                "zones": 3,
+                "routes": routes,
+                "plans": plans,
+                "list_delay_s": 0.05,
+                "servers": {
+                    "count": 12,
+                    "places": 4,
+                    "service_s": 0.1,
+                    "cold_from": 0.25,
+                    "warm_after_s": 10.0,
+                },
+            },
+            "load": {"shape": "bursty", "burst_factor": 1.5, "burst_every_s": 6.0, "burst_for_s": 3.0},
+            "faults": FAULTS[fault],
+        }
+    )
 
 
 def play(limiters: int, fault: str, seed: int) -> Fleet:
@@ -53,7 +71,12 @@
 
 def spread(shares: list[float]) -> dict[str, float]:
     cuts = quantiles(shares, n=100, method="inclusive")
-    return {"median": round(cuts[49], 3), "p90": round(cuts[89], 3), "p99": round(cuts[98], 3), "most": round(max(shares), 3)}
+    return {
+        "median": round(cuts[49], 3),
+        "p90": round(cuts[89], 3),
+        "p99": round(cuts[98], 3),
+        "most": round(max(shares), 3),
+    }
 
 
 def main() -> None:
@@ -63,10 +86,20 @@
         for fault in FAULTS:
             fleets = [play(limiters, fault, seed) for seed in range(1, seeds + 1)]
             cold = [model for fleet in fleets for model in fleet.servers.models.values() if model.push]
-            print(json.dumps({"limiters": limiters, "fault": fault, "seeds": seeds, "cold_servers": len(cold),
-                              "falls": sum(model.falls for model in cold),
-                              "of_n": spread([model.push for model in cold]),
-                              "of_n_and_chance": spread([model.push_beside_chance for model in cold])}), flush=True)
+            print(
+                json.dumps(
+                    {
+                        "limiters": limiters,
+                        "fault": fault,
+                        "seeds": seeds,
+                        "cold_servers": len(cold),
+                        "falls": sum(model.falls for model in cold),
+                        "of_n": spread([model.push for model in cold]),
+                        "of_n_and_chance": spread([model.push_beside_chance for model in cold]),
+                    }
+                ),
+                flush=True,
+            )
 
 
 if __name__ == "__main__":
--- a/brookhub/checker/explorer.py
+++ b/brookhub/checker/explorer.py
@@ -30,11 +30,15 @@
     ends: list = field(default_factory=list)  # a sample of states seen, for what has to hold from each on
 
 
-def search(model, deviations: int, depth: int, states: int = 1_000_000, seconds: float = 60.0, sample: int = 200) -> Found:
+def search(
+    model, deviations: int, depth: int, states: int = 1_000_000, seconds: float = 60.0, sample: int = 200
+) -> Found:
     """All states within so many deviations and steps, up to a number of states and a time (s)."""
     found, began = Found(), monotonic()
     first = model.start()
-    seen: dict[int, int] = {hash(model.key(first)): deviations}  # state -> most deviations left when it was met
+    seen: dict[int, int] = {
+        hash(model.key(first)): deviations
+    }  # state -> most deviations left when it was met
     came: dict[int, tuple[int, Any]] = {}
     queues = [deque() for _ in range(deviations + 1)]  # by deviations used
     queues[0].append((first, hash(model.key(first)), deviations, 0))
@@ -59,7 +63,9 @@
         if steps >= depth:
             continue
         plain = model.plain(state)
-        choices = ([(plain, 0)] if plain is not None else []) + [one for one in model.others(state) if one[1] <= left]
+        choices = ([(plain, 0)] if plain is not None else []) + [
+            one for one in model.others(state) if one[1] <= left
+        ]
         for action, cost in choices:
             following = model.after(state, action)
             key = hash(model.key(following))
--- a/brookhub/checker/maintenance.py
+++ b/brookhub/checker/maintenance.py
@@ -20,7 +20,17 @@
 TIMES_REGISTER = ("born", "until", "read_at", "asked_at", "valid_until", "sent_at")
 SHARED = ("port", "settings", "plan", "digest", "register", "me", "knew", "refused", "pieces", "wanted")
 BOUND = ("me", "send", "report", "heard", "adopt", "listed", "lease", "alone", "base")
-FAULTS = {"crash": 1, "stall": 1, "cut": 1, "mute": 1, "split": 1, "hold": 2, "double": 1, "slow": 2, "fail": 1}  # of each kind, as a rule
+FAULTS = {
+    "crash": 1,
+    "stall": 1,
+    "cut": 1,
+    "mute": 1,
+    "split": 1,
+    "hold": 2,
+    "double": 1,
+    "slow": 2,
+    "fail": 1,
+}  # of each kind, as a rule
 KNOWN = 50_000  # members whose part of a key is remembered
 OLD = -9.0  # s: what lies further back is the same as this, whatever it is
 
@@ -59,8 +69,14 @@
 
     def present(self) -> list[str]:
         model = self.model
-        return [name for name in model.names if name != self.me and name not in model.stalled
-                and model.joined(self.me, name, model.away) and model.joined(name, self.me, model.away)]
+        return [
+            name
+            for name in model.names
+            if name != self.me
+            and name not in model.stalled
+            and model.joined(self.me, name, model.away)
+            and model.joined(name, self.me, model.away)
+        ]
 
     def listed(self) -> list[str]:
         return [name for name in self.model.names if name != self.me]
@@ -85,7 +101,9 @@
     def load(self) -> dict[str, float]:
         """Each sees another load, so that each by itself would take another machine first."""
         count, mine = len(self.model.plan.machines), self.model.names.index(self.me)
-        return {one.zone: float((number - mine) % count) for number, one in enumerate(self.model.plan.machines)}
+        return {
+            one.zone: float((number - mine) % count) for number, one in enumerate(self.model.plan.machines)
+        }
 
     def log(self, event: str, **facts) -> None:
         if event.startswith("safe to work on "):
@@ -100,22 +118,55 @@
     `one_permit`: whether two that may act at once are a break by themselves. `blind`: a steward
     sees only of its own machines whether they are there (no list tells it of the others). `work_s`: how long work takes."""
 
-    def __init__(self, voters: int = 3, most: int = 1, machines: int = 2, zone_most: int = 9, zones: int = 9, joins: bool = False,
-                 faults: dict[str, int] | None = None, register: type = Register, forgets: bool = True, rounds: bool = False,
-                 apart: str = "", one_permit: bool = True,
-                 blind: bool = False, lease: float = LEASE, work_s: int = 2):
+    def __init__(
+        self,
+        voters: int = 3,
+        most: int = 1,
+        machines: int = 2,
+        zone_most: int = 9,
+        zones: int = 9,
+        joins: bool = False,
+        faults: dict[str, int] | None = None,
+        register: type = Register,
+        forgets: bool = True,
+        rounds: bool = False,
+        apart: str = "",
+        one_permit: bool = True,
+        blind: bool = False,
+        lease: float = LEASE,
+        work_s: int = 2,
+    ):
         self.names = [f"n{n}" for n in range(voters)]
         first = tuple(self.names[:-1] if joins else self.names)
-        self.plan = Plan(1, tuple(Machine(f"m{n}", zone=f"z{n % zones}") for n in range(machines)), first, most_out=most,
-                         most_zone=zone_most, capacity_least=0.0, start_within_s=2.0, fill_s=0.0, pause_s=0.0, work_most_s=50.0,
-                         voters_next=tuple(self.names) if joins else ())
+        self.plan = Plan(
+            1,
+            tuple(Machine(f"m{n}", zone=f"z{n % zones}") for n in range(machines)),
+            first,
+            most_out=most,
+            most_zone=zone_most,
+            capacity_least=0.0,
+            start_within_s=2.0,
+            fill_s=0.0,
+            pause_s=0.0,
+            work_most_s=50.0,
+            voters_next=tuple(self.names) if joins else (),
+        )
         self.settings = Settings(lease=lease, ends_in=0.0, offer=0.0)
-        self.kind, self.forgets, self.rounds, self.apart, self.one_permit = register, forgets, rounds, apart, one_permit
+        self.kind, self.forgets, self.rounds, self.apart, self.one_permit = (
+            register,
+            forgets,
+            rounds,
+            apart,
+            one_permit,
+        )
         self.blind, self.work_s = blind, work_s
         self.kinds = tuple(sorted(faults or FAULTS))
         self.most_faults = tuple((faults or FAULTS)[kind] for kind in self.kinds)
         self.clock, self.sent, self.work = 0, [], {}
-        self.stalled, self.away = frozenset(), frozenset()  # of the state being built: whom membership holds for gone
+        self.stalled, self.away = (
+            frozenset(),
+            frozenset(),
+        )  # of the state being built: whom membership holds for gone
         self.known: dict[int, tuple] = {}
         self.ports = [Port(self, name) for name in self.names]
         self.cores = [self.launch(n, knows=not joins or n < voters - 1) for n in range(voters)]
@@ -133,8 +184,14 @@
     # states
 
     def save(self, core: Maintenance) -> tuple:
-        return (tuple((key, frozen(value)) for key, value in vars(core).items() if key not in SHARED),
-                tuple((key, frozen(value)) for key, value in vars(core.register).items() if key not in BOUND and key != "model"))
+        return (
+            tuple((key, frozen(value)) for key, value in vars(core).items() if key not in SHARED),
+            tuple(
+                (key, frozen(value))
+                for key, value in vars(core.register).items()
+                if key not in BOUND and key != "model"
+            ),
+        )
 
     def load(self, core: Maintenance, saved: tuple) -> None:
         for place, fields in zip((core, core.register), saved):
@@ -143,39 +200,79 @@
 
     def start(self) -> State:
         self.clock, self.work = 0, {one.name: (0, 0, 0) for one in self.plan.machines}
-        return State(0, tuple(self.save(core) for core in self.cores), frozenset(), frozenset({("cut", self.apart)} if self.apart else ()), (), (),
-                     tuple(self.work.values()), self.most_faults)
+        return State(
+            0,
+            tuple(self.save(core) for core in self.cores),
+            frozenset(),
+            frozenset({("cut", self.apart)} if self.apart else ()),
+            (),
+            (),
+            tuple(self.work.values()),
+            self.most_faults,
+        )
 
     def told(self, machine: str) -> None:
         """Somebody reads that it is safe: from now on, and for the time to start, work may begin."""
         until, down, failed = self.work[machine]
-        self.work[machine] = (max(until, self.clock + int(self.plan.start_within_s)) if not down else until, down, failed)
+        self.work[machine] = (
+            max(until, self.clock + int(self.plan.start_within_s)) if not down else until,
+            down,
+            failed,
+        )
 
     def key(self, state: State) -> Any:
         """The state without its clock. Members that a step left as they were are not worked out again."""
+
         def fields(saved: tuple, times: tuple) -> tuple:
-            return tuple((key, self.past(value, state.clock) if key in times else
-                          self.times(value, state.clock) if key in ("reports", "seen", "since") else value) for key, value in saved)
+            return tuple(
+                (
+                    key,
+                    self.past(value, state.clock)
+                    if key in times
+                    else self.times(value, state.clock)
+                    if key in ("reports", "seen", "since")
+                    else value,
+                )
+                for key, value in saved
+            )
+
         def member(saved: tuple) -> tuple:
             held = self.known.get(id(saved))
             if held is None or held[0] is not saved or held[1] != state.clock:
                 if len(self.known) >= KNOWN:
                     self.known.clear()
-                held = self.known[id(saved)] = (saved, state.clock, (fields(saved[0], TIMES_CORE), fields(saved[1], TIMES_REGISTER)))
+                held = self.known[id(saved)] = (
+                    saved,
+                    state.clock,
+                    (fields(saved[0], TIMES_CORE), fields(saved[1], TIMES_REGISTER)),
+                )
             return held[2]
-        return (tuple(map(member, state.members)),
-                state.stalled, state.away, state.net, state.held,
-                tuple(tuple(max(0, one - state.clock) for one in times) for times in state.work), state.left)
+
+        return (
+            tuple(map(member, state.members)),
+            state.stalled,
+            state.away,
+            state.net,
+            state.held,
+            tuple(tuple(max(0, one - state.clock) for one in times) for times in state.work),
+            state.left,
+        )
 
     def past(self, value: float, clock: int) -> float:
         return round(max(OLD, value - clock), 2)
 
     def times(self, value: tuple, clock: int) -> tuple:
-        return tuple((name, (self.past(one[0], clock), one[1]) if isinstance(one, tuple) else self.past(one, clock))
-                     for name, one in value[1])
+        return tuple(
+            (name, (self.past(one[0], clock), one[1]) if isinstance(one, tuple) else self.past(one, clock))
+            for name, one in value[1]
+        )
 
     def broken(self, state: State) -> str:
-        out = [one.name for one, (until, down, _) in zip(self.plan.machines, state.work) if down or until > state.clock]
+        out = [
+            one.name
+            for one, (until, down, _) in zip(self.plan.machines, state.work)
+            if down or until > state.clock
+        ]
         if len(out) > self.plan.most_out:
             return f"{len(out)} machines out: {', '.join(out)}, {self.plan.most_out} at most"
         zones = [self.plan.machine(name).zone for name in out]
@@ -197,8 +294,12 @@
 
     def joined(self, source: str, peer: str, away: frozenset) -> bool:
         """Whether words from one reach the other: `cut` members reach nobody, `mute` ones are not heard, `split` names a side."""
-        return not any((how == "cut" and member in (source, peer)) or (how == "mute" and member == source)
-                       or (how == "split" and (source in member) != (peer in member)) for how, member in away)
+        return not any(
+            (how == "cut" and member in (source, peer))
+            or (how == "mute" and member == source)
+            or (how == "split" and (source in member) != (peer in member))
+            for how, member in away
+        )
 
     def reachable(self, state: State, source: str, peer: str) -> bool:
         return self.joined(source, peer, state.away)
@@ -230,11 +331,21 @@
             made += [(("split", (one, other)), 1) for one, other in zip(self.names, self.names[1:])]
         if state.away:
             made.append((("heal",), 0))
-        first = [number for number, one in enumerate(state.net) if one[1] not in state.stalled][:None if self.rounds else 1]
-        made += [((what, number), 1) for number in first for what in ("hold", "double", "lose")
-                 if left.get("hold" if what != "double" else what)]
+        first = [number for number, one in enumerate(state.net) if one[1] not in state.stalled][
+            : None if self.rounds else 1
+        ]
+        made += [
+            ((what, number), 1)
+            for number in first
+            for what in ("hold", "double", "lose")
+            if left.get("hold" if what != "double" else what)
+        ]
         made += [(("release", number), 0) for number in range(len(state.held))]
-        made += [(("fail", number), 1) for number, times in enumerate(state.work) if left.get("fail") and not any(times[1:])]
+        made += [
+            (("fail", number), 1)
+            for number, times in enumerate(state.work)
+            if left.get("fail") and not any(times[1:])
+        ]
         if left.get("slow"):  # somebody who takes time to begin
             begins = any(until > state.clock and not down for until, down, _ in state.work)
             made += [(("dawdle",), 1)] if begins and (self.rounds or self.plain(state)[0] == "start") else []
@@ -243,7 +354,13 @@
     def after(self, state: State, action: tuple) -> State:
         self.clock, self.sent, self.stalled, self.away = state.clock, [], state.stalled, state.away
         self.work = {one.name: times for one, times in zip(self.plan.machines, state.work)}
-        members, net, held, away, stalled = list(state.members), list(state.net), list(state.held), state.away, state.stalled
+        members, net, held, away, stalled = (
+            list(state.members),
+            list(state.net),
+            list(state.held),
+            state.away,
+            state.stalled,
+        )
         left, what = dict(zip(self.kinds, state.left)), action[0]
         clock = state.clock
 
@@ -252,6 +369,7 @@
             self.load(core, members[number])
             act(core)
             members[number] = self.save(core)
+
         if what == "round":
             return self.round(state)
         if what in ("deliver", "double"):
@@ -298,8 +416,16 @@
             away = away | {action}
         elif what == "heal":
             away = frozenset()
-        following = State(clock, tuple(members), stalled, away, (), tuple(held), tuple(self.work.values()),
-                          tuple(left[kind] for kind in self.kinds))
+        following = State(
+            clock,
+            tuple(members),
+            stalled,
+            away,
+            (),
+            tuple(held),
+            tuple(self.work.values()),
+            tuple(left[kind] for kind in self.kinds),
+        )
         net += [one for one in self.sent if self.reachable(following, *one[:2])]
         return following._replace(net=tuple(net))
 
@@ -327,8 +453,12 @@
             if name not in state.stalled:
                 core.tick()
         waits += [one for one in self.sent if self.reachable(state, *one[:2])]
-        return state._replace(clock=self.clock, members=tuple(self.save(core) for core in self.cores), net=tuple(waits),
-                              work=tuple(self.work.values()))
+        return state._replace(
+            clock=self.clock,
+            members=tuple(self.save(core) for core in self.cores),
+            net=tuple(waits),
+            work=tuple(self.work.values()),
+        )
 
     def ends(self, state: State, ticks: int = 120) -> str:
         """With all faults over and messages flowing: "" where the plan comes to its end, else what holds it."""
@@ -344,7 +474,8 @@
                 self.load(self.cores[number], saved)
                 tables.append(self.cores[number].register.table)
             if any(self.cores[number].finished(table) for number, table in enumerate(tables)) and not any(
-                    until > state.clock or down for until, down, _ in state.work):
+                until > state.clock or down for until, down, _ in state.work
+            ):
                 return ""
         return f"not at its end after {ticks} s: {tables}"
 
@@ -381,13 +512,21 @@
             self.write(self.table, now)
 
     def written(self, peer, message, now):
-        if self.says_yes({one.name for one, bit in zip(self.model.plan.machines, range(9)) if message.table.done >> bit & 1},
-                         message.table):
+        if self.says_yes(
+            {
+                one.name
+                for one, bit in zip(self.model.plan.machines, range(9))
+                if message.table.done >> bit & 1
+            },
+            message.table,
+        ):
             self.adopt(message.table)
             self.send(peer, Wrote(message.mark, self.report()))
 
     def write(self, table, now: float) -> None:
-        super().write(msgspec.structs.replace(table, outs=table.outs[:1]), now)  # one machine each: a vote is for a machine
+        super().write(
+            msgspec.structs.replace(table, outs=table.outs[:1]), now
+        )  # one machine each: a vote is for a machine
 
     def takes(self, mark, now: float) -> bool:
         return self.pending is None or self.says_yes({name for name, _ in self.table.outs}, self.pending)
--- a/brookhub/choices/__init__.py
+++ b/brookhub/choices/__init__.py
@@ -10,4 +10,16 @@
 from .subsets import Subsets, size
 from .turns import Turns
 
-__all__ = ["TOPIC", "ByCounter", "ByPeers", "Parts", "Shared", "Signals", "Subsets", "Turns", "Unusable", "size", "unpack"]
+__all__ = [
+    "TOPIC",
+    "ByCounter",
+    "ByPeers",
+    "Parts",
+    "Shared",
+    "Signals",
+    "Subsets",
+    "Turns",
+    "Unusable",
+    "size",
+    "unpack",
+]
--- a/brookhub/choices/carriers.py
+++ b/brookhub/choices/carriers.py
@@ -25,13 +25,13 @@
     """A datagram's data that is no list of words."""
 
 
-Word = tuple[Annotated[int, msgspec.Meta(ge=0, le=2 ** 62)], Annotated[int, msgspec.Meta(ge=1, le=2)]]
+Word = tuple[Annotated[int, msgspec.Meta(ge=0, le=2**62)], Annotated[int, msgspec.Meta(ge=1, le=2)]]
 _decoder = msgspec.msgpack.Decoder(Annotated[list[Word], msgspec.Meta(max_length=MOST_WORDS)])
 
 
 def pack(words: list[tuple[int, int]]) -> list[bytes]:
     """The words as data of one datagram or more."""
-    return [msgspec.msgpack.encode(words[at:at + MOST_WORDS]) for at in range(0, len(words), MOST_WORDS)]
+    return [msgspec.msgpack.encode(words[at : at + MOST_WORDS]) for at in range(0, len(words), MOST_WORDS)]
 
 
 def unpack(data: bytes) -> list[tuple[int, int]]:
@@ -97,8 +97,12 @@
                 continue
             self.allowed -= 1
             self.asked += 1
-            self.port.count(self.name(server), 1.0, 2 * FADE, lambda outcome, total, took, server=server:
-                            self.told(server, outcome, total, took))
+            self.port.count(
+                self.name(server),
+                1.0,
+                2 * FADE,
+                lambda outcome, total, took, server=server: self.told(server, outcome, total, took),
+            )
 
     def told(self, server: int, outcome: Outcome, total: float, took: float) -> None:
         if outcome is not Outcome.OK or took >= LATE:
--- a/brookhub/choices/hashing.py
+++ b/brookhub/choices/hashing.py
@@ -4,7 +4,7 @@
 
 import xxhash
 
-TOP = 2.0 ** 64
+TOP = 2.0**64
 
 
 def score(key: int, *words: object) -> float:
--- a/brookhub/choices/parts.py
+++ b/brookhub/choices/parts.py
@@ -42,7 +42,9 @@
 
     def listed(self, servers: dict[Hashable, tuple[Hashable, float]]) -> None:
         """The servers that there are, each with its zone and its weight (above 0; else it counts as 1)."""
-        servers = {server: (zone, weight if weight > 0 else 1.0) for server, (zone, weight) in servers.items()}
+        servers = {
+            server: (zone, weight if weight > 0 else 1.0) for server, (zone, weight) in servers.items()
+        }
         if servers != self.servers:
             self.servers = servers
             self.match()
@@ -75,7 +77,10 @@
         """How many servers of each zone a limiter uses at least, the same at all that see the same fleet."""
         steady = max(1, floor(STEP ** floor(log(len(self.present), STEP) + 1e-9)))
         each = size(steady, len(self.servers))
-        return {zone: max(1, round(each * len(subsets.weights) / len(self.servers))) for zone, subsets in self.zones.items()}
+        return {
+            zone: max(1, round(each * len(subsets.weights) / len(self.servers)))
+            for zone, subsets in self.zones.items()
+        }
 
     def least(self) -> int:
         """How many servers a limiter uses at least; 0 where there are too many."""
@@ -92,7 +97,13 @@
                 them = subsets.wider(self.numbers[self.me], many, len(subsets.weights))
                 own.append(them[:many])
                 rest.append(them[many:])
-            self.drawn = [server for lists in (own, rest) for turn in zip_longest(*lists) for server in turn if server is not None]
+            self.drawn = [
+                server
+                for lists in (own, rest)
+                for turn in zip_longest(*lists)
+                for server in turn
+                if server is not None
+            ]
         return self.drawn
 
 
--- a/brookhub/choices/signals.py
+++ b/brookhub/choices/signals.py
@@ -25,12 +25,23 @@
 #                   turn costs one call. At 10 s a server that was bad for a minute cost the fleet 11 to 14 calls, at 20 s 8 to 9
 TRY_AT = 0.5  # of that time from which who holds the turn tries it: the rest is for a holder that has died
 TRY_FOR = 2.0  # s that such a try may be out until the next: about a client timeout
-DOUBTED, DOUBTED_LEAST = 0.25, 2  # share and number of the servers that one limiter may find fault with and be believed
+DOUBTED, DOUBTED_LEAST = (
+    0.25,
+    2,
+)  # share and number of the servers that one limiter may find fault with and be believed
 AWAY = 0.3  # share of all servers that signals leave alone at the most: what is left has to carry the load
-SKEW = 0.3  # s by which limiters' cases of one server may begin apart: words wait PULSE, and machines are busy
-SLOW_USUAL, SLOW_OVER = 0.02, 10.0  # share of tries elsewhere, over so many s, given up for their slowness, beyond which one more says
+SKEW = (
+    0.3  # s by which limiters' cases of one server may begin apart: words wait PULSE, and machines are busy
+)
+SLOW_USUAL, SLOW_OVER = (
+    0.02,
+    10.0,
+)  # share of tries elsewhere, over so many s, given up for their slowness, beyond which one more says
 #                                     nothing of its server: where service times scatter, healthy servers have them all the time
-BEAT, STOPPED = 0.25, 1.0  # s between looks at the clock; s it may be late until this process counts as stopped
+BEAT, STOPPED = (
+    0.25,
+    1.0,
+)  # s between looks at the clock; s it may be late until this process counts as stopped
 PULSE = 0.02  # s that words wait for others to go with them: zones are lost at one stroke
 ENDS = 500  # tries remembered of that: bounds the work of a look
 ENOUGH = 3  # witnesses beyond which one more is not told: a fleet that fails together would only shout
@@ -72,7 +83,9 @@
         self.up_since: dict[int, float] = {}
         self.servers = self.told = self.refused = 0
         self.quiet_until, self.beat_at = 0.0, carrier.now
-        self.ends: deque[tuple[float, int, bool]] = deque(maxlen=ENDS)  # tries: when (s), where, given up for slowness
+        self.ends: deque[tuple[float, int, bool]] = deque(
+            maxlen=ENDS
+        )  # tries: when (s), where, given up for slowness
         carrier.later(BEAT, self.beat)
 
     # what the decisions ask
@@ -85,13 +98,20 @@
     def due(self, server: int) -> bool:
         """Whether this limiter is to try a server that all leave alone: once, with a call that may run again."""
         case, now = self.cases.get(server), self.carrier.now
-        return bool(case and case.allowed and case.try_at <= now < case.until and self.turns.mine(f"sick/{server}", now, self.carrier.calendar))
+        return bool(
+            case
+            and case.allowed
+            and case.try_at <= now < case.until
+            and self.turns.mine(f"sick/{server}", now, self.carrier.calendar)
+        )
 
     # what the decisions tell
 
     def listed(self, servers: dict[int, float]) -> None:
         """The servers that there are, and since when each is up (s): one that came up anew is judged afresh."""
-        for server in [one for one in {**self.cases, **self.faults} if servers.get(one) != self.up_since.get(one)]:
+        for server in [
+            one for one in {**self.cases, **self.faults} if servers.get(one) != self.up_since.get(one)
+        ]:
             self.cases.pop(server, None)
             self.faults.pop(server, None)
         self.up_since, self.servers = servers, len(servers)
@@ -219,10 +239,15 @@
     def weigh(self) -> None:
         """Which of them may be left alone: no more than AWAY of all, those with the most witnesses first."""
         now = self.carrier.now
-        for server in [one for one, case in self.cases.items()
-                       if now >= case.until and all(now - at >= FADE for at in case.by.values())]:
+        for server in [
+            one
+            for one, case in self.cases.items()
+            if now >= case.until and all(now - at >= FADE for at in case.by.values())
+        ]:
             del self.cases[server]
-        held = [(-len(case.by), case.since, server) for server, case in self.cases.items() if now < case.until]
+        held = [
+            (-len(case.by), case.since, server) for server, case in self.cases.items() if now < case.until
+        ]
         room = int(AWAY * self.servers)
         kept = {server for *_, server in sorted(held)[:room]}
         for server, case in self.cases.items():
--- a/brookhub/choices/subsets.py
+++ b/brookhub/choices/subsets.py
@@ -22,7 +22,9 @@
 LEAST = 12  # servers that a limiter uses at least: a few may be sick, and two of them are always compared
 COVER = 8.5  # limiters that a server has in the mean at least, where that needs larger subsets: fewer can't be even. At 8 the
 #              bound in whole places leaves nothing to spare, at 10 one limiter less takes a place from every server
-BLOCK = 16  # numbers that a server deals ranks to at a time: 32 and 64 are less even where numbers are missing
+BLOCK = (
+    16  # numbers that a server deals ranks to at a time: 32 and 64 are less even where numbers are missing
+)
 SLACK = 1.2  # times the mean (by weight) that a server has at most
 
 
@@ -36,7 +38,10 @@
 def capacities(weights: Sequence[float], pairs: int) -> list[int]:
     """Places of each server: SLACK times its part of all pairs by weight, rounded down, yet not below that part."""
     total = sum(weights)
-    return [max(ceil(pairs * weight / total - 1e-9), floor(SLACK * pairs * weight / total + 1e-9)) for weight in weights]
+    return [
+        max(ceil(pairs * weight / total - 1e-9), floor(SLACK * pairs * weight / total + 1e-9))
+        for weight in weights
+    ]
 
 
 class Subsets:
@@ -100,9 +105,17 @@
             return self.matched[each]
         servers, asked_for = list(self.weights), each
         each = min(each, len(servers))
-        room = dict(zip(servers, capacities(list(self.weights.values()), len(self.limiters) * each))) if servers else {}
+        room = (
+            dict(zip(servers, capacities(list(self.weights.values()), len(self.limiters) * each)))
+            if servers
+            else {}
+        )
         held: dict[Hashable, list] = {one: [] for one in servers}  # heaps, the worst ranked limiter first
-        asked, have, todo = dict.fromkeys(self.limiters, 0), dict.fromkeys(self.limiters, 0), list(self.limiters)
+        asked, have, todo = (
+            dict.fromkeys(self.limiters, 0),
+            dict.fromkeys(self.limiters, 0),
+            list(self.limiters),
+        )
         while todo:
             one = todo.pop()
             ranked, at, has = self.ranks[one], asked[one], have[one]
@@ -134,11 +147,21 @@
         for them in matched.values():
             for server in them:
                 held[server] += 1
-        places = dict(zip(self.weights, capacities(list(self.weights.values()), len(self.limiters) * min(each, len(held)))))
+        places = dict(
+            zip(
+                self.weights,
+                capacities(list(self.weights.values()), len(self.limiters) * min(each, len(held))),
+            )
+        )
         mine = set(own)
         rest = [server for server in self.weights if server not in mine]
-        rest.sort(key=lambda server: (-log(self.drawn(limiter, server)) / (places[server] - held[server] + 1), server))
-        return (own + rest)[:max(more, each)]
+        rest.sort(
+            key=lambda server: (
+                -log(self.drawn(limiter, server)) / (places[server] - held[server] + 1),
+                server,
+            )
+        )
+        return (own + rest)[: max(more, each)]
 
     def order(self, limiter: Hashable, each: int) -> list:
         """All servers as this limiter should take them: its own first, then the others by its ranking."""
--- a/brookhub/choices/turns.py
+++ b/brookhub/choices/turns.py
@@ -44,10 +44,14 @@
         if (matter, epoch, most) not in self.drawn:
             if len(self.drawn) >= KEPT:
                 self.drawn.clear()
-            self.drawn[matter, epoch, most] = sorted(self.present, key=lambda one: score(self.key, matter, epoch, one))[:most]
+            self.drawn[matter, epoch, most] = sorted(
+                self.present, key=lambda one: score(self.key, matter, epoch, one)
+            )[:most]
         return self.drawn[matter, epoch, most]
 
     def mine(self, matter: Hashable, now: float, calendar: float | None = None, most: int = 1) -> bool:
         """Whether this limiter holds the matter; not within GRACE s after it woke. `now` s on its own clock, `calendar` s
         on the one that all share (the same where it is not named)."""
-        return now - self.awake_at >= GRACE and self.me in self.holders(matter, now if calendar is None else calendar, most)
+        return now - self.awake_at >= GRACE and self.me in self.holders(
+            matter, now if calendar is None else calendar, most
+        )
--- a/brookhub/cli.py
+++ b/brookhub/cli.py
@@ -24,6 +24,7 @@
         return load(path, Experiment)
     text = resources.files("brookhub.lab").joinpath("default.toml").read_text()
     from .config import loads
+
     return loads(text, Experiment, "embedded default")
 
 
@@ -33,26 +34,39 @@
 
 
 @click.group()
-@click.option("--log-format", type=click.Choice(["json", "console"]), default="json", show_default=True,
-              help="structured log lines on standard error: JSON lines or for a terminal")
+@click.option(
+    "--log-format",
+    type=click.Choice(["json", "console"]),
+    default="json",
+    show_default=True,
+    help="structured log lines on standard error: JSON lines or for a terminal",
+)
 def main(log_format: str) -> None:
     """brookhub: a quota-keeping API gateway, its fleet emulator and its lab."""
     log.setup(log_format)
 
 
 @main.command()
-@click.option("--config", "path", type=click.Path(dir_okay=False), help="start file, TOML or JSON (else NODE_CONFIG)")
+@click.option(
+    "--config", "path", type=click.Path(dir_okay=False), help="start file, TOML or JSON (else NODE_CONFIG)"
+)
 def run(path: str | None) -> None:
     """Run the gateway on sockets in the foreground (as `python -m brookhub`)."""
     if path:
         os.environ["NODE_CONFIG"] = path
     from .program.run import main as serve
+
     sys.exit(serve())
 
 
 @main.command("check-config")
 @click.argument("path", type=click.Path(dir_okay=False))
-@click.option("--kind", type=click.Choice(["auto", "experiment", "gateway", "membership", "plan", "site"]), default="auto", show_default=True)
+@click.option(
+    "--kind",
+    type=click.Choice(["auto", "experiment", "gateway", "membership", "plan", "site"]),
+    default="auto",
+    show_default=True,
+)
 def check_config(path: str, kind: str) -> None:
     """Check a configuration file; one line naming key and line for the first fault, exit 2."""
     if kind == "auto":
@@ -60,7 +74,17 @@
             text = Path(path).read_text(errors="replace")
         except OSError as broken:
             refuse(ConfigError(path, "", 0, broken.strerror or str(broken)))
-        kind = "experiment" if "[fleet" in text else "membership" if "[[peers]]" in text else "plan" if "[[machines]]" in text else "site" if "[[tier]]" in text else "gateway"
+        kind = (
+            "experiment"
+            if "[fleet" in text
+            else "membership"
+            if "[[peers]]" in text
+            else "plan"
+            if "[[machines]]" in text
+            else "site"
+            if "[[tier]]" in text
+            else "gateway"
+        )
     try:
         if kind == "experiment":
             load(path, Experiment)
@@ -72,6 +96,7 @@
             load(path, SiteFile)
         elif path.endswith(".json"):
             from .program import startfile
+
             startfile.read({"NODE_CONFIG": path})
         else:
             load(path, GatewayFile)
@@ -89,11 +114,17 @@
 @click.option("--duration", type=float, help="simulated seconds, instead of the experiment's")
 @click.option("--limiters", type=int, help="instead of fleet.limiters")
 @click.option("--strict/--no-strict", default=None, help="stop at the first broken rule and print its trail")
-def emulate(experiment: str | None, seed: int | None, duration: float | None, limiters: int | None,
-            strict: bool | None) -> None:
+def emulate(
+    experiment: str | None,
+    seed: int | None,
+    duration: float | None,
+    limiters: int | None,
+    strict: bool | None,
+) -> None:
     """Play one experiment (without sweep) in the emulator; prints its metrics as JSON."""
     from .emulator import Fleet, RuleBroken
     from .lab.sweep import with_value
+
     try:
         spec = experiment_of(experiment)
     except ConfigError as broken:
@@ -128,6 +159,7 @@
     """Play the experiment's grid, resuming where results exist, then plot."""
     from .lab import plot as plotting
     from .lab import sweep as sweeping
+
     try:
         spec = load(experiment, Experiment)
     except ConfigError as broken:
@@ -146,17 +178,23 @@
 def plot(folder: str, title: str, png: str | None) -> None:
     """Draw the plots of a results folder."""
     from .lab import plot as plotting
+
     click.echo(plotting.plot(Path(folder), title or Path(folder).name, Path(png) if png else None))
 
 
 @lab.command()
 @click.argument("experiment", type=click.Path(dir_okay=False))
-@click.option("--seed", "seeds", type=int, multiple=True, help="instead of the experiment's; may be given often")
-@click.option("--out", type=click.Path(file_okay=False), help="folder for logs and results (default: lab/NAME)")
+@click.option(
+    "--seed", "seeds", type=int, multiple=True, help="instead of the experiment's; may be given often"
+)
+@click.option(
+    "--out", type=click.Path(file_okay=False), help="folder for logs and results (default: lab/NAME)"
+)
 def processes(experiment: str, seeds: tuple[int, ...], out: str | None) -> None:
     """Play an experiment on processes of the program over loopback, with its faults, and judge it."""
     from .lab import sweep as sweeping
     from .lab.processes import LabError, ProcessLab
+
     try:
         spec = load(experiment, Experiment)
     except ConfigError as broken:
@@ -171,8 +209,13 @@
         except LabError as met:
             click.echo(f"brookhub: {met}", err=True)
             sys.exit(2)
-        row = {"key": json.dumps({"params": {}, "seed": seed}), "seed": seed, "params": {}, "metrics": outcome.metrics(),
-               "histogram": outcome.result.latency.encode().decode()}
+        row = {
+            "key": json.dumps({"params": {}, "seed": seed}),
+            "seed": seed,
+            "params": {},
+            "metrics": outcome.metrics(),
+            "histogram": outcome.result.latency.encode().decode(),
+        }
         with open(folder / sweeping.RESULTS, "a") as sink:
             sink.write(json.dumps(row, sort_keys=True) + "\n")
         click.echo(json.dumps(outcome.metrics(), sort_keys=True))
@@ -182,12 +225,17 @@
 
 @lab.command()
 @click.argument("experiment", type=click.Path(dir_okay=False))
-@click.option("--seed", "seeds", type=int, multiple=True, help="instead of the experiment's; may be given often")
-@click.option("--out", type=click.Path(file_okay=False), help="folder for logs and results (default: lab/NAME-compare)")
+@click.option(
+    "--seed", "seeds", type=int, multiple=True, help="instead of the experiment's; may be given often"
+)
+@click.option(
+    "--out", type=click.Path(file_okay=False), help="folder for logs and results (default: lab/NAME-compare)"
+)
 def compare(experiment: str, seeds: tuple[int, ...], out: str | None) -> None:
     """Play an experiment in the emulator and on processes; exit 1 where a share is more than 5% apart."""
     from .lab.compare import compare as comparing
     from .lab.processes import LabError
+
     try:
         spec = load(experiment, Experiment)
     except ConfigError as broken:
@@ -195,38 +243,60 @@
     folder = Path(out or f"lab/{spec.name}-compare")
     try:
         with click.progressbar(length=1000, label=spec.name, file=sys.stderr) as bar:
-            rows = comparing(spec, folder, list(seeds or (spec.seed,)), lambda done: bar.update(int(done * 1000) - bar.pos))
+            rows = comparing(
+                spec, folder, list(seeds or (spec.seed,)), lambda done: bar.update(int(done * 1000) - bar.pos)
+            )
     except LabError as met:
         click.echo(f"brookhub: {met}", err=True)
         sys.exit(2)
     (folder / "compare.json").write_text(json.dumps(rows, indent=1, sort_keys=True))
     for row in rows:
-        click.echo(f"seed {row['seed']}: " + ", ".join(
-            f"{share} emulator {row['emulator'][share]:.3f} processes {row['processes'][share]:.3f}"
-            for share in row["apart"]) + f"; p50 {row['emulator']['p50_ms']:.0f} and {row['processes']['p50_ms']:.0f} ms"
-            + ("" if row["within"] else "  OVER 5%"))
+        click.echo(
+            f"seed {row['seed']}: "
+            + ", ".join(
+                f"{share} emulator {row['emulator'][share]:.3f} processes {row['processes'][share]:.3f}"
+                for share in row["apart"]
+            )
+            + f"; p50 {row['emulator']['p50_ms']:.0f} and {row['processes']['p50_ms']:.0f} ms"
+            + ("" if row["within"] else "  OVER 5%")
+        )
     sys.exit(0 if all(row["within"] for row in rows) else 1)
 
 
 @lab.command()
 @click.option("--out", type=click.Path(file_okay=False), default="lab/membership", show_default=True)
 @click.option("--seed", "seeds", type=int, multiple=True, help="may be given often (default: 1 to 6)")
-@click.option("--hour", type=float, default=600.0, show_default=True, help="simulated s of each long run, one a seed")
+@click.option(
+    "--hour", type=float, default=600.0, show_default=True, help="simulated s of each long run, one a seed"
+)
 @click.option("--processes", type=int, help="worker processes (default: one a core)")
 @click.option("--size", "sizes", type=int, multiple=True, help="members (default: 8, 40, 200, 1000)")
 @click.option("--sockets", is_flag=True, help="instead on 8 processes of the program: about a minute a seed")
-def membership(out: str, seeds: tuple[int, ...], hour: float, processes: int | None, sizes: tuple[int, ...],
-               sockets: bool) -> None:
+def membership(
+    out: str,
+    seeds: tuple[int, ...],
+    hour: float,
+    processes: int | None,
+    sizes: tuple[int, ...],
+    sockets: bool,
+) -> None:
     """Measure membership against its baselines in the emulator: a table on standard output, a plot in the folder."""
     from .lab import membership as measuring
+
     folder = Path(out)
     if sockets:
         for seed in seeds or (1,):
             click.echo(json.dumps(measuring.on_processes(folder / f"seed-{seed}", seed), sort_keys=True))
         return
     with click.progressbar(length=1000, label="membership", file=sys.stderr) as bar:
-        rows = measuring.measure(folder, list(seeds or range(1, 7)), hour, processes, sizes or measuring.SIZES,
-                                 lambda done: bar.update(int(done * 1000) - bar.pos))
+        rows = measuring.measure(
+            folder,
+            list(seeds or range(1, 7)),
+            hour,
+            processes,
+            sizes or measuring.SIZES,
+            lambda done: bar.update(int(done * 1000) - bar.pos),
+        )
     click.echo(measuring.table(rows))
     click.echo(f"plot: {measuring.plot(rows, folder / 'membership.png')}")
 
@@ -238,10 +308,15 @@
 def choices(out: str, seeds: tuple[int, ...], processes: int | None) -> None:
     """Measure ways to choose servers for each limiter: balance, load, churn; a table and a plot."""
     from .lab import choices as measuring
+
     folder = Path(out)
     with click.progressbar(length=1000, label="choices", file=sys.stderr) as bar:
-        rows = measuring.measure(folder, list(seeds or range(1, 6)), processes=processes,
-                                 progress=lambda done: bar.update(int(done * 1000) - bar.pos))
+        rows = measuring.measure(
+            folder,
+            list(seeds or range(1, 6)),
+            processes=processes,
+            progress=lambda done: bar.update(int(done * 1000) - bar.pos),
+        )
     click.echo(measuring.table(rows))
     click.echo(f"plot: {measuring.plot(rows, folder / 'choices.png')}")
 
@@ -253,9 +328,12 @@
 def together(out: str, seeds: tuple[int, ...], processes: int | None) -> None:
     """Measure signals and turns in the emulator: bad and cold servers, fairness; tables and a plot."""
     from .lab import together as measuring
+
     folder = Path(out)
     with click.progressbar(length=1000, label="together", file=sys.stderr) as bar:
-        rows = measuring.measure(folder, list(seeds or range(1, 5)), processes, lambda done: bar.update(int(done * 1000) - bar.pos))
+        rows = measuring.measure(
+            folder, list(seeds or range(1, 5)), processes, lambda done: bar.update(int(done * 1000) - bar.pos)
+        )
     click.echo(measuring.table(rows))
     click.echo(f"plot: {measuring.plot(rows, folder / 'together.png')}")
 
@@ -267,9 +345,12 @@
 def lab_recovery(out: str, seeds: tuple[int, ...], processes: int | None) -> None:
     """A counter wiped, swapped and split in the emulator, with and without recovery; a table and a plot."""
     from .lab import recovery as measuring
+
     folder = Path(out)
     with click.progressbar(length=1000, label="recovery", file=sys.stderr) as bar:
-        rows = measuring.measure(folder, list(seeds or range(1, 4)), processes, lambda done: bar.update(int(done * 1000) - bar.pos))
+        rows = measuring.measure(
+            folder, list(seeds or range(1, 4)), processes, lambda done: bar.update(int(done * 1000) - bar.pos)
+        )
     click.echo(measuring.table(rows))
     click.echo(f"plot: {measuring.plot(rows, folder / 'recovery.png')}")
     click.echo(f"plot: {measuring.plot_ceiling(rows, folder / 'ceiling.png')}")
@@ -282,9 +363,12 @@
 def lab_maintenance(out: str, seeds: int, processes: int | None) -> None:
     """Plans of work on 200 emulated limiters under random faults, against a timetable and no agreement; tables and a plot."""
     from .lab import maintenance as measuring
+
     folder = Path(out)
     with click.progressbar(length=1000, label="maintenance", file=sys.stderr) as bar:
-        rows = measuring.measure(folder, seeds, processes, lambda done: bar.update(int(done * 1000) - bar.pos))
+        rows = measuring.measure(
+            folder, seeds, processes, lambda done: bar.update(int(done * 1000) - bar.pos)
+        )
     click.echo(measuring.table(rows))
     click.echo(f"plot: {measuring.plot(rows, folder / 'maintenance.png')}")
 
@@ -292,16 +376,25 @@
 @lab.command()
 @click.option("--out", type=click.Path(file_okay=False), default="lab/plans", show_default=True)
 @click.option("--scenario", "scenarios", multiple=True, help="may be given often (default: all)")
-@click.option("--most", "mosts", type=int, multiple=True, help="machines out at once; may be given often (default: 1 and 2)")
+@click.option(
+    "--most",
+    "mosts",
+    type=int,
+    multiple=True,
+    help="machines out at once; may be given often (default: 1 and 2)",
+)
 @click.option("--seed", type=int, default=1, show_default=True)
 def plans(out: str, scenarios: tuple[str, ...], mosts: tuple[int, ...], seed: int) -> None:
     """Plans of work on eight processes, a fault at each step; a line a run, exit 1 where anything broke (about 40 s each)."""
     from .lab import plans as playing
     from .lab.processes import LabError
+
     bad = False
     unknown = [one for one in scenarios if one not in playing.SCENARIOS]
     if unknown:
-        click.echo(f"brookhub: no scenario {unknown[0]!r}; there are: {', '.join(playing.SCENARIOS)}", err=True)
+        click.echo(
+            f"brookhub: no scenario {unknown[0]!r}; there are: {', '.join(playing.SCENARIOS)}", err=True
+        )
         sys.exit(2)
     for number, scenario in enumerate(scenarios or playing.SCENARIOS):
         for most in mosts or (1, 2):
@@ -319,18 +412,43 @@
 @click.option("--voters", type=int, default=3, show_default=True)
 @click.option("--most", type=int, default=1, show_default=True, help="machines out at once")
 @click.option("--joins/--no-joins", default=False, help="the last voter joins while the plan runs")
-@click.option("--deviations", type=int, default=2, show_default=True, help="faults and delays on one trail at the most")
+@click.option(
+    "--deviations", type=int, default=2, show_default=True, help="faults and delays on one trail at the most"
+)
 @click.option("--depth", type=int, default=40, show_default=True)
 @click.option("--seconds", type=float, default=120.0, show_default=True)
 @click.option("--messages", is_flag=True, help="message by message instead of in rounds")
-@click.option("--planted", type=click.Choice(["none", "counted votes", "no look at the lease", "no abstaining"]), default="none")
-def check_model(voters: int, most: int, joins: bool, deviations: int, depth: int, seconds: float, messages: bool, planted: str) -> None:
+@click.option(
+    "--planted",
+    type=click.Choice(["none", "counted votes", "no look at the lease", "no abstaining"]),
+    default="none",
+)
+def check_model(
+    voters: int,
+    most: int,
+    joins: bool,
+    deviations: int,
+    depth: int,
+    seconds: float,
+    messages: bool,
+    planted: str,
+) -> None:
     """Check the maintenance core over its states: faults at every step, up to so many; exit 1 with the trail where it breaks."""
     from .checker import PLANTED, Model, Register, search
-    model = Model(voters, most, machines=1 + most, joins=joins, rounds=not messages, register=PLANTED.get(planted, Register))
+
+    model = Model(
+        voters,
+        most,
+        machines=1 + most,
+        joins=joins,
+        rounds=not messages,
+        register=PLANTED.get(planted, Register),
+    )
     found = search(model, deviations, depth, seconds=seconds, states=50_000_000)
-    click.echo(f"{found.states} states, {found.deviations} deviations, depth {found.depth}, {found.seconds:.0f} s, "
-               f"{'all within the bounds' if found.complete else 'cut off by the time'}")
+    click.echo(
+        f"{found.states} states, {found.deviations} deviations, depth {found.depth}, {found.seconds:.0f} s, "
+        f"{'all within the bounds' if found.complete else 'cut off by the time'}"
+    )
     if found.broken:
         click.echo(f"broken: {found.broken}")
         for number, action in enumerate(found.trail):
@@ -348,6 +466,7 @@
 
 def plan_of(path: str):
     from .program import startfile
+
     try:
         load(path, PlanFile)
     except ConfigError as broken:
@@ -361,16 +480,25 @@
 def check(path: str) -> None:
     """Check a plan; prints its version and digest, or one line on its first fault (exit 2)."""
     plan = plan_of(path)
-    click.echo(f"{path}: a good plan, version {plan.version}, digest {plan.digest()}, {len(plan.machines)} machines, "
-               f"{plan.most_out} out at once, a majority of {len(plan.voters)} voters permits")
+    click.echo(
+        f"{path}: a good plan, version {plan.version}, digest {plan.digest()}, {len(plan.machines)} machines, "
+        f"{plan.most_out} out at once, a majority of {len(plan.voters)} voters permits"
+    )
 
 
 @maintenance.command("plan")
 @click.argument("path", type=click.Path(dir_okay=False))
-@click.option("--work", type=float, default=600.0, show_default=True, help="s that work on a machine takes, for the time in all")
+@click.option(
+    "--work",
+    type=float,
+    default=600.0,
+    show_default=True,
+    help="s that work on a machine takes, for the time in all",
+)
 def plan_(path: str, work: float) -> None:
     """The order in which a plan takes its machines out, without load or failures, and the least time that it needs."""
     from .maintenance import order
+
     plan = plan_of(path)
     for number, one in enumerate(order(plan, {}, frozenset()), 1):
         on = ", ".join([*one.servers, *([f"limiter {one.limiter}"] if one.limiter else [])])
@@ -384,6 +512,7 @@
 def status(logs: tuple[str, ...]) -> None:
     """How far a plan is, from the logs of one limiter or more (JSON lines): machines, steward, why it is halted."""
     from .lab.maintenance import read_status
+
     click.echo(read_status([Path(one) for one in logs]))
 
 
@@ -391,6 +520,7 @@
 def version() -> None:
     """The program's version."""
     from importlib.metadata import PackageNotFoundError, version as installed
+
     try:
         click.echo(installed("brookhub"))
     except PackageNotFoundError:
--- a/brookhub/config/__init__.py
+++ b/brookhub/config/__init__.py
@@ -5,8 +5,31 @@
 """
 
 from .load import ConfigError, load, loads
-from .models import Experiment, FaultSpec, FleetSpec, GatewayFile, LoadSpec, MembershipFile, PlanFile, RecoveryFile, SweepSpec
+from .models import (
+    Experiment,
+    FaultSpec,
+    FleetSpec,
+    GatewayFile,
+    LoadSpec,
+    MembershipFile,
+    PlanFile,
+    RecoveryFile,
+    SweepSpec,
+)
 from .site import SiteFile
 
-__all__ = ["ConfigError", "load", "loads", "Experiment", "FaultSpec", "FleetSpec", "GatewayFile", "LoadSpec",
-           "MembershipFile", "PlanFile", "RecoveryFile", "SiteFile", "SweepSpec"]
+__all__ = [
+    "ConfigError",
+    "load",
+    "loads",
+    "Experiment",
+    "FaultSpec",
+    "FleetSpec",
+    "GatewayFile",
+    "LoadSpec",
+    "MembershipFile",
+    "PlanFile",
+    "RecoveryFile",
+    "SiteFile",
+    "SweepSpec",
+]
--- a/brookhub/config/load.py
+++ b/brookhub/config/load.py
@@ -27,7 +27,9 @@
     for depth, part in enumerate(path):
         if isinstance(part, int):
             continue
-        pattern = re.compile(rf"^\s*(\[\[?\s*([\w.]*\.)?{re.escape(str(part))}\s*\]\]?|{re.escape(str(part))}\s*=)")
+        pattern = re.compile(
+            rf"^\s*(\[\[?\s*([\w.]*\.)?{re.escape(str(part))}\s*\]\]?|{re.escape(str(part))}\s*=)"
+        )
         for number in range(start, len(lines)):
             if pattern.match(lines[number]):
                 start = number
@@ -49,7 +51,9 @@
         errors = sorted(invalid.errors(), key=lambda error: error["type"] != "extra_forbidden")
         first = errors[0]  # an unknown key first: a misspelt key also makes the right one missing
         path = tuple(first["loc"])
-        kind = {"extra_forbidden": "unknown key", "missing": "required key missing"}.get(first["type"], first["msg"])
+        kind = {"extra_forbidden": "unknown key", "missing": "required key missing"}.get(
+            first["type"], first["msg"]
+        )
         if first["type"] == "missing":
             line = line_of(text, path[:-1]) if len(path) > 1 else 0
         else:
--- a/brookhub/config/models.py
+++ b/brookhub/config/models.py
@@ -38,7 +38,9 @@
     ceiling_slack: float = Field(0.0, ge=0)
     open_cap: int = Field(0, ge=0)
     value: float = Field(1.0, ge=0, description="billed value of a call inside the quota")
-    beyond_value: float = Field(0.0, ge=0, description="the same beyond it; above beyond_cost: a soft plan, which borrows idle room")
+    beyond_value: float = Field(
+        0.0, ge=0, description="the same beyond it; above beyond_cost: a soft plan, which borrows idle room"
+    )
     beyond_cost: float = Field(0.0, ge=0)
     customers: int = Field(1, ge=1)
     calls_per_s: float = Field(gt=0, description="offered load of each customer of the plan")
@@ -65,10 +67,18 @@
     on: bool = True
     delay_s: float = Field(0.002, ge=0)
     wait_s: float = Field(0.05, gt=0)
-    signals: bool = Field(False, description="limiters tell each other of sick servers by it; only in the emulator")
-    recovery: bool = Field(False, description="limiters tell a wiped or another counter, and add again what they counted")
-    beat_s: float = Field(1.0, gt=0, le=10, description="of recovery: between two looks at the counter's register")
-    ledgers_last: bool = Field(False, description="a limiter's ledger outlives its restart, as on a disk; only in the emulator")
+    signals: bool = Field(
+        False, description="limiters tell each other of sick servers by it; only in the emulator"
+    )
+    recovery: bool = Field(
+        False, description="limiters tell a wiped or another counter, and add again what they counted"
+    )
+    beat_s: float = Field(
+        1.0, gt=0, le=10, description="of recovery: between two looks at the counter's register"
+    )
+    ledgers_last: bool = Field(
+        False, description="a limiter's ledger outlives its restart, as on a disk; only in the emulator"
+    )
 
 
 class MembershipSpec(Strict):
@@ -76,9 +86,16 @@
 
     on: bool = False
     period_s: float = Field(0.25, gt=0, le=10, description="between two probes of a member")
-    signals: bool = Field(False, description="limiters tell each other of sick servers by it (docs/choices.md)")
-    subsets: bool = Field(False, description="each uses a part of the servers that the fleet chose by matching (docs/choices.md)")
-    hard_by: Literal["sure", "live"] = Field("sure", description="live: a baseline in the emulator, joint parts by who is seen")
+    signals: bool = Field(
+        False, description="limiters tell each other of sick servers by it (docs/choices.md)"
+    )
+    subsets: bool = Field(
+        False,
+        description="each uses a part of the servers that the fleet chose by matching (docs/choices.md)",
+    )
+    hard_by: Literal["sure", "live"] = Field(
+        "sure", description="live: a baseline in the emulator, joint parts by who is seen"
+    )
 
 
 class FleetSpec(Strict):
@@ -121,15 +138,38 @@
     """One scripted fault at `at_s`, lasting `for_s` where that applies."""
 
     at_s: float = Field(ge=0)
-    action: Literal["kill_limiters", "restart_limiters", "term_limiters", "stall_limiters", "split_limiters",
-                    "cut_peers", "lose_packets", "cut_links", "drain_servers", "replace_servers", "zone_lost",
-                    "counter_down", "counter_wipe", "counter_lose", "counter_swap", "counter_split", "counter_late", "lose_answers", "slow_servers",
-                    "failing_servers", "silent_servers", "reset_links", "delay_links"]
+    action: Literal[
+        "kill_limiters",
+        "restart_limiters",
+        "term_limiters",
+        "stall_limiters",
+        "split_limiters",
+        "cut_peers",
+        "lose_packets",
+        "cut_links",
+        "drain_servers",
+        "replace_servers",
+        "zone_lost",
+        "counter_down",
+        "counter_wipe",
+        "counter_lose",
+        "counter_swap",
+        "counter_split",
+        "counter_late",
+        "lose_answers",
+        "slow_servers",
+        "failing_servers",
+        "silent_servers",
+        "reset_links",
+        "delay_links",
+    ]
     share: float = Field(0.1, ge=0, le=1)
     zone: int = Field(0, ge=0)
     for_s: float = Field(5.0, ge=0)
     factor: float = Field(5.0, ge=1)
-    way: Literal["both", "forward", "back"] = Field("both", description="of links: forward from limiter to server")
+    way: Literal["both", "forward", "back"] = Field(
+        "both", description="of links: forward from limiter to server"
+    )
     delay_s: float = Field(0.05, ge=0, description="delay_links: of each direction named")
 
 
@@ -153,7 +193,9 @@
 
     name: str
     duration_s: float = Field(60.0, gt=0)
-    settle_s: float = Field(0.0, ge=0, description="from the start, not counted in the shares that are compared")
+    settle_s: float = Field(
+        0.0, ge=0, description="from the start, not counted in the shares that are compared"
+    )
     seed: int = 1
     strict: bool = Field(False, description="stop at the first broken rule, with its trail")
     fleet: FleetSpec
@@ -194,7 +236,10 @@
     listen: Annotated[str, AfterValidator(endpoint)]
     period_s: float = Field(0.25, ge=0.05, le=10, description="between two probes; the same at all")
     signals: bool = Field(False, description="tell each other of sick servers (docs/operators/choices.md)")
-    subsets: bool = Field(False, description="use the servers that the fleet chose for this one; the same at all (docs/operators/choices.md)")
+    subsets: bool = Field(
+        False,
+        description="use the servers that the fleet chose for this one; the same at all (docs/operators/choices.md)",
+    )
     peers: list[PeerSpec] = Field(min_length=1, max_length=1024)
 
     @model_validator(mode="after")
@@ -211,9 +256,15 @@
 class RecoveryFile(Strict):
     """How a limiter tells a wiped, split or other counter (deploy/recovery.example.toml). Off unless the start file names it."""
 
-    beat_s: float = Field(1.0, ge=0.2, le=10, description="between two looks at the counter's register; the same at all")
-    missing_most: float = Field(0.1, ge=0, lt=1, description="share of the limiters that may be missing before quotas are parted")
-    ledger: str = Field("", description="path of the ledger's file, on a disk that lasts; empty: kept in memory alone")
+    beat_s: float = Field(
+        1.0, ge=0.2, le=10, description="between two looks at the counter's register; the same at all"
+    )
+    missing_most: float = Field(
+        0.1, ge=0, lt=1, description="share of the limiters that may be missing before quotas are parted"
+    )
+    ledger: str = Field(
+        "", description="path of the ledger's file, on a disk that lasts; empty: kept in memory alone"
+    )
 
 
 class MachineSpec(Strict):
@@ -236,32 +287,57 @@
 class PlanFile(Strict):
     """The operator's plan of work on machines (deploy/maintenance.example.toml). Off unless the start file names it."""
 
-    version: int = Field(ge=1, le=2 ** 40, description="raised with every change; two plans of one version are a conflict")
-    voters: list[str] = Field(min_length=1, max_length=9, description="limiters whose majority permits; the same in every version")
-    voters_next: list[str] = Field(default_factory=list, max_length=9, description="who votes instead, once the plan runs")
+    version: int = Field(
+        ge=1, le=2**40, description="raised with every change; two plans of one version are a conflict"
+    )
+    voters: list[str] = Field(
+        min_length=1, max_length=9, description="limiters whose majority permits; the same in every version"
+    )
+    voters_next: list[str] = Field(
+        default_factory=list, max_length=9, description="who votes instead, once the plan runs"
+    )
     most_out: int = Field(1, ge=1, le=16, description="machines out at once")
     most_zone: int = Field(1, ge=1, le=16, description="of one zone")
     capacity_least: float = Field(0.5, ge=0, lt=1, description="share of all capacity that must stay")
-    served_least: float = Field(0.0, ge=0, le=1, description="share of the fleet's API calls, below which the plan halts; 0: not looked at")
-    answer_most_s: float = Field(0.0, ge=0, description="mean time of an answer, above which it halts; 0: not looked at")
+    served_least: float = Field(
+        0.0,
+        ge=0,
+        le=1,
+        description="share of the fleet's API calls, below which the plan halts; 0: not looked at",
+    )
+    answer_most_s: float = Field(
+        0.0, ge=0, description="mean time of an answer, above which it halts; 0: not looked at"
+    )
     work_most_s: float = Field(3600.0, gt=0, description="that work on a machine may take")
-    start_within_s: float = Field(60.0, gt=0, description="from \"safe to work\" until the machine has to be gone from the list")
-    fill_s: float = Field(30.0, ge=0, description="that one that came back is filled before the next goes out")
+    start_within_s: float = Field(
+        60.0, gt=0, description='from "safe to work" until the machine has to be gone from the list'
+    )
+    fill_s: float = Field(
+        30.0, ge=0, description="that one that came back is filled before the next goes out"
+    )
     pause_s: float = Field(5.0, ge=0)
     resume: int = Field(0, ge=0, description="raised to go on after a halt at once")
     machines: list[MachineSpec] = Field(min_length=1, max_length=256)
 
     @model_validator(mode="after")
     def _each_once(self) -> "PlanFile":
-        for what, names in (("machine", [one.name for one in self.machines]), ("voter", self.voters),
-                            ("server", [name for one in self.machines for name in one.servers]),
-                            ("limiter", [one.limiter for one in self.machines if one.limiter])):
+        for what, names in (
+            ("machine", [one.name for one in self.machines]),
+            ("voter", self.voters),
+            ("server", [name for one in self.machines for name in one.servers]),
+            ("limiter", [one.limiter for one in self.machines if one.limiter]),
+        ):
             twice = next((one for one in names if names.count(one) > 1), None)
             if twice is not None:
                 raise ValueError(f"the {what} {twice} is there twice")
-        total, largest = sum(one.capacity for one in self.machines), max(one.capacity for one in self.machines)
+        total, largest = (
+            sum(one.capacity for one in self.machines),
+            max(one.capacity for one in self.machines),
+        )
         if total - largest < self.capacity_least * total:
-            raise ValueError(f"the largest machine can never go out: {total - largest:g} of {total:g} would be left")
+            raise ValueError(
+                f"the largest machine can never go out: {total - largest:g} of {total:g} would be left"
+            )
         return self
 
 
@@ -276,8 +352,12 @@
     limits: Limits = Limits()
     known: Any = None
     membership: str | None = Field(None, description="path of the file of peers; off where it is not named")
-    maintenance: str | None = Field(None, description="path of the plan of work; off where it is not named, and without peers")
-    recovery: str | None = Field(None, description="path of the file on the counter's recovery; off where it is not named")
+    maintenance: str | None = Field(
+        None, description="path of the plan of work; off where it is not named, and without peers"
+    )
+    recovery: str | None = Field(
+        None, description="path of the file on the counter's recovery; off where it is not named"
+    )
     settings: dict[str, Any]
 
     def start_json(self) -> dict:
--- a/brookhub/config/site.py
+++ b/brookhub/config/site.py
@@ -175,27 +175,69 @@
         """The settings of one of so many gateways, with the middle of each range."""
         tier, kind = self.tier[0], self.tier[0].kind[0]
         return {
-            "areas": list(self.net.zones), "kinds": [one.name for one in tier.kind], "balancers": gateways, "slot_no": 0, "zone": 0,
+            "areas": list(self.net.zones),
+            "kinds": [one.name for one in tier.kind],
+            "balancers": gateways,
+            "slot_no": 0,
+            "zone": 0,
             "membership_mode": {"push": "pushed", "ask": "on_request"}[self.discovery.mode],
             "classes": [class_settings(one) for one in self.classes],
-            "tariffs": [plan_settings(one.name, quota, self.fam.slack) for one, quota in zip(self.tenant, self.fam.plan)],
-            "extra": {"counter": self.fam.counter, "count_limit_s": self.fam.counter_timeout_ms / 1000,
-                      "largest": self.fam.most_units, "trued_up": self.fam.units == "after"},
-            "limits": {"max_attempts": self.allow.max_attempts, "cancel": self.allow.cancel,
-                       "second_copies": self.allow.second_copies, "retry_after": self.allow.retry_after,
-                       "max_retry_after_s": self.clients.max_retry_after_ms / 1000, "conn_idle_s": tier.conn.idle_s,
-                       "connect_timeout_s": tier.conn.connect_timeout_ms / 1000},
-            "invariants": {"cold_from": middle(kind.cold_from), "ramp_time_s": middle(kind.cold_s),
-                           "fall_multiple": self.rules.fall_multiple, "fall_s": self.rules.fall_ms / 1000}}
+            "tariffs": [
+                plan_settings(one.name, quota, self.fam.slack)
+                for one, quota in zip(self.tenant, self.fam.plan)
+            ],
+            "extra": {
+                "counter": self.fam.counter,
+                "count_limit_s": self.fam.counter_timeout_ms / 1000,
+                "largest": self.fam.most_units,
+                "trued_up": self.fam.units == "after",
+            },
+            "limits": {
+                "max_attempts": self.allow.max_attempts,
+                "cancel": self.allow.cancel,
+                "second_copies": self.allow.second_copies,
+                "retry_after": self.allow.retry_after,
+                "max_retry_after_s": self.clients.max_retry_after_ms / 1000,
+                "conn_idle_s": tier.conn.idle_s,
+                "connect_timeout_s": tier.conn.connect_timeout_ms / 1000,
+            },
+            "invariants": {
+                "cold_from": middle(kind.cold_from),
+                "ramp_time_s": middle(kind.cold_s),
+                "fall_multiple": self.rules.fall_multiple,
+                "fall_s": self.rules.fall_ms / 1000,
+            },
+        }
 
 
 def class_settings(one: RequestClass) -> dict[str, Any]:
     semantics = {"safe": "read_like", "keyed": "idempotency_key", "unsafe": "non_idempotent"}[one.effect]
-    return {"name": one.name, "slo_s": one.aim_ms / 1000, "hard_limit_s": one.deadline_ms / 1000, "semantics": semantics,
-            "key_scope": one.group, "window_s": one.window_ms / 1000, "importance": one.worth, "late_value": one.late_worth}
+    return {
+        "name": one.name,
+        "slo_s": one.aim_ms / 1000,
+        "hard_limit_s": one.deadline_ms / 1000,
+        "semantics": semantics,
+        "key_scope": one.group,
+        "window_s": one.window_ms / 1000,
+        "importance": one.worth,
+        "late_value": one.late_worth,
+    }
 
 
 def plan_settings(name: str, quota: Quota, slack: float) -> dict[str, Any]:
-    rate, burst, ceiling = middle(quota.rate), middle(quota.rate) * middle(quota.burst_s), middle(quota.ceiling)
-    return {"name": name, "refill": rate, "store_size": burst, "ceiling_rate": ceiling * rate, "cap_depth": ceiling * burst,
-            "tolerance": slack * ceiling * burst, "pays": quota.price, "excess_worth": quota.over_worth, "overrun_cost": quota.over_cost}
+    rate, burst, ceiling = (
+        middle(quota.rate),
+        middle(quota.rate) * middle(quota.burst_s),
+        middle(quota.ceiling),
+    )
+    return {
+        "name": name,
+        "refill": rate,
+        "store_size": burst,
+        "ceiling_rate": ceiling * rate,
+        "cap_depth": ceiling * burst,
+        "tolerance": slack * ceiling * burst,
+        "pays": quota.price,
+        "excess_worth": quota.over_worth,
+        "overrun_cost": quota.over_cost,
+    }
--- a/brookhub/drill/frames.py
+++ b/brookhub/drill/frames.py
@@ -26,8 +26,21 @@
     LAUNCH: struct.Struct("<IQII"),
 }
 
-(FORWARD, PUSH_BACK, LOSE, WITHDRAW, SET_ALARM, SOUND_OUT, FREE_LINKS, POST, TRACE, BUG, SUBSCRIBE, RELOAD,
- ADD_AND_GET) = range(16, 29)
+(
+    FORWARD,
+    PUSH_BACK,
+    LOSE,
+    WITHDRAW,
+    SET_ALARM,
+    SOUND_OUT,
+    FREE_LINKS,
+    POST,
+    TRACE,
+    BUG,
+    SUBSCRIBE,
+    RELOAD,
+    ADD_AND_GET,
+) = range(16, 29)
 ACTIONS = {
     FORWARD: struct.Struct("<BIQId"),
     PUSH_BACK: struct.Struct("<BIQd"),
@@ -57,7 +70,7 @@
             raise WireError(f"batch {number}: {count} records do not fit its {len(body)} bytes")
         self.number, self.clock = number, clock
         self._body, self._count = body, count
-        self._tail = body[count * RECORD_IN:]
+        self._tail = body[count * RECORD_IN :]
 
     def records(self) -> Iterator[tuple[int, tuple]]:
         for index in range(self._count):
@@ -71,7 +84,7 @@
     def tail(self, offset: int, length: int) -> memoryview:
         if offset + length > len(self._tail):
             raise WireError(f"batch {self.number}: bytes {offset}+{length} lie outside its tail")
-        return self._tail[offset:offset + length]
+        return self._tail[offset : offset + length]
 
     def entries(self, offset: int, count: int) -> list[tuple]:
         return list(ENTRY.iter_unpack(self.tail(offset, count * ENTRY.size)))
--- a/brookhub/drill/host.py
+++ b/brookhub/drill/host.py
@@ -13,8 +13,16 @@
 from . import frames
 from .frames import Batch, Reply, WireError
 
-OUTCOMES = {10: Outcome.OK, 20: Outcome.ERROR, 30: Outcome.FULL, 40: Outcome.TIMEOUT, 50: Outcome.UNCONNECTED,
-            60: Outcome.RESET, 70: Outcome.CANCELLED, 80: Outcome.UNSENT}
+OUTCOMES = {
+    10: Outcome.OK,
+    20: Outcome.ERROR,
+    30: Outcome.FULL,
+    40: Outcome.TIMEOUT,
+    50: Outcome.UNCONNECTED,
+    60: Outcome.RESET,
+    70: Outcome.CANCELLED,
+    80: Outcome.UNSENT,
+}
 STATES = {0: State.READY, 1: State.GONE, 2: State.DRAINING}
 DELTA, FULL, CACHED, FAILED = 0, 2, 3, 4
 REPEATED, WRITE = 2, 4
@@ -108,13 +116,32 @@
         if all(upstream.outcome for upstream in call.tries):
             self.calls.pop(call.id, None)
 
-    def arrival(self, ident: int, expires: float, units: float, plan: int, customer: int, spread: float,
-                first: float, bits: int, route: int) -> None:
+    def arrival(
+        self,
+        ident: int,
+        expires: float,
+        units: float,
+        plan: int,
+        customer: int,
+        spread: float,
+        first: float,
+        bits: int,
+        route: int,
+    ) -> None:
         if plan >= len(self.plans) or route >= len(self.routes):
             raise WireError(f"API call {ident}: plan {plan} or route {route} is not in the settings")
         payer = self.customers.find(customer, self.plans[plan])
-        call = ApiCall(ident, payer, self.routes[route], expires, units, max(1, round(spread)), round(first),
-                       bool(bits & REPEATED), bool(bits & WRITE))
+        call = ApiCall(
+            ident,
+            payer,
+            self.routes[route],
+            expires,
+            units,
+            max(1, round(spread)),
+            round(first),
+            bool(bits & REPEATED),
+            bool(bits & WRITE),
+        )
         self.calls[ident] = call
         self.gateway.arrived(call)
 
@@ -123,8 +150,19 @@
         if upstream:
             self.gateway.answer_began(upstream, took)
 
-    def try_end(self, ident: int, number: int, server: int, code: int, took: float, final: int, used: int,
-                charged: int, columns: int, *values: float) -> None:
+    def try_end(
+        self,
+        ident: int,
+        number: int,
+        server: int,
+        code: int,
+        took: float,
+        final: int,
+        used: int,
+        charged: int,
+        columns: int,
+        *values: float,
+    ) -> None:
         upstream = self.find(ident, number)
         if upstream is None:
             return
@@ -164,7 +202,9 @@
     def probed(self, code: int, server: int, took: float, columns: int, *values: float) -> None:
         if server in self.roster.servers:
             report = dict(zip(self.columns, values[:columns]))
-            self.gateway.probed(self.roster.servers[server], named(OUTCOMES, code, "probe outcome"), took, report)
+            self.gateway.probed(
+                self.roster.servers[server], named(OUTCOMES, code, "probe outcome"), took, report
+            )
 
     def server_list(self, scope: int, entries: list[tuple]) -> None:
         if scope == FAILED:
@@ -172,8 +212,10 @@
             return
         if scope not in (DELTA, FULL, CACHED):
             raise WireError(f"unknown scope {scope} of a server list")
-        told = self.roster.update([(*entry[:4], named(STATES, entry[4], "server state"), *entry[5:])
-                                   for entry in entries], scope != DELTA)
+        told = self.roster.update(
+            [(*entry[:4], named(STATES, entry[4], "server state"), *entry[5:]) for entry in entries],
+            scope != DELTA,
+        )
         self.gateway.servers_told(told)
 
 
--- a/brookhub/emulator/fleet.py
+++ b/brookhub/emulator/fleet.py
@@ -25,7 +25,11 @@
 from .rules import LATE, Referee
 from .world import Counter, Discovery, ServerModel, Servers
 
-REPEATS = {"idempotent": Repeat.IDEMPOTENT, "tokened": Repeat.TOKENED, "non_idempotent": Repeat.NON_IDEMPOTENT}
+REPEATS = {
+    "idempotent": Repeat.IDEMPOTENT,
+    "tokened": Repeat.TOKENED,
+    "non_idempotent": Repeat.NON_IDEMPOTENT,
+}
 GROUPS = {"all": Group.ALL, "zone": Group.ZONE, "cell": Group.CELL}
 LATENCY_MAX_US = 60_000_000  # the histogram's top: one minute, beyond any client timeout
 RESTART_AFTER = 1.0  # s a restarted limiter is away: a process start
@@ -61,17 +65,32 @@
     def metrics(self) -> dict:
         answered = max(1, self.calls - self.left)
         return {
-            "calls": self.calls, "proxied": self.proxied, "rate_limited": self.rate_limited,
-            "errored": self.errored, "lost": self.lost, "left": self.left, "open": self.open, "tries": self.tries,
-            "served_share": self.proxied / answered, "rate_limited_share": self.rate_limited / answered,
+            "calls": self.calls,
+            "proxied": self.proxied,
+            "rate_limited": self.rate_limited,
+            "errored": self.errored,
+            "lost": self.lost,
+            "left": self.left,
+            "open": self.open,
+            "tries": self.tries,
+            "served_share": self.proxied / answered,
+            "rate_limited_share": self.rate_limited / answered,
             "errored_share": (self.errored + self.lost) / answered,
             "p50_ms": self.latency.get_value_at_percentile(50) / 1000,
             "p99_ms": self.latency.get_value_at_percentile(99) / 1000,
-            "quota_overshoot": self.quota_overshoot, "worst_overshoot": self.worst_overshoot,
-            "ceiling_overshoot": self.ceiling_overshoot, "cold_falls": self.cold_falls, "sent_to_bad": self.sent_to_bad, "sent_to_cold": self.sent_to_cold,
-            "counter_calls": self.counter_calls, "events": self.events, "wall_s": round(self.wall_s, 3),
+            "quota_overshoot": self.quota_overshoot,
+            "worst_overshoot": self.worst_overshoot,
+            "ceiling_overshoot": self.ceiling_overshoot,
+            "cold_falls": self.cold_falls,
+            "sent_to_bad": self.sent_to_bad,
+            "sent_to_cold": self.sent_to_cold,
+            "counter_calls": self.counter_calls,
+            "events": self.events,
+            "wall_s": round(self.wall_s, 3),
             "events_per_s": round(self.events / self.wall_s) if self.wall_s else 0,
-            "broken": dict(self.broken), "first_break": self.first_break, "digest": self.digest,
+            "broken": dict(self.broken),
+            "first_break": self.first_break,
+            "digest": self.digest,
         }
 
 
@@ -88,7 +107,9 @@
         self.units += units
         plan = self.plan
         if plan.ceiling_rate:  # a fleet-wide store of the ceiling: what passes beyond it is overshoot
-            self.ceiling_level = min(plan.ceiling_burst, self.ceiling_level + (now - self.ceiling_at) * plan.ceiling_rate)
+            self.ceiling_level = min(
+                plan.ceiling_burst, self.ceiling_level + (now - self.ceiling_at) * plan.ceiling_rate
+            )
             self.ceiling_at = now
             self.ceiling_level -= units
             if self.ceiling_level < 0:
@@ -99,8 +120,13 @@
 class Fleet:
     """Builds the model from an Experiment and plays it; `referee` judges the rules at each event."""
 
-    def __init__(self, experiment: Experiment, seed: int | None = None, keep_trail: bool = True,
-                 decisions: ModuleType = policy):
+    def __init__(
+        self,
+        experiment: Experiment,
+        seed: int | None = None,
+        keep_trail: bool = True,
+        decisions: ModuleType = policy,
+    ):
         """`decisions`: the module whose Gateway each limiter runs (tests pass a broken copy)."""
         self.experiment = spec = experiment
         self.decisions = decisions
@@ -110,35 +136,91 @@
         self.referee = Referee(strict=experiment.strict, keep_trail=keep_trail)
         fleet = spec.fleet
         self.second_copies, self.grace = fleet.second_copies, fleet.grace_s
-        self.routes = [Route(one.name, one.target_s, one.client_timeout_s, REPEATS[one.repeat], GROUPS[one.group],
-                             one.window_s) for one in fleet.routes]
+        self.routes = [
+            Route(
+                one.name,
+                one.target_s,
+                one.client_timeout_s,
+                REPEATS[one.repeat],
+                GROUPS[one.group],
+                one.window_s,
+            )
+            for one in fleet.routes
+        ]
         self.route_weights = [one.share for one in fleet.routes]
-        self.plans = [Plan(one.name, one.rate, one.burst, one.open_cap, one.ceiling_rate, one.ceiling_burst,
-                           one.ceiling_slack, one.value, one.beyond_value, one.beyond_cost) for one in fleet.plans]
+        self.plans = [
+            Plan(
+                one.name,
+                one.rate,
+                one.burst,
+                one.open_cap,
+                one.ceiling_rate,
+                one.ceiling_burst,
+                one.ceiling_slack,
+                one.value,
+                one.beyond_value,
+                one.beyond_cost,
+            )
+            for one in fleet.plans
+        ]
         horizon = max(route.target for route in self.routes)
-        kinds = [(plan, one.calls_per_s * spec.load.scale) for plan, one in zip(self.plans, fleet.plans)
-                 for _ in range(one.customers)]
+        kinds = [
+            (plan, one.calls_per_s * spec.load.scale)
+            for plan, one in zip(self.plans, fleet.plans)
+            for _ in range(one.customers)
+        ]
         self.customers = [Customer(number, plan, rate, horizon) for number, (plan, rate) in enumerate(kinds)]
         self.weights = [customer.calls_per_s for customer in self.customers]
         self.rate = sum(self.weights)
         servers = fleet.servers
-        self.servers = Servers(self.engine, self.referee, random.Random(self.rng.getrandbits(64)), [
-            ServerModel(index, index % fleet.zones, (index // fleet.zones) % CELLS, servers.places, servers.queue,
-                        servers.service_s, servers.cold_from, servers.warm_after_s, servers.fall_multiple,
-                        servers.fall_for_s, servers.fall_within_s, up_since=-servers.warm_after_s - 1.0,
-                        error_share=servers.error_share)
-            for index in range(servers.count)])
+        self.servers = Servers(
+            self.engine,
+            self.referee,
+            random.Random(self.rng.getrandbits(64)),
+            [
+                ServerModel(
+                    index,
+                    index % fleet.zones,
+                    (index // fleet.zones) % CELLS,
+                    servers.places,
+                    servers.queue,
+                    servers.service_s,
+                    servers.cold_from,
+                    servers.warm_after_s,
+                    servers.fall_multiple,
+                    servers.fall_for_s,
+                    servers.fall_within_s,
+                    up_since=-servers.warm_after_s - 1.0,
+                    error_share=servers.error_share,
+                )
+                for index in range(servers.count)
+            ],
+        )
         self.next_server = servers.count
-        self.counter = Counter(self.engine, random.Random(self.rng.getrandbits(64)), fleet.counter.delay_s,
-                               fleet.counter.wait_s)
+        self.counter = Counter(
+            self.engine, random.Random(self.rng.getrandbits(64)), fleet.counter.delay_s, fleet.counter.wait_s
+        )
         self.discovery = Discovery(self.engine, fleet.list_delay_s)
         self.terms = {
-            "routes": self.routes, "plans": self.plans, "zone": 0, "slot": 0, "gateways": fleet.limiters,
-            "counter_wait": fleet.counter.wait_s if fleet.counter.on else 0.0, "largest": 1.0, "trued_up": False,
-            "max_tries": fleet.max_tries, "second_copies": fleet.second_copies, "may_cancel": fleet.may_cancel,
-            "longest_retry_after": fleet.longest_retry_after_s, "cold_from": servers.cold_from,
-            "warm_after": servers.warm_after_s, "fall_multiple": servers.fall_multiple, "fall_within": servers.fall_within_s,
-            "asks_for_servers": False, "ask_within": 10.0}
+            "routes": self.routes,
+            "plans": self.plans,
+            "zone": 0,
+            "slot": 0,
+            "gateways": fleet.limiters,
+            "counter_wait": fleet.counter.wait_s if fleet.counter.on else 0.0,
+            "largest": 1.0,
+            "trued_up": False,
+            "max_tries": fleet.max_tries,
+            "second_copies": fleet.second_copies,
+            "may_cancel": fleet.may_cancel,
+            "longest_retry_after": fleet.longest_retry_after_s,
+            "cold_from": servers.cold_from,
+            "warm_after": servers.warm_after_s,
+            "fall_multiple": servers.fall_multiple,
+            "fall_within": servers.fall_within_s,
+            "asks_for_servers": False,
+            "ask_within": 10.0,
+        }
         self.net = PeerNet(self.engine, self.seed) if fleet.membership.on else None
         self.heard: list[tuple] = []  # what recovery logged: (s, limiter, event, facts)
         self.kept: dict[int, Ledger | None] = {}  # ledgers on disks that last
@@ -156,7 +238,9 @@
 
     def launch(self, index: int) -> Seat:
         zones = self.experiment.fleet.zones
-        seat = Seat(self, index, index % zones, self.rng.getrandbits(63), {**self.terms, "zone": index % zones})
+        seat = Seat(
+            self, index, index % zones, self.rng.getrandbits(63), {**self.terms, "zone": index % zones}
+        )
         seat.servers(self.entries(), whole=True)
         if self.net:
             self.join(seat)
@@ -173,14 +257,23 @@
     def join(self, seat: Seat) -> None:
         """The limiter's membership: at the run's start all know each other, restarted ones begin with nothing."""
         spec, count = self.experiment.fleet.membership, self.experiment.fleet.limiters
-        seat.peer = peer = PeerSeat(self.net, f"n{seat.index}", told=lambda live, rank, sure: seat.gateway.fleet_told(
-            live, rank, sure if spec.hard_by == "sure" else live) or seat.recovery and seat.recovery.fleet(sure))
+        seat.peer = peer = PeerSeat(
+            self.net,
+            f"n{seat.index}",
+            told=lambda live, rank, sure: (
+                seat.gateway.fleet_told(live, rank, sure if spec.hard_by == "sure" else live)
+                or seat.recovery
+                and seat.recovery.fleet(sure)
+            ),
+        )
         signals = parts = None
         if spec.signals:
             turns = self.turns(seat)
             peer.on_changed = lambda member, state: turns.told(peer.core.present)
             peer.on_said = lambda source, topic, data: topic == TOPIC and signals.heard(source, unpack(data))
-        peer.core = Membership(peer, FLEET, peer.name, [f"n{index}" for index in range(count)], self.seed, spec.period_s)
+        peer.core = Membership(
+            peer, FLEET, peer.name, [f"n{index}" for index in range(count)], self.seed, spec.period_s
+        )
         if self.engine.now == 0.0:
             for member in peer.core.members.values():
                 member.state, member.incarnation = ALIVE, 0
@@ -229,8 +322,17 @@
         self.ident += 1
         payer = seat.customers.find(customer.id, customer.plan)
         # The customer's set is the whole fleet as its settings say, whoever lives: a front knows no better.
-        call = ApiCall(self.ident, payer, route, now + route.client_timeout, 1.0, len(self.seats), seat.index, repeated,
-                       route.repeat is not Repeat.IDEMPOTENT)
+        call = ApiCall(
+            self.ident,
+            payer,
+            route,
+            now + route.client_timeout,
+            1.0,
+            len(self.seats),
+            seat.index,
+            repeated,
+            route.repeat is not Repeat.IDEMPOTENT,
+        )
         call.who, call.token = customer, token or self.ident
         self.result.calls += 1
         self.started[call.id] = now
@@ -253,7 +355,9 @@
         now = self.engine.now
         self.referee.now = now
         self.referee.note("answer", seat.index, call.id, how)
-        if now > call.expires + LATE and seat.wakes > call.expires:  # it was stopped: it ends the connection instead
+        if (
+            now > call.expires + LATE and seat.wakes > call.expires
+        ):  # it was stopped: it ends the connection instead
             return self.lost(call)
         self.referee.answering(call, self.answered.get(call.id, False))
         self.answered[call.id] = True
@@ -274,7 +378,9 @@
         elif how == "rate-limited":
             result.rate_limited += 1
             if self.rng.random() < self.experiment.load.repeat_share:
-                self.engine.after(retry_after or 1.0, lambda: self.call(call.who, call.route, True, call.token))
+                self.engine.after(
+                    retry_after or 1.0, lambda: self.call(call.who, call.route, True, call.token)
+                )
         else:
             result.errored += 1
 
@@ -346,7 +452,9 @@
             engine.after(fault.for_s, self.counter.swap())
         elif action == "counter_late":
             self.counter.delay += fault.delay_s
-            engine.after(fault.for_s, lambda: setattr(self.counter, "delay", self.counter.delay - fault.delay_s))
+            engine.after(
+                fault.for_s, lambda: setattr(self.counter, "delay", self.counter.delay - fault.delay_s)
+            )
         elif action == "counter_split":
             self.counter.split(True)
             engine.after(fault.for_s, lambda: self.counter.split(False))
@@ -366,6 +474,7 @@
         def end() -> None:
             seat.kill()
             self.engine.after(RESTART_AFTER, lambda: self.restart(seat.index))
+
         self.engine.after(longest + 0.1, end)
 
     def hurt_peers(self, fault: FaultSpec) -> None:
@@ -376,12 +485,15 @@
             net.loss = net.doubled = net.reordered = fault.share
         else:
             side = {f"n{seat.index}" for seat in self.pick(self.seats, fault.share)}
-            net.apart = lambda a, b: (fault.way != "back" and a in side and b not in side) or (
-                fault.way != "forward" and b in side and a not in side)
+            net.apart = lambda a, b: (
+                (fault.way != "back" and a in side and b not in side)
+                or (fault.way != "forward" and b in side and a not in side)
+            )
 
         def heal() -> None:
             net.loss = net.doubled = net.reordered = 0.0
             net.apart = None
+
         self.engine.after(fault.for_s, heal)
 
     def unlose(self) -> None:
@@ -390,8 +502,15 @@
     def keep_off(self, index: int, servers: set[int]) -> None:
         """A plan of work has a limiter send nothing to these, whatever the list says."""
         seat = self.seats[index]
-        told = [(*entry[:4], State.DRAINING if entry[0] in servers and entry[4] is State.READY else entry[4], *entry[5:])
-                for entry in self.entries() if entry[0] in seat.off ^ servers]
+        told = [
+            (
+                *entry[:4],
+                State.DRAINING if entry[0] in servers and entry[4] is State.READY else entry[4],
+                *entry[5:],
+            )
+            for entry in self.entries()
+            if entry[0] in seat.off ^ servers
+        ]
         seat.off = set(servers)
         if seat.alive and told:
             seat.gateway.servers_told(seat.roster.update(told, whole=False))
@@ -406,9 +525,21 @@
         for model in drained:
             model.state = State.GONE
             if replace:
-                new = ServerModel(self.next_server, model.zone, model.cell, model.places, model.queue, model.service,
-                                  model.cold_from, model.warm_after, model.fall_multiple, model.fall_for,
-                                  model.fall_within, up_since=self.engine.now, error_share=model.error_share)
+                new = ServerModel(
+                    self.next_server,
+                    model.zone,
+                    model.cell,
+                    model.places,
+                    model.queue,
+                    model.service,
+                    model.cold_from,
+                    model.warm_after,
+                    model.fall_multiple,
+                    model.fall_for,
+                    model.fall_within,
+                    up_since=self.engine.now,
+                    error_share=model.error_share,
+                )
                 self.next_server += 1
                 self.servers.models[new.id] = new
                 fresh.append(new)
--- a/brookhub/emulator/limiter.py
+++ b/brookhub/emulator/limiter.py
@@ -41,9 +41,15 @@
 
     def __init__(self, fleet, index: int, zone: int, seed: int, terms: dict):
         self.fleet, self.engine, self.index, self.zone = fleet, fleet.engine, index, zone
-        self.alive, self.closing, self.wakes = True, False, 0.0  # while stalled nothing of it runs; what came waits, in order
+        self.alive, self.closing, self.wakes = (
+            True,
+            False,
+            0.0,
+        )  # while stalled nothing of it runs; what came waits, in order
         self.recovery: Recovery | None = None
-        self.peer = self.signals = None  # its membership's place and its part in the shared signals, where the fleet has them
+        self.peer = self.signals = (
+            None  # its membership's place and its part in the shared signals, where the fleet has them
+        )
         self.off: set[int] = set()  # servers that a plan of work keeps it off
         self.cut: dict[int, float] = {}  # servers that its links do not reach, each until when (s)
         self.roster, self.customers = Roster(), Customers()
@@ -107,8 +113,13 @@
 
     def recover(self, spec, limiters: int, ledger: Ledger | None) -> None:
         """Recovery between the decisions and the counter; its port is this seat."""
-        self.recovery = Recovery(Counted(self, random.Random(f"recovery/{self.fleet.seed}/{self.index}/{self.now}")), self.index, limiters,
-                                 RecoverySettings(spec.beat_s), ledger)
+        self.recovery = Recovery(
+            Counted(self, random.Random(f"recovery/{self.fleet.seed}/{self.index}/{self.now}")),
+            self.index,
+            limiters,
+            RecoverySettings(spec.beat_s),
+            ledger,
+        )
         self.recovery.start()
 
     def probe(self, server: Server) -> None:
@@ -144,13 +155,22 @@
 
     def servers(self, entries: list[tuple], whole: bool) -> None:
         if self.alive:
-            off = [(*entry[:4], State.DRAINING, *entry[5:]) if entry[0] in self.off and entry[4] is State.READY else entry
-                   for entry in entries]
+            off = [
+                (*entry[:4], State.DRAINING, *entry[5:])
+                if entry[0] in self.off and entry[4] is State.READY
+                else entry
+                for entry in entries
+            ]
             self.gateway.servers_told(self.roster.update(off, whole))
 
     def arrive(self, call: ApiCall) -> None:
-        if self.engine.now < self.wakes:  # it waits in the system; woken too late, its connection is ended unread
-            self.engine.at(self.wakes, lambda: self.arrive(call) if self.engine.now < call.expires else self.fleet.lost(call))
+        if (
+            self.engine.now < self.wakes
+        ):  # it waits in the system; woken too late, its connection is ended unread
+            self.engine.at(
+                self.wakes,
+                lambda: self.arrive(call) if self.engine.now < call.expires else self.fleet.lost(call),
+            )
             return
         if not self.alive:
             return self.fleet.lost(call)
--- a/brookhub/emulator/peers.py
+++ b/brookhub/emulator/peers.py
@@ -13,7 +13,10 @@
 from .engine import Engine
 
 HEADER = 28  # bytes of UDP and IPv4 heads
-DELAY, SPREAD = 0.0005, 0.001  # s that a datagram takes between two machines of a site: the least, and chance on top
+DELAY, SPREAD = (
+    0.0005,
+    0.001,
+)  # s that a datagram takes between two machines of a site: the least, and chance on top
 AFTER_TIMERS = 0.0001  # s after waking at which the datagrams that waited are read
 FLEET = "emulated"
 
@@ -44,8 +47,14 @@
     """One member's place: its MembershipPort. While stalled, timers and datagrams wait until it wakes; then the timers
     that are due come first and the datagrams after them, as where a loop looks at its timers before its sockets."""
 
-    def __init__(self, net: PeerNet, name: str, told=lambda live, rank, sure: None, changed=lambda member, state: None,
-                 said=lambda peer, topic, data: None):
+    def __init__(
+        self,
+        net: PeerNet,
+        name: str,
+        told=lambda live, rank, sure: None,
+        changed=lambda member, state: None,
+        said=lambda peer, topic, data: None,
+    ):
         self.net, self.engine, self.name, self.core = net, net.engine, name, None
         self.on_told, self.on_changed, self.on_said = told, changed, said
         self.alive, self.wakes = True, 0.0
@@ -77,6 +86,7 @@
                 self.core.received(source, decode(data, FLEET))
             except Unreadable as bad:
                 self.core.counts[bad.reason] += 1
+
         self.when_awake(take, AFTER_TIMERS)
 
     def told(self, live: int, rank: int, sure: int) -> None:
@@ -101,7 +111,9 @@
 
     FALSE_AGAIN = 10.0  # s in which one member's wrong deaths at many observers count as one
 
-    def __init__(self, count: int, seed: int = 1, protocol: str = "lifeguard", period: float = 0.25, warm: bool = True):
+    def __init__(
+        self, count: int, seed: int = 1, protocol: str = "lifeguard", period: float = 0.25, warm: bool = True
+    ):
         self.engine, self.protocol, self.period, self.seed = Engine(), protocol, period, seed
         self.net = PeerNet(self.engine, seed)
         self.rng = Random(f"crew/{seed}")
@@ -120,7 +132,9 @@
         if self.protocol == "heartbeat":
             seat.core = Heartbeats(seat, FLEET, name, peers, self.seed, self.period)
         else:
-            seat.core = Membership(seat, FLEET, name, peers, self.seed, self.period, self.protocol == "lifeguard")
+            seat.core = Membership(
+                seat, FLEET, name, peers, self.seed, self.period, self.protocol == "lifeguard"
+            )
         if warm:
             self.warm(seat.core)
         seat.core.start()
--- a/brookhub/emulator/rules.py
+++ b/brookhub/emulator/rules.py
@@ -54,8 +54,11 @@
         if now > call.expires + LATE:
             self.breaks(1, f"call {call.id} sent on after its client timeout")
         if drained_at is not None and now > drained_at + grace:
-            self.breaks(3, f"call {call.id} sent to server {server.id}, draining or gone since {drained_at:.3f}")
+            self.breaks(
+                3, f"call {call.id} sent to server {server.id}, draining or gone since {drained_at:.3f}"
+            )
         from ..policy import NEVER_RAN  # the decisions' own list of outcomes that prove nothing ran
+
         ran = [one for one in call.tries if one.outcome not in NEVER_RAN]
         if not second_copies and any(one.outcome is None for one in call.tries):
             self.breaks(2, f"call {call.id}: a second try out while second copies are off")
@@ -71,6 +74,7 @@
 
     def rate_limiting(self, call) -> None:
         from ..policy import NEVER_RAN
+
         ran = any(one.outcome not in NEVER_RAN for one in call.tries)
         safe = call.route.repeat is Repeat.IDEMPOTENT or call.route.group is Group.ALL
         if ran and not safe:
@@ -80,4 +84,6 @@
         if answered:
             self.breaks(1, f"call {call.id} answered twice")
         elif self.now > call.expires + LATE:
-            self.breaks(1, f"call {call.id} answered {self.now - call.expires:.3f} s after its client timeout")
+            self.breaks(
+                1, f"call {call.id} answered {self.now - call.expires:.3f} s after its client timeout"
+            )
--- a/brookhub/emulator/site.py
+++ b/brookhub/emulator/site.py
@@ -95,13 +95,26 @@
 
     `breaks`: what went wrong, in words; `ended`: s when the plan was done; `most`: machines out at once."""
 
-    def __init__(self, plan: Plan, limiters: int = 200, seed: int = 1, how: str = "agreed", work_s: float = 6.0, lease: float = 3.0,
-                 fleet=None, begins: float = 5.0):
+    def __init__(
+        self,
+        plan: Plan,
+        limiters: int = 200,
+        seed: int = 1,
+        how: str = "agreed",
+        work_s: float = 6.0,
+        lease: float = 3.0,
+        fleet=None,
+        begins: float = 5.0,
+    ):
         self.plan, self.how, self.work_s, self.fleet = plan, how, work_s, fleet
         self.engine = fleet.engine if fleet else Engine()
         self.rng = Random(f"site/{seed}")
         self.settings = Settings(lease=lease, ends_in=3.0, offer=0.5)
-        self.loss, self.side, self.gone = 0.0, set(), {}  # gone: limiter -> s since when; side: one side of a split
+        self.loss, self.side, self.gone = (
+            0.0,
+            set(),
+            {},
+        )  # gone: limiter -> s since when; side: one side of a split
         self.up = {one.name: True for one in plan.machines}
         self.listed_up = dict(self.up)
         self.working: set[str] = set()  # down for work, not by themselves
@@ -133,7 +146,11 @@
         mine = name in self.side
         key = f"{mine}"
         if key not in self.views:
-            self.views[key] = [other for other, seat in self.seats.items() if other not in self.gone and (other in self.side) == mine]
+            self.views[key] = [
+                other
+                for other, seat in self.seats.items()
+                if other not in self.gone and (other in self.side) == mine
+            ]
         return [other for other in self.views[key] if other != name]
 
     def told(self) -> None:
@@ -153,6 +170,7 @@
             seat.begin()
             self.gone.pop(name, None)
             self.told()
+
         self.engine.after(back_s, back)
 
     def gone_later(self, name: str) -> None:
@@ -163,6 +181,7 @@
             if seat.life == life and (not seat.alive or self.engine.now < seat.wakes):
                 self.gone[name] = self.engine.now
                 self.told()
+
         self.engine.after(DETECT, known)
 
     def stall(self, name: str, seconds: float) -> None:
@@ -173,6 +192,7 @@
         def woke() -> None:
             if self.engine.now >= seat.wakes and seat.alive and self.gone.pop(name, None) is not None:
                 self.told()
+
         self.engine.after(seconds + 0.01, woke)
 
     def split(self, side: set[str], seconds: float) -> None:
@@ -182,6 +202,7 @@
         def heal() -> None:
             self.side = set()
             self.told()
+
         self.engine.after(seconds, heal)
 
     def lose(self, share: float, seconds: float) -> None:
@@ -197,6 +218,7 @@
         def back() -> None:
             if machine not in self.working:  # who works on it brings it back
                 self.set_up(machine, True)
+
         self.engine.after(seconds, back)
 
     def faults(self, a_minute: float, until: float) -> None:
@@ -215,20 +237,26 @@
             elif what < 0.5:
                 self.stall(whom, 1 + 9 * chance.random())
             elif what < 0.65 and not self.side:
-                self.split(set(chance.sample(names, chance.randrange(1, len(names) // 2 + 1))), 3 + 9 * chance.random())
+                self.split(
+                    set(chance.sample(names, chance.randrange(1, len(names) // 2 + 1))),
+                    3 + 9 * chance.random(),
+                )
             elif what < 0.8:
                 self.lose(0.1 + 0.3 * chance.random(), 2 + 6 * chance.random())
             else:
                 self.fail(chance.choice(self.plan.machines).name, 3 + 9 * chance.random())
             self.engine.after(chance.expovariate(a_minute / 60), one)
+
         self.engine.after(chance.expovariate(a_minute / 60), one)
 
     # machines and the people who work on them
 
     def set_up(self, machine: str, up: bool, grace: float = GRACE) -> None:
         """Announce it to discovery, then do it."""
+
         def listed() -> None:
             self.listed_up[machine] = up
+
         servers = self.plan.machine(machine).servers
         self.engine.after(LIST, listed)
         if self.fleet:
@@ -245,8 +273,12 @@
                 model.state, model.drained_at = State.DRAINING, now
         fleet.discovery.changed(models)
         if not up:
-            self.engine.after(grace, lambda: [setattr(model, "mode", "dead") for model in models
-                                              if not self.up[self.machine_of(model)]])
+            self.engine.after(
+                grace,
+                lambda: [
+                    setattr(model, "mode", "dead") for model in models if not self.up[self.machine_of(model)]
+                ],
+            )
 
     def machine_of(self, model: ServerModel) -> str:
         return next(one.name for one in self.plan.machines if f"s-{model.id}" in one.servers)
@@ -294,24 +326,33 @@
 
     def held(self, name: str, machines: tuple[str, ...]) -> None:
         if self.fleet:
-            self.fleet.keep_off(int(name[1:]), {int(server[2:]) for one in machines for server in self.plan.machine(one).servers})
+            self.fleet.keep_off(
+                int(name[1:]),
+                {int(server[2:]) for one in machines for server in self.plan.machine(one).servers},
+            )
 
     def quiet(self, name: str, machine: Machine) -> bool:
         if not self.fleet:
             return True
         mine = {int(server[2:]) for server in machine.servers}
-        return not any(one.server.id in mine and one.outcome is None for call in self.fleet.seats[int(name[1:])].calls.values()
-                       for one in call.tries)
+        return not any(
+            one.server.id in mine and one.outcome is None
+            for call in self.fleet.seats[int(name[1:])].calls.values()
+            for one in call.tries
+        )
 
     # the baselines
 
     def timetable(self, number: int) -> None:
         """K machines at a time, at fixed times: as long as work and filling take at most, and a tenth."""
-        for one in self.plan.machines[number:number + self.plan.most_out]:
+        for one in self.plan.machines[number : number + self.plan.most_out]:
             self.begin(one.name)
         number += self.plan.most_out
         if number < len(self.plan.machines):
-            self.engine.after(1.1 * (GRACE + 1.25 * self.work_s + self.plan.start_within_s + self.plan.fill_s), lambda: self.timetable(number))
+            self.engine.after(
+                1.1 * (GRACE + 1.25 * self.work_s + self.plan.start_within_s + self.plan.fill_s),
+                lambda: self.timetable(number),
+            )
 
     def alone(self, name: str) -> None:
         """Each by its own view: the next machine, when fewer than K are out by the list."""
@@ -335,10 +376,15 @@
     def look(self) -> None:
         if self.how != "agreed":
             return
-        acting = [name for name in self.plan.voters if (seat := self.seats[name]).alive and seat.core.register
-                  and seat.core.register.acts(seat.now())]
+        acting = [
+            name
+            for name in self.plan.voters
+            if (seat := self.seats[name]).alive and seat.core.register and seat.core.register.acts(seat.now())
+        ]
         if len(acting) > 1:
             self.breaks.append(f"{self.engine.now:.1f} s: the permit in two hands: {acting}")
-        if not self.out and any(seat.alive and seat.core.register and seat.core.finished(seat.core.register.table)
-                                for seat in map(self.seats.get, self.plan.voters)):
+        if not self.out and any(
+            seat.alive and seat.core.register and seat.core.finished(seat.core.register.table)
+            for seat in map(self.seats.get, self.plan.voters)
+        ):
             self.ended = self.engine.now
--- a/brookhub/emulator/world.py
+++ b/brookhub/emulator/world.py
@@ -47,7 +47,9 @@
     sent: deque = field(default_factory=deque)  # times (s) of the tries sent while cold, over the last window
     falls: int = 0
     push: float = 0.0  # the most sent in a window while cold, as a share of what makes it fall
-    push_beside_chance: float = 0.0  # the same as a share of N + 2 x root of N + 2, N being what makes it fall
+    push_beside_chance: float = (
+        0.0  # the same as a share of N + 2 x root of N + 2, N being what makes it fall
+    )
 
     def entry(self) -> tuple:
         """As discovery tells it: (id, zone, kind, cell, state, weight, up since)."""
@@ -103,7 +105,9 @@
         model.busy[one] = (seat, now)
         if model.mode == "silent":
             return  # holds the place until the try is given up
-        took = self.rng.expovariate(1.0 / model.service) * (model.slow_factor if model.mode == "slow" else 1.0)
+        took = self.rng.expovariate(1.0 / model.service) * (
+            model.slow_factor if model.mode == "slow" else 1.0
+        )
         self.engine.after(took, lambda: self.finish(model, one))
 
     def finish(self, model: ServerModel, one) -> None:
@@ -134,15 +138,23 @@
     def fall(self, model: ServerModel) -> None:
         model.falls += 1
         now = self.engine.now
-        self.referee.breaks(4, f"cold server {model.id} pushed over: {len(model.sent)} sent in {model.fall_within} s "
-                               f"against {model.capacity(now) / model.service:.1f} calls/s")
+        self.referee.breaks(
+            4,
+            f"cold server {model.id} pushed over: {len(model.sent)} sent in {model.fall_within} s "
+            f"against {model.capacity(now) / model.service:.1f} calls/s",
+        )
         model.sent.clear()
         held = list(model.busy.items()) + [(one, (seat, 0.0)) for one, seat in model.waiting]
         model.busy.clear()
         model.waiting.clear()
         model.down_until = self.engine.now + model.fall_for
-        for one, (seat, _) in held:  # as events of their own: a fall seen inside Port.send must not end the try
-            self.engine.after(0.0, lambda one=one, seat=seat: seat.end_try(one, Outcome.RESET))  # before it returns
+        for one, (
+            seat,
+            _,
+        ) in held:  # as events of their own: a fall seen inside Port.send must not end the try
+            self.engine.after(
+                0.0, lambda one=one, seat=seat: seat.end_try(one, Outcome.RESET)
+            )  # before it returns
 
 
 class Keeper:
--- a/brookhub/lab/canvas.py
+++ b/brookhub/lab/canvas.py
@@ -10,6 +10,7 @@
 def panels(columns: int, size: tuple[float, float], rows: int = 1):
     """A figure of so many panels, `size` in inches, and its axes."""
     from matplotlib.figure import Figure
+
     figure = Figure(figsize=size)
     return figure, figure.subplots(rows, columns)
 
--- a/brookhub/lab/choices.py
+++ b/brookhub/lab/choices.py
@@ -20,13 +20,26 @@
 
 RESULTS = "choices.jsonl"
 GOLDEN = 0.6180339887  # of a circle, between numbers in turn (policy.GOLDEN)
-SIZES = [(4, 10), (10, 60), (40, 60), (40, 30), (100, 60), (200, 200), (200, 60), (1000, 60), (1000, 500), (40, 500)]
+SIZES = [
+    (4, 10),
+    (10, 60),
+    (40, 60),
+    (40, 30),
+    (100, 60),
+    (200, 200),
+    (200, 60),
+    (1000, 60),
+    (1000, 500),
+    (40, 500),
+]
 WAYS = ("stretch", "random", "matching")
 SPREAD = 2.0  # times as many more, of the matching: the smaller each part, the more even their sum (that many more connections)
 HOT, TIMES = 0.1, 4.0  # share of limiters that see more than the others, how many times the mean of those
 
 
-def subsets(way: str, limiters: list[int], servers: list[str], weights: list[float], each: int, key: int) -> dict[int, list]:
+def subsets(
+    way: str, limiters: list[int], servers: list[str], weights: list[float], each: int, key: int
+) -> dict[int, list]:
     """limiter -> its servers, chosen in that way."""
     if way == "matching":
         fleet = Subsets(limiters, key)
@@ -37,14 +50,19 @@
         fleet.listed(dict(zip(servers, weights)))
         return {one: [server for _, server in fleet.ranks[f"n{one}"][:each]] for one in limiters}
     ring = sorted(servers, key=lambda server: score(0, server))  # ids are hashes of names
-    return {one: [ring[(floor(one * GOLDEN % 1.0 * len(ring)) + step) % len(ring)] for step in range(each)] for one in limiters}
+    return {
+        one: [ring[(floor(one * GOLDEN % 1.0 * len(ring)) + step) % len(ring)] for step in range(each)]
+        for one in limiters
+    }
 
 
 def pairs(chosen: dict[int, list]) -> set[tuple]:
     return {(one, server) for one, own in chosen.items() for server in own}
 
 
-def balance(chosen: dict[int, list], servers: list[str], weights: list[float], load: dict[int, float]) -> tuple[float, float]:
+def balance(
+    chosen: dict[int, list], servers: list[str], weights: list[float], load: dict[int, float]
+) -> tuple[float, float]:
     """(limiters a server by weight, largest over mean; load a server by weight, largest over mean)."""
     count, carried = dict.fromkeys(servers, 0), dict.fromkeys(servers, 0.0)
     weight = dict(zip(servers, weights))
@@ -55,8 +73,10 @@
             carried[server] += load[one] * weight[server] / whole
     total = sum(weights)
     mean, mean_load = sum(count.values()) / total, sum(load.values()) / total
-    return (max(count[one] / weight[one] for one in servers) / mean,
-            max(carried[one] / weight[one] for one in servers) / mean_load)
+    return (
+        max(count[one] / weight[one] for one in servers) / mean,
+        max(carried[one] / weight[one] for one in servers) / mean_load,
+    )
 
 
 def play(job: dict) -> dict:
@@ -91,21 +111,44 @@
         churn["limiter"].append(len(base ^ after) / each)
         if each < many:
             gone = rng.randrange(many)
-            fewer, lighter = servers[:gone] + servers[gone + 1:], weights[:gone] + weights[gone + 1:]
+            fewer, lighter = servers[:gone] + servers[gone + 1 :], weights[:gone] + weights[gone + 1 :]
             after = pairs(subsets(way, limiters, fewer, lighter, each, key))
             lost = sum(server == servers[gone] for _, server in base)
             churn["server"].append(len(base ^ after) / max(1, 2 * lost))
-    return job | {"each": each, "limiters_a_server": even, "load_a_server": uneven, "load_even": loaded,
-                  "churn_limiter": sum(churn["limiter"]) / len(churn["limiter"]),
-                  "churn_server": sum(churn["server"]) / len(churn["server"]) if churn["server"] else None,
-                  "connections": len(base)}
-
-
-def measure(out: Path, seeds: list[int], moves: int = 6, processes: int | None = None, sizes=SIZES,
-            progress: Callable[[float], None] = lambda done: None) -> list[dict]:
+    return job | {
+        "each": each,
+        "limiters_a_server": even,
+        "load_a_server": uneven,
+        "load_even": loaded,
+        "churn_limiter": sum(churn["limiter"]) / len(churn["limiter"]),
+        "churn_server": sum(churn["server"]) / len(churn["server"]) if churn["server"] else None,
+        "connections": len(base),
+    }
+
+
+def measure(
+    out: Path,
+    seeds: list[int],
+    moves: int = 6,
+    processes: int | None = None,
+    sizes=SIZES,
+    progress: Callable[[float], None] = lambda done: None,
+) -> list[dict]:
     out.mkdir(parents=True, exist_ok=True)
-    jobs = [{"limiters": limiters, "servers": servers, "way": way, "weighted": weighted, "seed": seed, "moves": moves}
-            for limiters, servers in sizes for way in WAYS for weighted in (False, True) for seed in seeds]
+    jobs = [
+        {
+            "limiters": limiters,
+            "servers": servers,
+            "way": way,
+            "weighted": weighted,
+            "seed": seed,
+            "moves": moves,
+        }
+        for limiters, servers in sizes
+        for way in WAYS
+        for weighted in (False, True)
+        for seed in seeds
+    ]
     jobs.sort(key=lambda job: -job["limiters"] * job["servers"])
     rows = []
     context = multiprocessing.get_context("spawn")
@@ -119,9 +162,11 @@
 
 def table(rows: list[dict]) -> str:
     """Markdown: a line for each size and way, means over the seeds, the largest of the seeds in brackets."""
-    lines = ["| limiters, servers | each | way | limiters a server, largest over mean | the same, servers of weight 0.5 to 2 | "
-             "load, a tenth see 4 times | changed pairs, a limiter goes | a server goes | connections |",
-             "| --- | --- | --- | --- | --- | --- | --- | --- | --- |"]
+    lines = [
+        "| limiters, servers | each | way | limiters a server, largest over mean | the same, servers of weight 0.5 to 2 | "
+        "load, a tenth see 4 times | changed pairs, a limiter goes | a server goes | connections |",
+        "| --- | --- | --- | --- | --- | --- | --- | --- | --- |",
+    ]
     groups: dict[tuple, list[dict]] = {}
     for row in rows:
         groups.setdefault((row["limiters"], row["servers"], row["way"]), []).append(row)
@@ -129,26 +174,38 @@
     def show(values: list) -> str:
         values = [value for value in values if value is not None]
         return f"{sum(values) / len(values):.2f} ({max(values):.2f})" if values else "-"
+
     for (limiters, servers, way), own in sorted(groups.items()):
         plain, heavy = [row for row in own if not row["weighted"]], [row for row in own if row["weighted"]]
-        lines.append(f"| {limiters}, {servers} | {plain[0]['each']} | {way} | {show([row['limiters_a_server'] for row in plain])} | "
-                     f"{show([row['limiters_a_server'] for row in heavy])} | {show([row['load_a_server'] for row in plain])} | "
-                     f"{show([row['churn_limiter'] for row in plain])} | {show([row['churn_server'] for row in plain])} | "
-                     f"{plain[0]['connections']} |")
+        lines.append(
+            f"| {limiters}, {servers} | {plain[0]['each']} | {way} | {show([row['limiters_a_server'] for row in plain])} | "
+            f"{show([row['limiters_a_server'] for row in heavy])} | {show([row['load_a_server'] for row in plain])} | "
+            f"{show([row['churn_limiter'] for row in plain])} | {show([row['churn_server'] for row in plain])} | "
+            f"{plain[0]['connections']} |"
+        )
     return "\n".join(lines)
 
 
 def plot(rows: list[dict], png: Path) -> Path:
     figure, axes = panels(4, (17, 4))
-    shown = [("limiters_a_server", "limiters a server, largest / mean"), ("load_a_server", "load a server, largest / mean"),
-             ("churn_limiter", "changed pairs / least, a limiter goes"), ("churn_server", "changed pairs / least, a server goes")]
+    shown = [
+        ("limiters_a_server", "limiters a server, largest / mean"),
+        ("load_a_server", "load a server, largest / mean"),
+        ("churn_limiter", "changed pairs / least, a limiter goes"),
+        ("churn_server", "changed pairs / least, a server goes"),
+    ]
     sizes = sorted({(row["limiters"], row["servers"]) for row in rows})
     for axis, (key, title) in zip(axes, shown):
         for way in WAYS:
             points = []
             for number, (limiters, servers) in enumerate(sizes):
-                values = [row[key] for row in rows if (row["limiters"], row["servers"], row["way"]) == (limiters, servers, way)
-                          and not row["weighted"] and row[key] is not None]
+                values = [
+                    row[key]
+                    for row in rows
+                    if (row["limiters"], row["servers"], row["way"]) == (limiters, servers, way)
+                    and not row["weighted"]
+                    and row[key] is not None
+                ]
                 if values:
                     points.append((number, sum(values) / len(values)))
             axis.plot([x for x, _ in points], [y for _, y in points], marker="o", label=way)
--- a/brookhub/lab/compare.py
+++ b/brookhub/lab/compare.py
@@ -13,8 +13,12 @@
 ALLOWED = 0.05  # of all calls: the most that a share may differ
 
 
-def compare(experiment: Experiment, folder: Path, seeds: list[int],
-            progress: Callable[[float], None] = lambda done: None) -> list[dict]:
+def compare(
+    experiment: Experiment,
+    folder: Path,
+    seeds: list[int],
+    progress: Callable[[float], None] = lambda done: None,
+) -> list[dict]:
     """A row a seed: {"seed", "emulator", "processes" (metrics), "apart" (share -> difference), "within"}."""
     rows = []
     for number, seed in enumerate(seeds):
@@ -22,6 +26,13 @@
         with ProcessLab(experiment, folder / f"seed-{seed}", seed) as lab:
             played = lab.play(lambda done: progress((number + done) / len(seeds))).metrics()
         apart = {share: played[share] - emulated[share] for share in SHARES}
-        rows.append({"seed": seed, "emulator": emulated, "processes": played, "apart": apart,
-                     "within": all(abs(value) <= ALLOWED for value in apart.values())})
+        rows.append(
+            {
+                "seed": seed,
+                "emulator": emulated,
+                "processes": played,
+                "apart": apart,
+                "within": all(abs(value) <= ALLOWED for value in apart.values()),
+            }
+        )
     return rows
--- a/brookhub/lab/jobs.py
+++ b/brookhub/lab/jobs.py
@@ -17,8 +17,13 @@
     return jobs
 
 
-def play_all(path: Path, jobs: list[dict], play: Callable[[dict], dict], processes: int | None = None,
-             progress: Callable[[float], None] = lambda done: None) -> list[dict]:
+def play_all(
+    path: Path,
+    jobs: list[dict],
+    play: Callable[[dict], dict],
+    processes: int | None = None,
+    progress: Callable[[float], None] = lambda done: None,
+) -> list[dict]:
     """The rows of the jobs in `path` and of those not in it yet, which are played now (`play`: a module's function)."""
     path.parent.mkdir(parents=True, exist_ok=True)
     rows = []
@@ -27,7 +32,10 @@
             rows.append(json.loads(line))
     have = {row["key"] for row in rows}
     todo = [job for job in jobs if job["key"] not in have]
-    with open(path, "a") as sink, multiprocessing.get_context("spawn").Pool(processes or os.cpu_count()) as pool:
+    with (
+        open(path, "a") as sink,
+        multiprocessing.get_context("spawn").Pool(processes or os.cpu_count()) as pool,
+    ):
         for number, row in enumerate(pool.imap_unordered(play, todo)):
             rows.append(row)
             sink.write("\n" * (not number) + json.dumps(row, sort_keys=True) + "\n")
--- a/brookhub/lab/judge.py
+++ b/brookhub/lab/judge.py
@@ -12,7 +12,9 @@
 from ..stand_ins.server import Seen
 from .load import Asked
 
-SLACK = 0.25  # s beyond a time limit: 50 ms of the protocol page, the rest for this machine's threads under load
+SLACK = (
+    0.25  # s beyond a time limit: 50 ms of the protocol page, the rest for this machine's threads under load
+)
 RAN_NOT = ("turned away",)  # ends of a try that prove that nothing ran
 
 
@@ -26,7 +28,11 @@
     stalled: bool = False
 
     def touches(self, call: Asked) -> bool:
-        return call.limiter == self.limiter and self.since <= call.expires + SLACK and call.sent <= self.until + SLACK
+        return (
+            call.limiter == self.limiter
+            and self.since <= call.expires + SLACK
+            and call.sent <= self.until + SLACK
+        )
 
 
 @dataclass
@@ -37,17 +43,29 @@
     excused: int = 0
     use: dict[int, float] = field(default_factory=dict)  # units proxied, by customer
     sent_units: dict[int, float] = field(default_factory=dict)  # units of calls that reached a server
-    cold: dict[tuple[int, int], int] = field(default_factory=dict)  # (server, whole s of the run) -> sends while cold
+    cold: dict[tuple[int, int], int] = field(
+        default_factory=dict
+    )  # (server, whole s of the run) -> sends while cold
 
     def counts(self) -> dict[int, int]:
         return {rule: len(texts) for rule, texts in sorted(self.broken.items()) if texts}
 
     def first(self) -> str | None:
-        return next((f"rule {rule}: {texts[0]}" for rule, texts in sorted(self.broken.items()) if texts), None)
-
-
-def judge(experiment: Experiment, asked: list[Asked], seen: list[Seen], outages: list[Outage], falls: int,
-          zones: dict[int, tuple[int, int]], began: float, hurt=lambda limiter, server, at: False) -> Verdict:
+        return next(
+            (f"rule {rule}: {texts[0]}" for rule, texts in sorted(self.broken.items()) if texts), None
+        )
+
+
+def judge(
+    experiment: Experiment,
+    asked: list[Asked],
+    seen: list[Seen],
+    outages: list[Outage],
+    falls: int,
+    zones: dict[int, tuple[int, int]],
+    began: float,
+    hurt=lambda limiter, server, at: False,
+) -> Verdict:
     """`zones`: server -> (zone, cell). `hurt(limiter, server, at)`: whether that link was cut then (address, id, s):
     a server behind a cut does not hear that a try was given up."""
     verdict = Verdict()
@@ -61,7 +79,9 @@
     for one in sorted(seen, key=lambda one: one.at):
         tries[one.call].append(one)
         if one.drained_for is not None and one.drained_for > fleet.grace_s + SLACK:
-            verdict.broken[3].append(f"call {one.call} sent to server {one.server}, drained {one.drained_for:.2f} s before")
+            verdict.broken[3].append(
+                f"call {one.call} sent to server {one.server}, drained {one.drained_for:.2f} s before"
+            )
         if one.cold:
             key = (one.server, int(one.at - began))
             verdict.cold[key] = verdict.cold.get(key, 0) + 1
@@ -70,10 +90,18 @@
             call = calls[ident]
             verdict.sent_units[call.customer] = verdict.sent_units.get(call.customer, 0.0) + 1.0
             # A client that asks once more where its limiter was killed repeats the call itself: each asking is judged alone.
-            killed = [one.since for one in outages if one.limiter == call.before and not one.stalled
-                      and call.sent - SLACK <= one.since <= call.again]
-            for asking in ([one for one in own if one.at < call.again], [one for one in own if one.at >= call.again]) \
-                    if killed else (own,):
+            killed = [
+                one.since
+                for one in outages
+                if one.limiter == call.before
+                and not one.stalled
+                and call.sent - SLACK <= one.since <= call.again
+            ]
+            for asking in (
+                ([one for one in own if one.at < call.again], [one for one in own if one.at >= call.again])
+                if killed
+                else (own,)
+            ):
                 repeats(experiment, call, asking, zones, verdict, hurt)
     if falls:
         verdict.broken[4] += [f"a cold server was pushed over ({falls} in all)"] * falls
@@ -86,8 +114,10 @@
     if len(one.answers) > 1:
         verdict.broken[1].append(f"call {one.id} answered {len(one.answers)} times by n{one.limiter}")
     if one.answers and one.answers[0][0] > one.expires + SLACK:
-        verdict.broken[1].append(f"call {one.id} answered {one.answers[0][0] - one.expires:.2f} s after its client "
-                                 f"timeout by n{one.limiter}")
+        verdict.broken[1].append(
+            f"call {one.id} answered {one.answers[0][0] - one.expires:.2f} s after its client "
+            f"timeout by n{one.limiter}"
+        )
     elif not one.answers and one.end in ("closed", "none"):
         if away:
             verdict.excused += 1
@@ -95,19 +125,25 @@
             verdict.broken[1].append(f"call {one.id} lost by n{one.limiter} ({one.end})")
 
 
-def repeats(experiment: Experiment, call: Asked, tries: list[Seen], zones: dict, verdict: Verdict, hurt) -> None:
+def repeats(
+    experiment: Experiment, call: Asked, tries: list[Seen], zones: dict, verdict: Verdict, hurt
+) -> None:
     """Rule 2: no effect twice; one try out where second copies are off; no rate-limit after one that may have run."""
     fleet, broken = experiment.fleet, verdict.broken[2]
     route = fleet.routes[call.route]
     ran: list[Seen] = []
     for one in tries:
         if not fleet.second_copies:
-            for before in tries[:tries.index(one)]:
+            for before in tries[: tries.index(one)]:
                 out = before.how is None or before.ended > one.at + SLACK
                 if out and not hurt(before.limiter, before.server, one.at):
-                    broken.append(f"call {call.id}: a second try out at server {one.server} beside server {before.server}")
+                    broken.append(
+                        f"call {call.id}: a second try out at server {one.server} beside server {before.server}"
+                    )
         if ran and route.repeat == "non_idempotent":
-            broken.append(f"non-idempotent call {call.id} at server {one.server} after server {ran[0].server} may have run it")
+            broken.append(
+                f"non-idempotent call {call.id} at server {one.server} after server {ran[0].server} may have run it"
+            )
         elif ran and route.repeat == "tokened":
             first = ran[0]
             if one.at > first.at + route.window_s + SLACK:
--- a/brookhub/lab/load.py
+++ b/brookhub/lab/load.py
@@ -23,7 +23,11 @@
 REFUSED = 0.5  # s that the front leaves a limiter alone that refused a connection
 DIAL = 1.0  # s for a connection to a limiter to come up
 WORKERS = 600  # calls out at once at most; beyond that the generator itself would be late
-REPEATS = {"idempotent": Repeat.IDEMPOTENT, "tokened": Repeat.TOKENED, "non_idempotent": Repeat.NON_IDEMPOTENT}
+REPEATS = {
+    "idempotent": Repeat.IDEMPOTENT,
+    "tokened": Repeat.TOKENED,
+    "non_idempotent": Repeat.NON_IDEMPOTENT,
+}
 
 
 @dataclass(eq=False)
@@ -44,7 +48,9 @@
     ended: float = 0.0
     again: float = 0.0  # when its client asked once more, its connection having ended
     before: int = -1  # the limiter that it had asked before that
-    token: int = 0  # in a tokened route: the id of the call that its client asked first, where this one asks again
+    token: int = (
+        0  # in a tokened route: the id of the call that its client asked first, where this one asks again
+    )
 
 
 class Connection:
@@ -82,8 +88,11 @@
         fleet = experiment.fleet
         self.routes = fleet.routes
         self.route_weights = [one.share for one in fleet.routes]
-        self.customers = [(plan, one.calls_per_s * experiment.load.scale) for plan, one in enumerate(fleet.plans)
-                          for _ in range(one.customers)]
+        self.customers = [
+            (plan, one.calls_per_s * experiment.load.scale)
+            for plan, one in enumerate(fleet.plans)
+            for _ in range(one.customers)
+        ]
         self.weights = [rate for _, rate in self.customers]
         self.rate = sum(self.weights)
         self.asked: list[Asked] = []
@@ -125,10 +134,14 @@
             self.ident += 1
             now = monotonic()
             limiter = self.choose(now)
-            one = Asked(self.ident, customer, route, limiter, now, now + self.routes[route].client_timeout_s, repeated)
+            one = Asked(
+                self.ident, customer, route, limiter, now, now + self.routes[route].client_timeout_s, repeated
+            )
             one.token = token or one.id
             leaves = self.rng.random() < self.experiment.load.give_up_share
-            patience = self.routes[route].client_timeout_s * (0.2 + 0.7 * self.rng.random()) if leaves else 0.0
+            patience = (
+                self.routes[route].client_timeout_s * (0.2 + 0.7 * self.rng.random()) if leaves else 0.0
+            )
             self.asked.append(one)
             spare = self.idle > self.jobs.qsize()
             if not spare and self.workers < WORKERS:
@@ -167,10 +180,17 @@
         spec, plan = self.routes[one.route], self.experiment.fleet.plans[self.customers[one.customer][0]]
         reads = spec.repeat == "idempotent"
         key = f",k={one.token:016x}" if spec.repeat == "tokened" else ""
-        fields = (f"c={spec.name},t={plan.name},d={max(1, round((one.expires - monotonic()) * 1000))}{key}"
-                  f"{',r=1' if one.repeated else ''},units=1,spread={len(self.limiters)},first={one.limiter}")
-        return resp.command(b"CALL.GET" if reads else b"CALL.POST", b"%016x" % one.customer, b"%016x" % one.id,
-                            fields.encode(), *(() if reads else (b"",)))
+        fields = (
+            f"c={spec.name},t={plan.name},d={max(1, round((one.expires - monotonic()) * 1000))}{key}"
+            f"{',r=1' if one.repeated else ''},units=1,spread={len(self.limiters)},first={one.limiter}"
+        )
+        return resp.command(
+            b"CALL.GET" if reads else b"CALL.POST",
+            b"%016x" % one.customer,
+            b"%016x" % one.id,
+            fields.encode(),
+            *(() if reads else (b"",)),
+        )
 
     def connect(self, one: Asked) -> tuple[Connection | None, bool]:
         """A connection to its limiter, or to another where that refuses (the front has not handed it over yet)."""
@@ -202,7 +222,9 @@
             try:
                 conn.sock.settimeout(DIAL)
                 conn.sock.sendall(self.words(one))
-                conn.sock.settimeout(max(0.01, (one.sent + patience if patience else one.expires + OVERTIME) - monotonic()))
+                conn.sock.settimeout(
+                    max(0.01, (one.sent + patience if patience else one.expires + OVERTIME) - monotonic())
+                )
                 said = read_value(conn.lines)
             except TimeoutError:
                 one.end = "left" if patience else "none"
--- a/brookhub/lab/maintenance.py
+++ b/brookhub/lab/maintenance.py
@@ -41,11 +41,19 @@
         elif event == "plan taken":
             plan = f"version {line.get('version')}, digest {line.get('digest')}"
         elif event == "plan refused":
-            refused.append(f"version {line.get('version')}, digest {line.get('digest')} (held: {line.get('held')})")
+            refused.append(
+                f"version {line.get('version')}, digest {line.get('digest')} (held: {line.get('held')})"
+            )
         elif event in ("plan halted", "plan goes on"):
             halted = line.get("why", "") if event == "plan halted" else ""
         elif machine:
-            step = "safe to work on" if event.startswith("safe to") else "done" if event.startswith("done") else STEPS.get(event)
+            step = (
+                "safe to work on"
+                if event.startswith("safe to")
+                else "done"
+                if event.startswith("done")
+                else STEPS.get(event)
+            )
             if step:
                 machines[machine] = (step, at)
     told = [f"{name}  {step}  since {at}" for name, (step, at) in machines.items()]
@@ -74,7 +82,7 @@
         while not self.over.is_set():
             for place, one in enumerate(self.lab.limiters):
                 lines = one.lines()
-                for line in lines[self.read[place]:]:
+                for line in lines[self.read[place] :]:
                     self.heard(one, line)
                 self.read[place] = len(lines)
             sleep(0.05)
@@ -84,14 +92,18 @@
         hook: Callable | None = self.hooks.get(event.split(" ")[0])
         if hook:
             hook(limiter, line)
-        if event.startswith("safe to work on ") and not any(one[0] == machine and not one[2] for one in self.outs):
+        if event.startswith("safe to work on ") and not any(
+            one[0] == machine and not one[2] for one in self.outs
+        ):
             self.outs.append([machine, monotonic(), 0.0])
             threading.Thread(target=self.work, args=(self.outs[-1],), daemon=True).start()
 
     def work(self, out: list) -> None:
         try:
             servers = [one for one in self.machines[out[0]] if isinstance(one, int)]
-            limiters = [self.lab.limiters[int(one[1:])] for one in self.machines[out[0]] if isinstance(one, str)]
+            limiters = [
+                self.lab.limiters[int(one[1:])] for one in self.machines[out[0]] if isinstance(one, str)
+            ]
             self.lab.drain(servers)
             sleep(self.grace_s)
             for ident in servers:
@@ -127,16 +139,32 @@
 
 RESULTS = "maintenance.jsonl"
 MACHINES, SERVERS, LIMITERS, VOTERS = 12, 5, 200, 5
-WORK, FILL, BEGIN, START = 30.0, 10.0, 5.0, 10.0  # s: of work, of filling, until the plan is given, to start within
+WORK, FILL, BEGIN, START = (
+    30.0,
+    10.0,
+    5.0,
+    10.0,
+)  # s: of work, of filling, until the plan is given, to start within
 RATES, MOSTS, HOWS = (0, 2, 6, 20), (1, 2, 4), ("agreed", "timetable", "alone")  # faults a minute, K, ways
-LEAST_CYCLE = 0.8 * 0.05 * START + 0.2 * 0.5 * START + 1.0 + WORK + FILL  # s that a machine is out at least, in the mean
+LEAST_CYCLE = (
+    0.8 * 0.05 * START + 0.2 * 0.5 * START + 1.0 + WORK + FILL
+)  # s that a machine is out at least, in the mean
 
 
 def plan(most: int, machines: int = MACHINES, servers: int = SERVERS, zones: int = 3, **more) -> Plan:
-    made = tuple(Machine(f"m{n}", f"z{n % zones}", 1.0, tuple(f"s-{n * servers + k}" for k in range(servers)))
-                 for n in range(machines))
-    return Plan(1, made, tuple(f"n{n}" for n in range(VOTERS)), most_out=most, most_zone=max(1, most - 1), capacity_least=0.5,
-                **{"start_within_s": START, "fill_s": FILL, "pause_s": 0.0, **more})
+    made = tuple(
+        Machine(f"m{n}", f"z{n % zones}", 1.0, tuple(f"s-{n * servers + k}" for k in range(servers)))
+        for n in range(machines)
+    )
+    return Plan(
+        1,
+        made,
+        tuple(f"n{n}" for n in range(VOTERS)),
+        most_out=most,
+        most_zone=max(1, most - 1),
+        capacity_least=0.5,
+        **{"start_within_s": START, "fill_s": FILL, "pause_s": 0.0, **more},
+    )
 
 
 def jobs(seeds: int) -> list[dict]:
@@ -146,11 +174,26 @@
         most, rate = MOSTS[number % 3], RATES[1 + number // 3 % 3]
         made.append({"what": "plan", "how": "agreed", "most": most, "rate": rate, "seed": number})
     for how in HOWS:
-        made += [{"what": "plan", "how": how, "most": most, "rate": rate, "seed": 10_000 + seed}
-                 for most in MOSTS for rate in RATES for seed in range(6) if how != "agreed" or rate == 0]
-    made += [{"what": "served", "how": how, "most": most, "rate": rate, "seed": seed}
-             for how, most in (("none", 0), ("agreed", 1), ("agreed", 2), ("agreed", 4), ("timetable", 2), ("alone", 2))
-             for rate in (0, 6) for seed in (1, 2, 3)]
+        made += [
+            {"what": "plan", "how": how, "most": most, "rate": rate, "seed": 10_000 + seed}
+            for most in MOSTS
+            for rate in RATES
+            for seed in range(6)
+            if how != "agreed" or rate == 0
+        ]
+    made += [
+        {"what": "served", "how": how, "most": most, "rate": rate, "seed": seed}
+        for how, most in (
+            ("none", 0),
+            ("agreed", 1),
+            ("agreed", 2),
+            ("agreed", 4),
+            ("timetable", 2),
+            ("alone", 2),
+        )
+        for rate in (0, 6)
+        for seed in (1, 2, 3)
+    ]
     return sorted(keyed(made), key=lambda job: (job["what"] != "served", job["seed"]))
 
 
@@ -176,12 +219,24 @@
         site = Site(one, 40, job["seed"], job["how"], 6.0, fleet=fleet)
         site.faults(job["rate"], 60.0)
     metrics = fleet.run().metrics()
-    figures = {"served": metrics["served_share"], "errored": metrics["errored_share"], "broken": metrics["broken"]}
-    return figures | ({"done": len(site.done), "breaks": len(site.breaks), "most_seen": site.most} if job["how"] != "none" else {})
-
-
-def measure(folder: Path, seeds: int, processes: int | None = None,
-            progress: Callable[[float], None] = lambda done: None) -> list[dict]:
+    figures = {
+        "served": metrics["served_share"],
+        "errored": metrics["errored_share"],
+        "broken": metrics["broken"],
+    }
+    return figures | (
+        {"done": len(site.done), "breaks": len(site.breaks), "most_seen": site.most}
+        if job["how"] != "none"
+        else {}
+    )
+
+
+def measure(
+    folder: Path,
+    seeds: int,
+    processes: int | None = None,
+    progress: Callable[[float], None] = lambda done: None,
+) -> list[dict]:
     """Play what is not in the folder yet; all rows."""
     return play_all(folder / RESULTS, jobs(seeds), play, processes, progress)
 
@@ -193,25 +248,41 @@
 
 def table(rows: list[dict]) -> str:
     """Markdown: plans by way, K and rate of faults; served share by way and K."""
-    lines = ["| way | K | faults a minute | runs | not ended | broke the plan | most out | s in the mean (worst) | over the least |",
-             "| --- " * 9 + "|"]
+    lines = [
+        "| way | K | faults a minute | runs | not ended | broke the plan | most out | s in the mean (worst) | over the least |",
+        "| --- " * 9 + "|",
+    ]
     for how in HOWS:
         for most in MOSTS:
             for rate in RATES:
-                own = [row for row in rows if row["what"] == "plan" and (row["how"], row["most"], row["rate"]) == (how, most, rate)]
+                own = [
+                    row
+                    for row in rows
+                    if row["what"] == "plan" and (row["how"], row["most"], row["rate"]) == (how, most, rate)
+                ]
                 times = [row["ended"] for row in own if row["ended"]]
                 if own:
                     mean = sum(times) / max(1, len(times))
-                    lines.append(f"| {how} | {most} | {rate} | {len(own)} | {len(own) - len(times)} | "
-                                 f"{sum(row['breaks'] > 0 for row in own)} | {max(row['most_seen'] for row in own)} | "
-                                 f"{mean:.0f} ({max(times, default=0):.0f}) | {mean / least(most):.2f} |")
-    lines += ["", "| way | K | faults a minute | served (least, most) | errored | machines done | broke the plan |", "| --- " * 7 + "|"]
+                    lines.append(
+                        f"| {how} | {most} | {rate} | {len(own)} | {len(own) - len(times)} | "
+                        f"{sum(row['breaks'] > 0 for row in own)} | {max(row['most_seen'] for row in own)} | "
+                        f"{mean:.0f} ({max(times, default=0):.0f}) | {mean / least(most):.2f} |"
+                    )
+    lines += [
+        "",
+        "| way | K | faults a minute | served (least, most) | errored | machines done | broke the plan |",
+        "| --- " * 7 + "|",
+    ]
     for key in sorted({(row["how"], row["most"], row["rate"]) for row in rows if row["what"] == "served"}):
-        own = [row for row in rows if row["what"] == "served" and (row["how"], row["most"], row["rate"]) == key]
+        own = [
+            row for row in rows if row["what"] == "served" and (row["how"], row["most"], row["rate"]) == key
+        ]
         shares = [row["served"] for row in own]
-        lines.append(f"| {key[0]} | {key[1]} | {key[2]} | {sum(shares) / len(shares):.4f} ({min(shares):.4f}, {max(shares):.4f}) | "
-                     f"{sum(row['errored'] for row in own) / len(own):.4f} | {min(row.get('done', 0) for row in own)} | "
-                     f"{sum(row.get('breaks', 0) > 0 for row in own)} |")
+        lines.append(
+            f"| {key[0]} | {key[1]} | {key[2]} | {sum(shares) / len(shares):.4f} ({min(shares):.4f}, {max(shares):.4f}) | "
+            f"{sum(row['errored'] for row in own) / len(own):.4f} | {min(row.get('done', 0) for row in own)} | "
+            f"{sum(row.get('breaks', 0) > 0 for row in own)} |"
+        )
     return "\n".join(lines)
 
 
@@ -222,8 +293,13 @@
         for how, mark in (("agreed", "o-"), ("timetable", "s--")):
             means = []
             for rate in RATES:
-                times = [row["ended"] for row in rows if row["what"] == "plan" and row["ended"]
-                         and (row["how"], row["most"], row["rate"]) == (how, most, rate)]
+                times = [
+                    row["ended"]
+                    for row in rows
+                    if row["what"] == "plan"
+                    and row["ended"]
+                    and (row["how"], row["most"], row["rate"]) == (how, most, rate)
+                ]
                 means.append(sum(times) / len(times) / least(most) if times else None)
             left.plot(RATES, means, mark, color=f"C{place}", label=f"{how}, K {most}")
     left.set_xlabel("faults a minute")
@@ -233,9 +309,16 @@
     keys = sorted({(row["how"], row["most"]) for row in served})
     for offset, rate in enumerate(sorted({row["rate"] for row in served})):
         for place, key in enumerate(keys):
-            own = [row["served"] for row in served if (row["how"], row["most"]) == key and row["rate"] == rate]
-            right.plot([place + 0.2 * offset] * len(own), own, "o", color=f"C{offset}",
-                       label=f"{rate} faults a minute" if not place else None)
+            own = [
+                row["served"] for row in served if (row["how"], row["most"]) == key and row["rate"] == rate
+            ]
+            right.plot(
+                [place + 0.2 * offset] * len(own),
+                own,
+                "o",
+                color=f"C{offset}",
+                label=f"{rate} faults a minute" if not place else None,
+            )
     right.set_xticks(range(len(keys)), [f"{how}\nK {most}" for how, most in keys], fontsize=7)
     right.set_title("served share")
     right.legend(fontsize=7)
--- a/brookhub/lab/membership.py
+++ b/brookhub/lab/membership.py
@@ -30,8 +30,15 @@
             if protocol == "heartbeat" and members > HEARTBEAT_MOST:
                 continue
             beats = protocol == "heartbeat" and members > 40
-            made.append({"what": "quiet", "members": members, "protocol": protocol, "seed": seeds[0],
-                         "seconds": 4.0 if beats else 30.0 if members <= 200 else 10.0})
+            made.append(
+                {
+                    "what": "quiet",
+                    "members": members,
+                    "protocol": protocol,
+                    "seed": seeds[0],
+                    "seconds": 4.0 if beats else 30.0 if members <= 200 else 10.0,
+                }
+            )
             for seed in seeds[:1] if beats or members > 200 else seeds:
                 made.append({"what": "death", "members": members, "protocol": protocol, "seed": seed})
             for seed in seeds[:1] if members > 200 else seeds:
@@ -42,9 +49,18 @@
         for protocol in ("lifeguard", "swim", "heartbeat"):
             if protocol != "heartbeat" or seed == seeds[0]:
                 short = 10.0 if protocol == "heartbeat" else hour
-                made.append({"what": "loss", "members": large, "protocol": protocol, "seed": seed, "seconds": short})
-                made.append({"what": "stalls", "members": large, "protocol": protocol, "seed": seed,
-                             "seconds": 30.0 if protocol == "heartbeat" else hour})
+                made.append(
+                    {"what": "loss", "members": large, "protocol": protocol, "seed": seed, "seconds": short}
+                )
+                made.append(
+                    {
+                        "what": "stalls",
+                        "members": large,
+                        "protocol": protocol,
+                        "seed": seed,
+                        "seconds": 30.0 if protocol == "heartbeat" else hour,
+                    }
+                )
     for job in made:
         job["key"] = json.dumps(job, sort_keys=True)
     return sorted(made, key=lambda job: -job["members"] * job.get("seconds", 10.0))  # the longest first
@@ -53,13 +69,17 @@
 def play(job: dict) -> dict:
     """One job's row; the names of the figures are those that `plot` and the tables read."""
     crew, members = Crew(job["members"], job["seed"], job["protocol"]), job["members"]
-    return job | {"quiet": quiet, "death": death, "heal": heal, "loss": loss, "stalls": stalls}[job["what"]](crew, job, members)
+    return job | {"quiet": quiet, "death": death, "heal": heal, "loss": loss, "stalls": stalls}[job["what"]](
+        crew, job, members
+    )
 
 
 def rate(crew: Crew, members: int, seconds: float, before: tuple[int, int] = (0, 0)) -> dict:
     datagrams, size = crew.sent()
-    return {"datagrams_per_s": (datagrams - before[0]) / members / seconds,
-            "bytes_per_s": (size - before[1]) / members / seconds}
+    return {
+        "datagrams_per_s": (datagrams - before[0]) / members / seconds,
+        "bytes_per_s": (size - before[1]) / members / seconds,
+    }
 
 
 def quiet(crew: Crew, job: dict, members: int) -> dict:
@@ -90,37 +110,56 @@
 
 def heal(crew: Crew, job: dict, members: int) -> dict:
     crew.run(3.0)
-    side = set(crew.names[:members // 2])
+    side = set(crew.names[: members // 2])
     crew.net.apart = lambda a, b: (a in side) != (b in side)
     crew.run(20.0)
     crew.net.apart = None
     began, before = crew.engine.now, crew.sent()
     while not crew.agree() and crew.engine.now - began < 30.0:
         crew.run(0.1)
-    return {"agree_s": crew.engine.now - began, "agreed": crew.agree(),
-            "bytes_to_agree": (crew.sent()[1] - before[1]) / members}
+    return {
+        "agree_s": crew.engine.now - began,
+        "agreed": crew.agree(),
+        "bytes_to_agree": (crew.sent()[1] - before[1]) / members,
+    }
 
 
 def loss(crew: Crew, job: dict, members: int) -> dict:
     crew.net.loss = 0.1
     crew.run(job["seconds"])
-    return {"false_per_hour": crew.false * 3600 / job["seconds"], "false": crew.false, "observed": crew.observed,
-            **rate(crew, members, job["seconds"])}
+    return {
+        "false_per_hour": crew.false * 3600 / job["seconds"],
+        "false": crew.false,
+        "observed": crew.observed,
+        **rate(crew, members, job["seconds"]),
+    }
 
 
 def stalls(crew: Crew, job: dict, members: int) -> dict:
     def stall(name: str) -> None:
         crew.stall(name, STALL)
         crew.engine.after(STALL + crew.rng.expovariate(1 / RUNS), lambda: stall(name))
+
     for name in crew.rng.sample(crew.names, max(1, round(STALLED * members))):
         crew.engine.after(crew.rng.expovariate(1 / RUNS), lambda name=name: stall(name))
     crew.run(job["seconds"])
-    return {"false_per_hour": crew.false * 3600 / job["seconds"], "false": crew.false, "observed": crew.observed,
-            "stalled_deaths": crew.stalled_deaths, **rate(crew, members, job["seconds"])}
-
-
-def on_processes(folder: Path, seed: int, limiters: int = 8, quiet_s: float = 10.0, split_s: float = 8.0,
-                 loss_s: float = 30.0) -> dict:
+    return {
+        "false_per_hour": crew.false * 3600 / job["seconds"],
+        "false": crew.false,
+        "observed": crew.observed,
+        "stalled_deaths": crew.stalled_deaths,
+        **rate(crew, members, job["seconds"]),
+    }
+
+
+def on_processes(
+    folder: Path,
+    seed: int,
+    limiters: int = 8,
+    quiet_s: float = 10.0,
+    split_s: float = 8.0,
+    loss_s: float = 30.0,
+) -> dict:
     """The same on processes of the program over loopback, under a light load: times from the log lines of all
     limiters (s), cost from the relays' counts. A figure is None where it was not reached in 15 s."""
     from datetime import datetime
@@ -128,11 +167,21 @@
 
     from ..config.models import Experiment
     from .processes import ProcessLab
-    spec = Experiment.model_validate({
-        "name": "membership", "duration_s": 600.0, "seed": seed,
-        "fleet": {"limiters": limiters, "membership": {"on": True}, "servers": {"count": 6},
-                  "routes": [{"name": "look", "target_s": 0.5, "client_timeout_s": 2.0}],
-                  "plans": [{"name": "wide", "rate": 200, "burst": 400, "customers": 4, "calls_per_s": 10}]}})
+
+    spec = Experiment.model_validate(
+        {
+            "name": "membership",
+            "duration_s": 600.0,
+            "seed": seed,
+            "fleet": {
+                "limiters": limiters,
+                "membership": {"on": True},
+                "servers": {"count": 6},
+                "routes": [{"name": "look", "target_s": 0.5, "client_timeout_s": 2.0}],
+                "plans": [{"name": "wide", "rate": 200, "burst": 400, "customers": 4, "calls_per_s": 10}],
+            },
+        }
+    )
 
     def lines(one) -> list[dict]:
         return [line for line in one.lines() if line["event"] == "fleet"]
@@ -144,11 +193,15 @@
         """s until the last of all `living` first logged a line after `began` (now) that `holds`."""
         began, end = began or time(), monotonic() + within
         while monotonic() < end:
-            first = [min((when(line) for line in lines(one) if when(line) >= began and holds(line)), default=None) for one in living]
+            first = [
+                min((when(line) for line in lines(one) if when(line) >= began and holds(line)), default=None)
+                for one in living
+            ]
             if all(at is not None for at in first):
                 return max(first) - began
             sleep(0.1)
         return None
+
     row = {"what": "processes", "members": limiters, "protocol": "lifeguard", "seed": seed}
     with ProcessLab(spec, folder, seed) as lab:
         lab.start()
@@ -156,8 +209,14 @@
         ways = lab.mesh.ways.values()
         before = (sum(way.packets for way in ways), sum(way.bytes for way in ways))
         sleep(quiet_s)
-        datagrams, size = (sum(way.packets for way in ways) - before[0], sum(way.bytes for way in ways) - before[1])
-        row |= {"datagrams_per_s": datagrams / limiters / quiet_s, "bytes_per_s": (size + 28 * datagrams) / limiters / quiet_s}
+        datagrams, size = (
+            sum(way.packets for way in ways) - before[0],
+            sum(way.bytes for way in ways) - before[1],
+        )
+        row |= {
+            "datagrams_per_s": datagrams / limiters / quiet_s,
+            "bytes_per_s": (size + 28 * datagrams) / limiters / quiet_s,
+        }
         victim, rest = lab.limiters[3], [one for one in lab.limiters if one.index != 3]
         victim.process.kill()
         row["all_s"] = reached(lambda line: "n3 dead" in line["absent"], rest)
@@ -168,7 +227,7 @@
         lab.wait_ready(victim)
         row["back_s"] = reached(lambda line: line["present"] == limiters, rest, began=started)
         sleep(2.0)
-        lab.split(lab.limiters[:limiters // 2], True)
+        lab.split(lab.limiters[: limiters // 2], True)
         sleep(split_s)
         lab.split([], False)
         row["agree_s"] = reached(lambda line: line["present"] == limiters, lab.limiters)
@@ -176,14 +235,24 @@
         lab.mesh.every(loss=0.1, duplicate=0.1, reorder=0.1)
         began = time()
         sleep(loss_s)
-        row["false"] = sum(any(" dead" in text for text in line["absent"]) for one in lab.limiters for line in lines(one)
-                           if when(line) > began)
+        row["false"] = sum(
+            any(" dead" in text for text in line["absent"])
+            for one in lab.limiters
+            for line in lines(one)
+            if when(line) > began
+        )
         row["seconds"] = loss_s
     return row
 
 
-def measure(out: Path, seeds: list[int], hour: float, processes: int | None = None, sizes=SIZES,
-            progress: Callable[[float], None] = lambda done: None) -> list[dict]:
+def measure(
+    out: Path,
+    seeds: list[int],
+    hour: float,
+    processes: int | None = None,
+    sizes=SIZES,
+    progress: Callable[[float], None] = lambda done: None,
+) -> list[dict]:
     """Play what is not yet in `out`; returns all rows."""
     out.mkdir(parents=True, exist_ok=True)
     path = out / RESULTS
@@ -192,7 +261,10 @@
     wanted = jobs(seeds, hour, sizes)
     todo = [job for job in wanted if job["key"] not in have]
     context = multiprocessing.get_context("spawn")
-    with open(path, "a") as sink, context.Pool(min(processes or os.cpu_count() or 1, max(1, len(todo)))) as pool:
+    with (
+        open(path, "a") as sink,
+        context.Pool(min(processes or os.cpu_count() or 1, max(1, len(todo)))) as pool,
+    ):
         for number, row in enumerate(pool.imap_unordered(play, todo)):
             sink.write(json.dumps(row, sort_keys=True) + "\n")
             sink.flush()
@@ -225,7 +297,12 @@
         groups.setdefault((row["what"], row["members"], row["protocol"]), []).append(row)
 
     def span(values: list[float], digits: int = 2) -> str:
-        return f"{mean(values):.{digits}f} ({min(values):.{digits}f} to {max(values):.{digits}f})" if values else "never"
+        return (
+            f"{mean(values):.{digits}f} ({min(values):.{digits}f} to {max(values):.{digits}f})"
+            if values
+            else "never"
+        )
+
     for (what, members, protocol), own in sorted(groups.items()):
         if what == "death":
             half, everyone = ([value for row in own for value in row[name]] for name in ("half_s", "all_s"))
@@ -236,9 +313,11 @@
             text = f"{span([row['bytes_per_s'] for row in own], 0)} B/s, {span([row['datagrams_per_s'] for row in own], 1)} datagrams/s a member"
         else:
             hours = sum(row["seconds"] for row in own) / 3600
-            text = (f"{sum(row['false'] for row in own)} false in {hours:.2f} h "
-                    f"({sum(row['false'] for row in own) / hours:.1f} an hour; {sum(row['observed'] for row in own)} at single observers); "
-                    f"{span([row['bytes_per_s'] for row in own], 0)} B/s a member")
+            text = (
+                f"{sum(row['false'] for row in own)} false in {hours:.2f} h "
+                f"({sum(row['false'] for row in own) / hours:.1f} an hour; {sum(row['observed'] for row in own)} at single observers); "
+                f"{span([row['bytes_per_s'] for row in own], 0)} B/s a member"
+            )
         lines.append(f"| {what} | {members} | {protocol} | {len(own)} | {text} |")
     return "\n".join(lines)
 
@@ -247,18 +326,26 @@
     """Four panels: time until a death is known, bytes a second, false deaths an hour, time to agree after a split."""
     figure, axes = panels(4, (17, 4))
     for protocol in ("lifeguard", "swim", "heartbeat"):
+
         def points(what, value):
             by_size: dict[int, list[float]] = {}
             for row in rows:
                 if row["what"] == what and row["protocol"] == protocol:
                     by_size.setdefault(row["members"], []).extend(value(row))
             return sorted((size, mean(values)) for size, values in by_size.items() if values)
-        for axis, what, value in ((axes[0], "death", lambda row: row["all_s"]), (axes[1], "quiet", lambda row: [row["bytes_per_s"]]),
-                                  (axes[3], "heal", lambda row: [row["agree_s"]])):
+
+        for axis, what, value in (
+            (axes[0], "death", lambda row: row["all_s"]),
+            (axes[1], "quiet", lambda row: [row["bytes_per_s"]]),
+            (axes[3], "heal", lambda row: [row["agree_s"]]),
+        ):
             found = points(what, value)
             axis.plot([x for x, _ in found], [y for _, y in found], marker="o", label=protocol)
-    for axis, title in ((axes[0], "s until a death is known to all"), (axes[1], "B/s sent by a member, quiet"),
-                        (axes[3], "s to agree after a split of 20 s")):
+    for axis, title in (
+        (axes[0], "s until a death is known to all"),
+        (axes[1], "B/s sent by a member, quiet"),
+        (axes[3], "s to agree after a split of 20 s"),
+    ):
         axis.set_xscale("log")
         axis.set_xlabel("members")
         axis.set_title(title)
--- a/brookhub/lab/plans.py
+++ b/brookhub/lab/plans.py
@@ -17,25 +17,47 @@
 LIMITERS, SERVERS, GRACE, WORK = 8, 12, 1.0, 2.0  # s: from the drain's announcement to the end; of work
 LONGEST = 110.0  # s until a plan counts as one that does not end
 MACHINES = {f"m{n}": [2 * n, 2 * n + 1] for n in range(4)}
-STEPS = {"killed, permitted": "permitted", "killed, open": "safe", "killed, back": "back", "killed, done": "done"}
+STEPS = {
+    "killed, permitted": "permitted",
+    "killed, open": "safe",
+    "killed, back": "back",
+    "killed, done": "done",
+}
 SCENARIOS = ("quiet", *STEPS, "stopped past its lease", "cut one way", "restart of all", "split", "two plans")
 
 
 def experiment(seconds: float) -> Experiment:
     route = {"target_s": 0.5, "client_timeout_s": 1.0}
-    return Experiment.model_validate({
-        "name": "plans", "duration_s": seconds, "load": {"give_up_share": 0.0},
-        "fleet": {"limiters": LIMITERS, "grace_s": GRACE, "membership": {"on": True, "period_s": 0.2},
-                  "servers": {"count": SERVERS, "places": 4, "service_s": 0.05, "warm_after_s": 3.0}, "counter": {"wait_s": 0.2},
-                  "routes": [route | {"name": "look", "share": 3}, route | {"name": "once", "repeat": "non_idempotent"}],
-                  "plans": [{"name": "wide", "rate": 200, "burst": 400, "customers": 4, "calls_per_s": 20}]}})
+    return Experiment.model_validate(
+        {
+            "name": "plans",
+            "duration_s": seconds,
+            "load": {"give_up_share": 0.0},
+            "fleet": {
+                "limiters": LIMITERS,
+                "grace_s": GRACE,
+                "membership": {"on": True, "period_s": 0.2},
+                "servers": {"count": SERVERS, "places": 4, "service_s": 0.05, "warm_after_s": 3.0},
+                "counter": {"wait_s": 0.2},
+                "routes": [
+                    route | {"name": "look", "share": 3},
+                    route | {"name": "once", "repeat": "non_idempotent"},
+                ],
+                "plans": [{"name": "wide", "rate": 200, "burst": 400, "customers": 4, "calls_per_s": 20}],
+            },
+        }
+    )
 
 
 def plan(most: int, version: int = 1, machines: dict = MACHINES) -> str:
-    head = (f'version = {version}\nvoters = ["n0", "n1", "n2"]\nmost_out = {most}\nmost_zone = 4\ncapacity_least = 0.3\n'
-            "work_most_s = 60.0\nstart_within_s = 3.0\nfill_s = 0.5\npause_s = 0.0\n")
-    return head + "".join(f'[[machines]]\nname = "{name}"\nservers = {[f"s-{one}" for one in own]}\n'.replace("'", '"')
-                          for name, own in machines.items())
+    head = (
+        f'version = {version}\nvoters = ["n0", "n1", "n2"]\nmost_out = {most}\nmost_zone = 4\ncapacity_least = 0.3\n'
+        "work_most_s = 60.0\nstart_within_s = 3.0\nfill_s = 0.5\npause_s = 0.0\n"
+    )
+    return head + "".join(
+        f'[[machines]]\nname = "{name}"\nservers = {[f"s-{one}" for one in own]}\n'.replace("'", '"')
+        for name, own in machines.items()
+    )
 
 
 def play(scenario: str, most: int, folder: Path, seed: int = 1) -> dict:
@@ -53,12 +75,21 @@
                 found.update(run(lab, scenario, most))
             finally:
                 lab.load.stop.set()
+
         lab.start = started
         outcome = lab.play()
         result = outcome.result
-        return {"scenario": scenario, "most": most, "seed": seed, "broken": result.broken, "first": result.first_break,
-                "served": round(result.proxied / max(1, result.calls - outcome.verdict.excused), 4),
-                "excused": outcome.verdict.excused, "noise": outcome.noise, **found}
+        return {
+            "scenario": scenario,
+            "most": most,
+            "seed": seed,
+            "broken": result.broken,
+            "first": result.first_break,
+            "served": round(result.proxied / max(1, result.calls - outcome.verdict.excused), 4),
+            "excused": outcome.verdict.excused,
+            "noise": outcome.noise,
+            **found,
+        }
 
 
 def run(lab: ProcessLab, scenario: str, most: int) -> dict:
@@ -92,6 +123,7 @@
             lab.split([*lab.limiters[:1], *lab.limiters[5:]], True)
             sleep(8.0)
             lab.split([], False)
+
     for one in lab.limiters:
         lab.plan_path(one).write_text(plan(most))
     workers.hooks[STEPS.get(scenario, "safe")] = fault
@@ -106,13 +138,22 @@
         lab.limiters[3].hit(signal.SIGHUP)
 
     def lines(event: str) -> list[dict]:
-        return [line for one in lab.limiters for line in one.lines() if line.get("event", "").startswith(event)]
+        return [
+            line for one in lab.limiters for line in one.lines() if line.get("event", "").startswith(event)
+        ]
+
     while monotonic() - began < LONGEST - 15.0:
         if {line["machine"] for line in lines("done with")} == set(MACHINES):
             break
         sleep(0.2)
     took = monotonic() - began
     workers.stop()
-    return {"ended": {line["machine"] for line in lines("done with")} == set(MACHINES), "took_s": round(took, 1),
-            "most_out": workers.most_out(), "kept": workers.most_out() <= most, "stewards": len(lines("steward")) - len(lines("steward no")),
-            "refused": len(lines("plan refused")), "faults": len(lines("fault"))}
+    return {
+        "ended": {line["machine"] for line in lines("done with")} == set(MACHINES),
+        "took_s": round(took, 1),
+        "most_out": workers.most_out(),
+        "kept": workers.most_out() <= most,
+        "stewards": len(lines("steward")) - len(lines("steward no")),
+        "refused": len(lines("plan refused")),
+        "faults": len(lines("fault")),
+    }
--- a/brookhub/lab/plot.py
+++ b/brookhub/lab/plot.py
@@ -8,9 +8,14 @@
 from .canvas import panels, saved
 from .sweep import read
 
-PANELS = [("served_share", "proxied share"), ("rate_limited_share", "rate-limited share"),
-          ("p50_ms", "p50 latency, ms"), ("p99_ms", "p99 latency, ms"),
-          ("quota_overshoot", "mean quota overshoot"), ("ceiling_overshoot", "worst ceiling overshoot")]
+PANELS = [
+    ("served_share", "proxied share"),
+    ("rate_limited_share", "rate-limited share"),
+    ("p50_ms", "p50 latency, ms"),
+    ("p99_ms", "p99 latency, ms"),
+    ("quota_overshoot", "mean quota overshoot"),
+    ("ceiling_overshoot", "worst ceiling overshoot"),
+]
 
 
 def series(rows: list[dict]) -> tuple[str, dict]:
@@ -28,8 +33,10 @@
     lines = {}
     for second, by_x in sorted(groups.items(), key=lambda item: str(item[0])):
         label = ", ".join(f"{name}={value}" for name, value in second) or "all"
-        lines[label] = [(x, {key: sum(m[key] for m in ms) / len(ms) for key, _ in PANELS})
-                        for x, ms in sorted(by_x.items())]
+        lines[label] = [
+            (x, {key: sum(m[key] for m in ms) / len(ms) for key, _ in PANELS})
+            for x, ms in sorted(by_x.items())
+        ]
     return first, lines
 
 
--- a/brookhub/lab/processes.py
+++ b/brookhub/lab/processes.py
@@ -60,8 +60,11 @@
     noise: dict
 
     def metrics(self) -> dict:
-        return self.result.metrics() | {"excused": self.verdict.excused, "noise": self.noise,
-                                        "cold_sends_most": max(self.verdict.cold.values(), default=0)}
+        return self.result.metrics() | {
+            "excused": self.verdict.excused,
+            "noise": self.noise,
+            "cold_sends_most": max(self.verdict.cold.values(), default=0),
+        }
 
 
 class Limiter:
@@ -82,8 +85,12 @@
         self.lab.write_config(self)
         environment = {name: value for name, value in os.environ.items() if not name.startswith("NODE_")}
         with open(self.log_path, "a") as log:
-            self.process = subprocess.Popen([sys.executable, "-m", "brookhub"], stderr=log, stdout=log,
-                                            env={**environment, "NODE_CONFIG": str(self.config)})
+            self.process = subprocess.Popen(
+                [sys.executable, "-m", "brookhub"],
+                stderr=log,
+                stdout=log,
+                env={**environment, "NODE_CONFIG": str(self.config)},
+            )
 
     def ready(self) -> bool:
         with suppress(OSError, ValueError), socket.create_connection(self.at, 1.0) as sock:
@@ -126,7 +133,9 @@
         if not LEAST <= fleet.limiters <= MOST:
             raise LabError(f"{fleet.limiters} limiters: the process lab plays {LEAST} to {MOST}")
         soft, hard = resource.getrlimit(resource.RLIMIT_NOFILE)
-        resource.setrlimit(resource.RLIMIT_NOFILE, (hard if hard != resource.RLIM_INFINITY else max(soft, 8192), hard))
+        resource.setrlimit(
+            resource.RLIMIT_NOFILE, (hard if hard != resource.RLIM_INFINITY else max(soft, 8192), hard)
+        )
         self.experiment, self.folder = experiment, Path(folder)
         self.folder.mkdir(parents=True, exist_ok=True)
         self.seed = experiment.seed if seed is None else seed
@@ -147,15 +156,22 @@
         self.discovery = DiscoveryStandIn([], dial=self.dial_of)
         self.limiters = [Limiter(self, index) for index in range(fleet.limiters)]
         self.links: dict[tuple[str, int], object] = {}  # (limiter's address, server) -> TcpLink
-        self.counter_links = {one.address: self.relays.tcp(f"counter/{one.index}", self.counter.at, one.address)
-                              for one in self.limiters}
-        self.discovery_links = {one.address: self.relays.tcp(f"discovery/{one.index}", self.discovery.at, one.address)
-                                for one in self.limiters}
+        self.counter_links = {
+            one.address: self.relays.tcp(f"counter/{one.index}", self.counter.at, one.address)
+            for one in self.limiters
+        }
+        self.discovery_links = {
+            one.address: self.relays.tcp(f"discovery/{one.index}", self.discovery.at, one.address)
+            for one in self.limiters
+        }
         for ident in self.servers:
             self.link_server(ident)
         self.discovery.hosts = [self.entry(one) for one in self.servers.values()]
-        self.mesh = self.relays.udp_mesh({f"n{one.index}": one.udp for one in self.limiters}) \
-            if fleet.membership.on else None
+        self.mesh = (
+            self.relays.udp_mesh({f"n{one.index}": one.udp for one in self.limiters})
+            if fleet.membership.on
+            else None
+        )
 
     def __enter__(self) -> "ProcessLab":
         return self
@@ -168,9 +184,21 @@
     def add_server(self, up_since: float, place: int | None = None) -> ModelServer:
         spec, ident = self.experiment.fleet.servers, self.next_server
         zones, place = self.experiment.fleet.zones, self.next_server if place is None else place
-        model = ServerModel(ident, place % zones, (place // zones) % CELLS, spec.places, spec.queue, spec.service_s,
-                            spec.cold_from, spec.warm_after_s, spec.fall_multiple, spec.fall_for_s, spec.fall_within_s,
-                            up_since=up_since, error_share=spec.error_share)
+        model = ServerModel(
+            ident,
+            place % zones,
+            (place // zones) % CELLS,
+            spec.places,
+            spec.queue,
+            spec.service_s,
+            spec.cold_from,
+            spec.warm_after_s,
+            spec.fall_multiple,
+            spec.fall_for_s,
+            spec.fall_within_s,
+            up_since=up_since,
+            error_share=spec.error_share,
+        )
         self.next_server += 1
         server = ModelServer(model, self.timers, random.Random(f"server/{self.seed}/{ident}"), self.seen)
         self.servers[ident] = server
@@ -178,7 +206,9 @@
 
     def link_server(self, ident: int) -> None:
         for one in self.limiters:
-            self.links[one.address, ident] = self.relays.tcp(f"n{one.index}/s{ident}", self.servers[ident].at, one.address)
+            self.links[one.address, ident] = self.relays.tcp(
+                f"n{one.index}/s{ident}", self.servers[ident].at, one.address
+            )
 
     def dial_of(self, limiter: str, name: str) -> str:
         return self.links[limiter, int(name[2:])].address
@@ -195,10 +225,17 @@
             path = self.folder / f"n{one.index}.membership.toml"
             path.write_text(self.peers_file(one))
             membership = str(path)
-        told = start_file(self.experiment, one.index, random.Random(f"{self.seed}/{one.index}/{one.starts}").getrandbits(62),
-                          "%s:%d" % one.at, self.discovery_links[one.address].address,
-                          self.counter_links[one.address].address, membership,
-                          str(self.plan_path(one)) if membership else None, self.recovery_file(one))
+        told = start_file(
+            self.experiment,
+            one.index,
+            random.Random(f"{self.seed}/{one.index}/{one.starts}").getrandbits(62),
+            "%s:%d" % one.at,
+            self.discovery_links[one.address].address,
+            self.counter_links[one.address].address,
+            membership,
+            str(self.plan_path(one)) if membership else None,
+            self.recovery_file(one),
+        )
         one.config.write_text(json.dumps(told))
 
     def recovery_file(self, one: Limiter) -> str | None:
@@ -222,13 +259,21 @@
     def peers_file(self, one: Limiter) -> str:
         """The operator's membership file of a limiter: its own address, and each peer's as this one reaches it."""
         spec = self.experiment.fleet.membership
-        lines = ['fleet = "lab"', f'name = "n{one.index}"', 'listen = "%s:%d"' % one.udp,
-                 f"period_s = {spec.period_s}", f"signals = {str(spec.signals).lower()}",
-                 f"subsets = {str(spec.subsets).lower()}"]
+        lines = [
+            'fleet = "lab"',
+            f'name = "n{one.index}"',
+            'listen = "%s:%d"' % one.udp,
+            f"period_s = {spec.period_s}",
+            f"signals = {str(spec.signals).lower()}",
+            f"subsets = {str(spec.subsets).lower()}",
+        ]
         for other in self.limiters:
             if other is not one:
-                lines += ["[[peers]]", f'name = "n{other.index}"',
-                          f'address = "{self.mesh.address(f"n{one.index}", f"n{other.index}")}"']
+                lines += [
+                    "[[peers]]",
+                    f'name = "n{other.index}"',
+                    f'address = "{self.mesh.address(f"n{one.index}", f"n{other.index}")}"',
+                ]
         return "\n".join(lines) + "\n"
 
     def start(self) -> None:
@@ -256,12 +301,14 @@
 
     def after(self, seconds: float, callback: Callable[[], None]) -> None:
         """Do something later in a thread of its own (it may wait for a process to end)."""
+
         def job() -> None:
             sleep(seconds)
             try:
                 callback()
             except BaseException as met:  # told at the end of the run: a fault that was not cleared voids it
                 self.errors.append(met)
+
         thread = threading.Thread(target=job, daemon=True)
         self.threads.append(thread)
         thread.start()
@@ -269,7 +316,9 @@
     def kill(self, one: Limiter, back_after: float | None = None, number: int = signal.SIGKILL) -> None:
         """End a limiter's process; start it anew at its address `back_after` s after it is gone."""
         outage = Outage(one.index, monotonic(), float("inf"))
-        if number == signal.SIGKILL:  # after SIGTERM all that was taken has to be answered: no outage excuses it
+        if (
+            number == signal.SIGKILL
+        ):  # after SIGTERM all that was taken has to be answered: no outage excuses it
             self.outages.append(outage)
         one.end(number)
         self.note(f"n{one.index} ended by signal {int(number)}")
@@ -317,14 +366,18 @@
             self.servers[ident].model.state, self.servers[ident].model.drained_at = State.READY, None
             for one in self.limiters:
                 self.links[one.address, ident].clear()
-        self.discovery.hosts = [self.entry(one) for one in self.servers.values() if one.model.state is State.READY]
+        self.discovery.hosts = [
+            self.entry(one) for one in self.servers.values() if one.model.state is State.READY
+        ]
         self.discovery.tell(*[self.entry(self.servers[ident]) for ident in idents])
 
     def drain(self, idents: list[int]) -> None:
         for ident in idents:
             model = self.servers[ident].model
             model.state, model.drained_at = State.DRAINING, monotonic()
-        self.discovery.hosts = [self.entry(one) for one in self.servers.values() if one.model.state is State.READY]
+        self.discovery.hosts = [
+            self.entry(one) for one in self.servers.values() if one.model.state is State.READY
+        ]
         self.discovery.tell(*[self.entry(self.servers[ident], "Terminating") for ident in idents])
 
     def gone(self, idents: list[int], replace: bool) -> None:
@@ -335,9 +388,13 @@
             if replace:
                 fresh.append(self.add_server(monotonic(), place=ident).model.id)
                 self.link_server(fresh[-1])
-        self.discovery.hosts = [self.entry(one) for one in self.servers.values() if one.model.state is State.READY]
-        self.discovery.tell(*[self.entry(self.servers[ident], "Gone") for ident in idents],
-                            *[self.entry(self.servers[ident]) for ident in fresh])
+        self.discovery.hosts = [
+            self.entry(one) for one in self.servers.values() if one.model.state is State.READY
+        ]
+        self.discovery.tell(
+            *[self.entry(self.servers[ident], "Gone") for ident in idents],
+            *[self.entry(self.servers[ident]) for ident in fresh],
+        )
 
     def fault(self, fault: FaultSpec) -> None:
         """Carry out one scripted fault now; what ends after `for_s` is cleared then."""
@@ -374,7 +431,9 @@
         elif action in ("reset_links", "delay_links"):
             changed = [self.links[key] for key in self.pick(sorted(self.links), fault.share)]
             for link in changed:
-                link.set(fault.way, **({"reset": 1.0} if action == "reset_links" else {"delay": fault.delay_s}))
+                link.set(
+                    fault.way, **({"reset": 1.0} if action == "reset_links" else {"delay": fault.delay_s})
+                )
             self.after(fault.for_s, lambda: [link.clear() for link in changed])
         elif action in ("drain_servers", "replace_servers"):
             drained = self.pick(ready, fault.share)
@@ -407,7 +466,9 @@
             self.after(fault.for_s, lambda: [setattr(one, "lost", 0.0) for one in hit])
         elif action == "counter_late":
             self.counter.delay += fault.delay_s
-            self.after(fault.for_s, lambda: setattr(self.counter, "delay", self.counter.delay - fault.delay_s))
+            self.after(
+                fault.for_s, lambda: setattr(self.counter, "delay", self.counter.delay - fault.delay_s)
+            )
         elif action == "counter_split":
             odd = {one.address for one in self.limiters if one.index % 2}
             self.counter.split(lambda limiter: int(limiter in odd))
@@ -438,10 +499,15 @@
         return self.outcome(load, began)
 
     def hurt(self, limiter: str, ident: int, at: float) -> bool:
-        return any(who == limiter and server == ident and since <= at <= until + 1.0
-                   for who, server, since, until in self.cuts) or any(
-                       outage.stalled and self.limiters[outage.limiter].address == limiter and
-                       outage.since <= at <= outage.until + 1.0 for outage in self.outages)
+        return any(
+            who == limiter and server == ident and since <= at <= until + 1.0
+            for who, server, since, until in self.cuts
+        ) or any(
+            outage.stalled
+            and self.limiters[outage.limiter].address == limiter
+            and outage.since <= at <= outage.until + 1.0
+            for outage in self.outages
+        )
 
     def outcome(self, load: Load, began: float) -> Outcome:
         zones = {ident: (one.model.zone, one.model.cell) for ident, one in self.servers.items()}
