--- a/brookhub/lab/recovery.py
+++ b/brookhub/lab/recovery.py
@@ -22,11 +22,24 @@
 LOOK = 0.05  # s between looks at whether counts agree
 KINDS = ("none", "wipe", "lose", "swap", "split")
 LIMITERS, LENGTHS = (4, 40, 200), (4.0, 12.0)
-SETS = ("quotas", "national")  # the plans of the default experiment; with a soft plan under a hard ceiling beside them
+SETS = (
+    "quotas",
+    "national",
+)  # the plans of the default experiment; with a soft plan under a hard ceiling beside them
 # Customers of a soft plan who ask for three times their quota and two and a half times their ceiling, and borrow what they get beyond
 # the quota: what holds them is the ceiling alone.
-NATIONAL = {"name": "national", "rate": 20.0, "burst": 40.0, "ceiling_rate": 24.0, "ceiling_burst": 48.0, "value": 1.0,
-            "beyond_value": 0.5, "beyond_cost": 0.1, "customers": 8, "calls_per_s": 40.0}
+NATIONAL = {
+    "name": "national",
+    "rate": 20.0,
+    "burst": 40.0,
+    "ceiling_rate": 24.0,
+    "ceiling_burst": 48.0,
+    "value": 1.0,
+    "beyond_value": 0.5,
+    "beyond_cost": 0.1,
+    "customers": 8,
+    "calls_per_s": 40.0,
+}
 
 
 def jobs(seeds: list[int]) -> list[dict]:
@@ -35,8 +48,12 @@
         for way in ("off", "on"):
             for limiters in LIMITERS:
                 for kind in KINDS:
-                    made += [{"kind": kind, "way": way, "limiters": limiters, "for_s": for_s, "seed": seed} | ({"plans": plans} if plans != SETS[0] else {})
-                             for plans in SETS for for_s in (LENGTHS if kind in ("swap", "split") else (0.0,))]
+                    made += [
+                        {"kind": kind, "way": way, "limiters": limiters, "for_s": for_s, "seed": seed}
+                        | ({"plans": plans} if plans != SETS[0] else {})
+                        for plans in SETS
+                        for for_s in (LENGTHS if kind in ("swap", "split") else (0.0,))
+                    ]
     return sorted(keyed(made), key=lambda job: -job["limiters"] * (20 + job["for_s"]))
 
 
@@ -47,7 +64,9 @@
     gap = beat + 3 * wait  # until the last limiter knows: a beat, the register, a claim, a token
     change = min(burst, asked * gap)  # what a window's count held is not seen meanwhile
     changes = {"none": 0, "wipe": 1, "lose": 1, "swap": 2, "split": 2}[kind]
-    sides = rate * (4 * beat + wait) if kind == "split" else 0.0  # until a whole beat's roll lacks the other side
+    sides = (
+        rate * (4 * beat + wait) if kind == "split" else 0.0
+    )  # until a whole beat's roll lacks the other side
     return changes * change + sides
 
 
@@ -81,7 +100,9 @@
 
 def play(job: dict) -> dict:
     """One row. `plans`: of SETS; `few`: the plans' customers are divided by it; `tokened`: the second route is (tests)."""
-    raw = loads(resources.files("brookhub.lab").joinpath("default.toml").read_text(), Experiment, "default").model_dump()
+    raw = loads(
+        resources.files("brookhub.lab").joinpath("default.toml").read_text(), Experiment, "default"
+    ).model_dump()
     raw["sweep"], raw["duration_s"] = {}, AT + job["for_s"] + AFTER
     raw["load"].update(scale=LOAD, repeat_share=0.1)
     fleet_spec = raw["fleet"]
@@ -90,11 +111,21 @@
         fleet_spec["plans"].append(dict(NATIONAL))
     for plan in fleet_spec["plans"]:
         plan["customers"] = max(1, plan["customers"] // job.get("few", 1))
-    fleet_spec["routes"][1].update({"repeat": "tokened", "group": "zone", "window_s": 30.0} if job.get("tokened") else {})
+    fleet_spec["routes"][1].update(
+        {"repeat": "tokened", "group": "zone", "window_s": 30.0} if job.get("tokened") else {}
+    )
     fleet_spec["servers"].update(count=60, places=16)
     fleet_spec["counter"].update(recovery=job["way"] == "on")
-    actions = {"none": [], "wipe": ["counter_wipe"], "lose": ["counter_lose"], "swap": ["counter_swap"], "split": ["counter_split"]}
-    raw["faults"] = [{"at_s": AT, "action": action, "share": 0.5, "for_s": job["for_s"]} for action in actions[job["kind"]]]
+    actions = {
+        "none": [],
+        "wipe": ["counter_wipe"],
+        "lose": ["counter_lose"],
+        "swap": ["counter_swap"],
+        "split": ["counter_split"],
+    }
+    raw["faults"] = [
+        {"at_s": AT, "action": action, "share": 0.5, "for_s": job["for_s"]} for action in actions[job["kind"]]
+    ]
     fleet = Fleet(Experiment.model_validate(raw), seed=job["seed"], keep_trail=False)
     over, ceiling, asked = {}, {}, {}
     ran: dict[int, set[int]] = {}  # token -> calls with it that reached a server
@@ -110,6 +141,7 @@
         if what == "arrive":
             token = fleet.seats[facts[0]].calls[facts[1]].token
             sides.setdefault(token, set()).add(facts[0] % len(fleet.counter.keepers))
+
     if job.get("tokened"):
         fleet.servers.take, fleet.referee.note = taken, noted
     for customer in fleet.customers:
@@ -125,6 +157,7 @@
             for debts in (over, ceiling):
                 if customer.id in debts:
                     debts[customer.id].take(now, units)
+
         customer.proxied = proxied
     agreed: list[float] = []
 
@@ -133,35 +166,62 @@
             agreed.append(fleet.engine.now - AT - job["for_s"])
         if not agreed:
             fleet.engine.after(LOOK, look)
+
     if job["way"] == "on":
         fleet.engine.at(AT + job["for_s"] + LOOK, look)
     result = fleet.run()
     beat, wait = fleet_spec["counter"]["beat_s"], fleet_spec["counter"]["wait_s"]
     plans = {one.id: one.plan for one in fleet.customers}
-    bounds = {ident: bound(plans[ident].rate, plans[ident].burst, job["kind"], asked[ident], beat, wait) for ident in over}
-    above = {ident: bound(plans[ident].ceiling_rate, plans[ident].ceiling_burst, job["kind"], asked[ident], beat, wait) for ident in ceiling}
+    bounds = {
+        ident: bound(plans[ident].rate, plans[ident].burst, job["kind"], asked[ident], beat, wait)
+        for ident in over
+    }
+    above = {
+        ident: bound(
+            plans[ident].ceiling_rate, plans[ident].ceiling_burst, job["kind"], asked[ident], beat, wait
+        )
+        for ident in ceiling
+    }
     rows = [(debt.worst / plans[ident].burst, ident) for ident, debt in over.items()]
     soft = [one for one in fleet.customers if one.id not in over]
-    return job | {"over": max(rows)[0], "over_mean": sum(value for value, _ in rows) / len(rows),
-                  "bound": max(bounds[ident] / plans[ident].burst for ident in bounds),
-                  "of_bound": max((debt.worst / bounds[ident] for ident, debt in over.items() if bounds[ident]), default=0.0),
-                  "ceiling_over": max(debt.worst / plans[ident].ceiling_burst for ident, debt in ceiling.items()),
-                  "ceiling_of_bound": max((debt.worst / above[ident] for ident, debt in ceiling.items() if above[ident]), default=0.0),
-                  "of_ceiling": sum(one.units / (one.plan.ceiling_rate * raw["duration_s"]) for one in soft) / max(1, len(soft)),
-                  "served": result.metrics()["served_share"], "broken": result.metrics()["broken"],
-                  "agreed_s": agreed[0] if agreed else None, "epochs": len({facts["epoch"] for _, _, event, facts in fleet.heard if "epoch" in facts}),
-                  "twice": sum(len(calls) > 1 for calls in ran.values()), "both_sides": sum(len(them) > 1 for them in sides.values()),
-                  "resent": sum(seat.recovery.resent for seat in fleet.seats if seat.recovery),
-                  "counter_calls": fleet.counter.calls}
-
-
-def measure(out: Path, seeds: list[int], processes: int | None = None, progress: Callable[[float], None] = lambda done: None) -> list[dict]:
+    return job | {
+        "over": max(rows)[0],
+        "over_mean": sum(value for value, _ in rows) / len(rows),
+        "bound": max(bounds[ident] / plans[ident].burst for ident in bounds),
+        "of_bound": max(
+            (debt.worst / bounds[ident] for ident, debt in over.items() if bounds[ident]), default=0.0
+        ),
+        "ceiling_over": max(debt.worst / plans[ident].ceiling_burst for ident, debt in ceiling.items()),
+        "ceiling_of_bound": max(
+            (debt.worst / above[ident] for ident, debt in ceiling.items() if above[ident]), default=0.0
+        ),
+        "of_ceiling": sum(one.units / (one.plan.ceiling_rate * raw["duration_s"]) for one in soft)
+        / max(1, len(soft)),
+        "served": result.metrics()["served_share"],
+        "broken": result.metrics()["broken"],
+        "agreed_s": agreed[0] if agreed else None,
+        "epochs": len({facts["epoch"] for _, _, event, facts in fleet.heard if "epoch" in facts}),
+        "twice": sum(len(calls) > 1 for calls in ran.values()),
+        "both_sides": sum(len(them) > 1 for them in sides.values()),
+        "resent": sum(seat.recovery.resent for seat in fleet.seats if seat.recovery),
+        "counter_calls": fleet.counter.calls,
+    }
+
+
+def measure(
+    out: Path,
+    seeds: list[int],
+    processes: int | None = None,
+    progress: Callable[[float], None] = lambda done: None,
+) -> list[dict]:
     return play_all(out / RESULTS, jobs(seeds), play, processes, progress)
 
 
 def groups(rows: list[dict], plans: str = SETS[0]) -> dict[tuple, list[dict]]:
     found: dict[tuple, list[dict]] = {}
-    for row in sorted(rows, key=lambda row: (KINDS.index(row["kind"]), row["for_s"], row["limiters"], row["way"])):
+    for row in sorted(
+        rows, key=lambda row: (KINDS.index(row["kind"]), row["for_s"], row["limiters"], row["way"])
+    ):
         if row.get("plans", SETS[0]) == plans:
             found.setdefault((row["kind"], row["for_s"], row["limiters"], row["way"]), []).append(row)
     return found
@@ -173,20 +233,36 @@
 
 def table(rows: list[dict]) -> str:
     """Markdown: the worst customer of the worst seed, means elsewhere; over in bursts."""
-    lines = ["| fault | for, s | limiters | recovery | over, worst customer (mean of all) | of the bound | served | counts agree after, s (worst) | epochs | calls to the counter |",
-             "| --- " * 10 + "|"]
+    lines = [
+        "| fault | for, s | limiters | recovery | over, worst customer (mean of all) | of the bound | served | counts agree after, s (worst) | epochs | calls to the counter |",
+        "| --- " * 10 + "|",
+    ]
     for (kind, for_s, limiters, way), own in groups(rows).items():
         agreed = [row["agreed_s"] for row in own]
-        when = "-" if way == "off" else "not" if None in agreed else f"{sum(agreed) / len(own):.1f} ({max(agreed):.1f})"
-        lines.append(f"| {kind} | {for_s:g} | {limiters} | {way} | {max(row['over'] for row in own):.2f} ({mean(own, 'over_mean'):.3f}) | "
-                     f"{max(row['of_bound'] for row in own):.2f} | {mean(own, 'served'):.3f} | "
-                     f"{when} | {max(row['epochs'] for row in own)} | {mean(own, 'counter_calls'):.0f} |")
-    lines += ["", "| fault | for, s | limiters | recovery | over a ceiling, worst customer, ceiling's bursts | of the bound | of the ceiling's rate, used by soft plans "
-              "| over a quota, worst hard customer | of the bound |", "| --- " * 9 + "|"]
+        when = (
+            "-"
+            if way == "off"
+            else "not"
+            if None in agreed
+            else f"{sum(agreed) / len(own):.1f} ({max(agreed):.1f})"
+        )
+        lines.append(
+            f"| {kind} | {for_s:g} | {limiters} | {way} | {max(row['over'] for row in own):.2f} ({mean(own, 'over_mean'):.3f}) | "
+            f"{max(row['of_bound'] for row in own):.2f} | {mean(own, 'served'):.3f} | "
+            f"{when} | {max(row['epochs'] for row in own)} | {mean(own, 'counter_calls'):.0f} |"
+        )
+    lines += [
+        "",
+        "| fault | for, s | limiters | recovery | over a ceiling, worst customer, ceiling's bursts | of the bound | of the ceiling's rate, used by soft plans "
+        "| over a quota, worst hard customer | of the bound |",
+        "| --- " * 9 + "|",
+    ]
     for (kind, for_s, limiters, way), own in groups(rows, "national").items():
-        lines.append(f"| {kind} | {for_s:g} | {limiters} | {way} | {max(row['ceiling_over'] for row in own):.2f} | "
-                     f"{max(row['ceiling_of_bound'] for row in own):.2f} | {mean(own, 'of_ceiling'):.2f} | {max(row['over'] for row in own):.2f} | "
-                     f"{max(row['of_bound'] for row in own):.2f} |")
+        lines.append(
+            f"| {kind} | {for_s:g} | {limiters} | {way} | {max(row['ceiling_over'] for row in own):.2f} | "
+            f"{max(row['ceiling_of_bound'] for row in own):.2f} | {mean(own, 'of_ceiling'):.2f} | {max(row['over'] for row in own):.2f} | "
+            f"{max(row['of_bound'] for row in own):.2f} |"
+        )
     return "\n".join(lines)
 
 
@@ -196,14 +272,40 @@
     for number, (kind, for_s) in enumerate(sorted({key[:2] for key in groups(rows)}, key=str)):
         label = f"{kind} {for_s:g} s" if for_s else kind
         for way, style in (("off", "--o"), ("on", "-o")):
-            own = {key[2]: rows_ for key, rows_ in groups(rows).items() if key[:2] == (kind, for_s) and key[3] == way}
-            axes[0].plot(list(own), [max(row["over"] for row in them) for them in own.values()], style, color=f"C{number}",
-                         label=label if way == "on" else None)
+            own = {
+                key[2]: rows_
+                for key, rows_ in groups(rows).items()
+                if key[:2] == (kind, for_s) and key[3] == way
+            }
+            axes[0].plot(
+                list(own),
+                [max(row["over"] for row in them) for them in own.values()],
+                style,
+                color=f"C{number}",
+                label=label if way == "on" else None,
+            )
             if way == "on":
-                axes[1].plot(list(own), [max(row["of_bound"] for row in them) for them in own.values()], style, color=f"C{number}", label=label)
-                axes[2].plot(list(own), [max(row["agreed_s"] or float("nan") for row in them) for them in own.values()], style, color=f"C{number}")
-    for axis, title in zip(axes, ("over a quota, bursts, worst customer (dashed: no recovery)", "the same, as a share of the stated bound",
-                                  "s until counts agree again, worst")):
+                axes[1].plot(
+                    list(own),
+                    [max(row["of_bound"] for row in them) for them in own.values()],
+                    style,
+                    color=f"C{number}",
+                    label=label,
+                )
+                axes[2].plot(
+                    list(own),
+                    [max(row["agreed_s"] or float("nan") for row in them) for them in own.values()],
+                    style,
+                    color=f"C{number}",
+                )
+    for axis, title in zip(
+        axes,
+        (
+            "over a quota, bursts, worst customer (dashed: no recovery)",
+            "the same, as a share of the stated bound",
+            "s until counts agree again, worst",
+        ),
+    ):
         axis.set_xscale("log")
         axis.set_xlabel("limiters")
         axis.set_title(title, fontsize=9)
@@ -221,9 +323,23 @@
         for way, style in (("off", "--o"), ("on", "-o")):
             own = {key[2]: them for key, them in found.items() if key[:2] == (kind, for_s) and key[3] == way}
             label = (f"{kind} {for_s:g} s" if for_s else kind) if way == "on" else None
-            axes[0].plot(list(own), [max(row["ceiling_over"] for row in them) for them in own.values()], style, color=f"C{number}", label=label)
-            axes[1].plot(list(own), [mean(them, "of_ceiling") for them in own.values()], style, color=f"C{number}")
-    for axis, title in zip(axes, ("over a hard ceiling, ceiling's bursts, worst customer (dashed: no recovery)", "used of the ceiling's rate, mean")):
+            axes[0].plot(
+                list(own),
+                [max(row["ceiling_over"] for row in them) for them in own.values()],
+                style,
+                color=f"C{number}",
+                label=label,
+            )
+            axes[1].plot(
+                list(own), [mean(them, "of_ceiling") for them in own.values()], style, color=f"C{number}"
+            )
+    for axis, title in zip(
+        axes,
+        (
+            "over a hard ceiling, ceiling's bursts, worst customer (dashed: no recovery)",
+            "used of the ceiling's rate, mean",
+        ),
+    ):
         axis.set_xscale("log")
         axis.set_xlabel("limiters")
         axis.set_title(title, fontsize=9)
--- a/brookhub/lab/sweep.py
+++ b/brookhub/lab/sweep.py
@@ -23,8 +23,11 @@
     place: Any = raw
     names = [int(name) if name.isdigit() else name for name in path.split(".")]
     for depth, name in enumerate(names):
-        found = name < len(place) if isinstance(place, list) and isinstance(name, int) else \
-            isinstance(place, dict) and name in place
+        found = (
+            name < len(place)
+            if isinstance(place, list) and isinstance(name, int)
+            else isinstance(place, dict) and name in place
+        )
         if not found:
             raise KeyError(f"sweep parameter {path}: no {name} in the experiment")
         if depth == len(names) - 1:
@@ -108,8 +111,14 @@
     sink.flush()
     os.fsync(sink.fileno())
     metrics = row.get("metrics", {})
-    log.info("point", params=row["params"], seed=row["seed"], served=metrics.get("served_share"),
-             broken=row.get("broken_rule"), wall_s=metrics.get("wall_s"))
+    log.info(
+        "point",
+        params=row["params"],
+        seed=row["seed"],
+        served=metrics.get("served_share"),
+        broken=row.get("broken_rule"),
+        wall_s=metrics.get("wall_s"),
+    )
     return 1
 
 
--- a/brookhub/lab/together.py
+++ b/brookhub/lab/together.py
@@ -21,13 +21,22 @@
 BAD_AT, BAD_FOR, RUN = 3.0, 20.0, 24.0  # s: when a server turns bad, for how long, the run
 FEW, MANY, GROWS, SHRINKS = 40, 200, 5.0, 15.0  # limiters before and after, s when they come and go
 TURN = 5.0  # s over which they do
-PARTS = ((40, 60, 0.25), (200, 60, 0.5), (200, 100, 0.5))  # limiters, servers, load, at which each needs a part of them
-CHANGE_AT, CHANGED_AT = (8.0, 18.0), (16.0, 26.0)  # s: when a server is replaced and a limiter killed, and when parts are compared
+PARTS = (
+    (40, 60, 0.25),
+    (200, 60, 0.5),
+    (200, 100, 0.5),
+)  # limiters, servers, load, at which each needs a part of them
+CHANGE_AT, CHANGED_AT = (
+    (8.0, 18.0),
+    (16.0, 26.0),
+)  # s: when a server is replaced and a limiter killed, and when parts are compared
 
 
 def base(limiters: int, way: str, **servers) -> dict:
     """The embedded experiment's fleet of 60 servers with membership, at the load of its plans."""
-    raw = loads(resources.files("brookhub.lab").joinpath("default.toml").read_text(), Experiment, "default").model_dump()
+    raw = loads(
+        resources.files("brookhub.lab").joinpath("default.toml").read_text(), Experiment, "default"
+    ).model_dump()
     raw["sweep"], raw["faults"], raw["duration_s"] = {}, [], RUN
     fleet = raw["fleet"]
     fleet["limiters"] = limiters
@@ -42,22 +51,45 @@
     for seed in seeds:
         for way in WAYS:
             for kind in ("failing", "silent", "slow"):
-                made += [{"what": "bad", "kind": kind, "way": way, "limiters": limiters, "scale": scale, "seed": seed}
-                         for limiters, scale in ((40, 1.0), (200, 0.5), (200, 1.0))]
+                made += [
+                    {
+                        "what": "bad",
+                        "kind": kind,
+                        "way": way,
+                        "limiters": limiters,
+                        "scale": scale,
+                        "seed": seed,
+                    }
+                    for limiters, scale in ((40, 1.0), (200, 0.5), (200, 1.0))
+                ]
             made.append({"what": "errors", "way": way, "limiters": 200, "scale": 1.0, "seed": seed})
             made.append({"what": "link", "way": way, "limiters": 40, "scale": 1.0, "seed": seed})
         for way in ("none", "peers"):
-            made += [{"what": "cold", "kind": kind, "way": way, "limiters": limiters, "seed": seed}
-                     for limiters in (8, 40, 200) for kind in ("replace", "split")]
+            made += [
+                {"what": "cold", "kind": kind, "way": way, "limiters": limiters, "seed": seed}
+                for limiters in (8, 40, 200)
+                for kind in ("replace", "split")
+            ]
             made.append({"what": "grow", "way": way, "limiters": MANY, "seed": seed})
-        made += [{"what": "parts", "way": way, "limiters": limiters, "servers": servers, "scale": scale, "seed": seed}
-                 for way in PART_WAYS for limiters, servers, scale in PARTS]
+        made += [
+            {
+                "what": "parts",
+                "way": way,
+                "limiters": limiters,
+                "servers": servers,
+                "scale": scale,
+                "seed": seed,
+            }
+            for way in PART_WAYS
+            for limiters, servers, scale in PARTS
+        ]
     return sorted(keyed(made), key=lambda job: job["what"] not in ("cold", "grow"))  # the longest first
 
 
 def play(job: dict) -> dict:
-    return job | {"bad": bad, "errors": errors, "link": link, "cold": cold, "grow": grow,
-                  "parts": parts}[job["what"]](job)
+    return job | {"bad": bad, "errors": errors, "link": link, "cold": cold, "grow": grow, "parts": parts}[
+        job["what"]
+    ](job)
 
 
 def run(raw: dict, seed: int, before: Callable[[Fleet], None] = lambda fleet: None) -> tuple[Fleet, dict]:
@@ -65,16 +97,25 @@
     before(fleet)
     metrics = fleet.run().metrics()
     told = [seat.signals for seat in fleet.seats if seat.signals]
-    return fleet, {"served": metrics["served_share"], "errored": metrics["errored_share"], "p99_ms": metrics["p99_ms"],
-                   "falls": metrics["cold_falls"], "broken": metrics["broken"], "words": sum(one.told for one in told),
-                   "sent_to_bad": metrics["sent_to_bad"], "over": metrics["worst_overshoot"]}
+    return fleet, {
+        "served": metrics["served_share"],
+        "errored": metrics["errored_share"],
+        "p99_ms": metrics["p99_ms"],
+        "falls": metrics["cold_falls"],
+        "broken": metrics["broken"],
+        "words": sum(one.told for one in told),
+        "sent_to_bad": metrics["sent_to_bad"],
+        "over": metrics["worst_overshoot"],
+    }
 
 
 def bad(job: dict) -> dict:
     """One of 60 servers fails, is silent or ten times slow: tries that the whole fleet sent there meanwhile."""
     raw = base(job["limiters"], job["way"])
     raw["load"]["scale"] = job["scale"]
-    raw["faults"] = [{"at_s": BAD_AT, "action": f"{job['kind']}_servers", "share": 0.001, "for_s": BAD_FOR, "factor": 10.0}]
+    raw["faults"] = [
+        {"at_s": BAD_AT, "action": f"{job['kind']}_servers", "share": 0.001, "for_s": BAD_FOR, "factor": 10.0}
+    ]
     return run(raw, job["seed"])[1]
 
 
@@ -85,12 +126,18 @@
 
 def link(job: dict) -> dict:
     """The links of one limiter are broken to all servers: what it makes the others lose."""
+
     def cut(fleet: Fleet) -> None:
-        fleet.engine.at(BAD_AT, lambda: fleet.seats[0].cut.update(
-            {ident: BAD_AT + BAD_FOR for ident in fleet.servers.models}))
+        fleet.engine.at(
+            BAD_AT,
+            lambda: fleet.seats[0].cut.update({ident: BAD_AT + BAD_FOR for ident in fleet.servers.models}),
+        )
+
     fleet, figures = run(base(job["limiters"], job["way"]), job["seed"], cut)
     others = fleet.seats[1:]
-    return figures | {"others_served": sum(seat.served for seat in others) / max(1, sum(seat.asked for seat in others))}
+    return figures | {
+        "others_served": sum(seat.served for seat in others) / max(1, sum(seat.asked for seat in others))
+    }
 
 
 def cold(job: dict) -> dict:
@@ -100,13 +147,23 @@
     for plan in raw["fleet"]["plans"]:
         plan["customers"] *= 5
     raw["load"]["scale"], raw["duration_s"] = 1.3, 18.0
-    raw["faults"] = [{"at_s": 5.0, "action": "replace_servers", "share": 0.6, "for_s": 1.0}] if job["kind"] == "replace" else [
-        {"at_s": 4.0, "action": "split_limiters", "share": 0.5, "for_s": 12.0},
-        {"at_s": 5.0, "action": "zone_lost", "zone": 0, "for_s": 2.0}]
+    raw["faults"] = (
+        [{"at_s": 5.0, "action": "replace_servers", "share": 0.6, "for_s": 1.0}]
+        if job["kind"] == "replace"
+        else [
+            {"at_s": 4.0, "action": "split_limiters", "share": 0.5, "for_s": 12.0},
+            {"at_s": 5.0, "action": "zone_lost", "zone": 0, "for_s": 2.0},
+        ]
+    )
     fleet, figures = run(raw, job["seed"])
     models = [model for model in fleet.servers.models.values() if model.push]
-    room = sum(model.places / model.service * (model.cold_from * for_s + (1 - model.cold_from) * for_s ** 2 / 2 / model.warm_after)
-               for model in models for for_s in [min(model.warm_after, raw["duration_s"] - model.up_since)])
+    room = sum(
+        model.places
+        / model.service
+        * (model.cold_from * for_s + (1 - model.cold_from) * for_s**2 / 2 / model.warm_after)
+        for model in models
+        for for_s in [min(model.warm_after, raw["duration_s"] - model.up_since)]
+    )
     return figures | {"push": max(model.push for model in models), "used": fleet.servers.sent_to_cold / room}
 
 
@@ -133,6 +190,7 @@
         def counted(customer, route, repeated: bool, token: int = 0) -> None:
             asked[customer.id] = asked.get(customer.id, 0) + (not repeated)
             call(customer, route, repeated, token)
+
         fleet.call = counted
 
     def end(fleet: Fleet, index: int) -> None:
@@ -140,10 +198,15 @@
         seat.closing = True
         seat.peer.core.leave()
         fleet.engine.after(max(route.client_timeout for route in fleet.routes) + 0.1, seat.kill)
+
     fleet, figures = run(raw, job["seed"], script)
     shares = [seat.served / seat.asked for seat in fleet.seats if seat.asked >= 10]
-    return figures | {"jain_limiters": jain(shares), "jain_customers": jain(
-        [customer.units / asked[customer.id] for customer in fleet.customers if asked.get(customer.id)])}
+    return figures | {
+        "jain_limiters": jain(shares),
+        "jain_customers": jain(
+            [customer.units / asked[customer.id] for customer in fleet.customers if asked.get(customer.id)]
+        ),
+    }
 
 
 def parts(job: dict) -> dict:
@@ -151,7 +214,11 @@
     server, largest over mean; `sends`: tries a server, the same; `pairs`: of a limiter and a server that were used in all; `server`,
     `limiter`: pairs changed by that over the least possible."""
     raw = base(job["limiters"], "none")
-    raw["fleet"]["servers"]["count"], raw["load"]["scale"], raw["duration_s"] = job["servers"], job["scale"], CHANGED_AT[1] + 1.0
+    raw["fleet"]["servers"]["count"], raw["load"]["scale"], raw["duration_s"] = (
+        job["servers"],
+        job["scale"],
+        CHANGED_AT[1] + 1.0,
+    )
     raw["fleet"]["membership"]["subsets"] = job["way"] == "matching"
     raw["faults"] = [{"at_s": CHANGE_AT[0], "action": "replace_servers", "share": 0.001, "for_s": 0.5}]
     seen: list[set[tuple[int, int]]] = []
@@ -159,7 +226,12 @@
     sends: dict[int, int] = {}
 
     def held(fleet: Fleet) -> set[tuple[int, int]]:
-        return {(seat.index, view.server.id) for seat in fleet.seats if seat.alive for view in seat.gateway.upstreams.part}
+        return {
+            (seat.index, view.server.id)
+            for seat in fleet.seats
+            if seat.alive
+            for view in seat.gateway.upstreams.part
+        }
 
     def script(fleet: Fleet) -> None:
         for at in (CHANGE_AT[0] - 0.1, CHANGED_AT[0], CHANGE_AT[1] - 0.1, CHANGED_AT[1]):
@@ -171,7 +243,9 @@
             used.add((seat.index, one.server.id))
             sends[one.server.id] = sends.get(one.server.id, 0) + 1
             take(one, seat)
+
         fleet.servers.take = taken
+
     fleet, figures = run(raw, job["seed"], script)
     before, replaced, settled, killed = seen
     servers = sorted({server for _, server in before})
@@ -184,29 +258,52 @@
         moved = {one[which] for one in old} ^ {one[which] for one in new}
         least = sum(one[which] in moved for one in old | new)
         return len(old ^ new) / max(1, least * (2 if which else 1) / (2 if which and len(moved) > 1 else 1))
-    return figures | {"held": largest([sum(server == one for _, server in before) for one in servers]),
-                      "sends": largest([sends.get(one, 0) for one in servers]), "pairs": len(used),
-                      "server": changed(before, replaced, 1), "limiter": changed(settled, killed, 0)}
-
 
-def measure(folder: Path, seeds: list[int], processes: int | None = None,
-            progress: Callable[[float], None] = lambda done: None) -> list[dict]:
+    return figures | {
+        "held": largest([sum(server == one for _, server in before) for one in servers]),
+        "sends": largest([sends.get(one, 0) for one in servers]),
+        "pairs": len(used),
+        "server": changed(before, replaced, 1),
+        "limiter": changed(settled, killed, 0),
+    }
+
+
+def measure(
+    folder: Path,
+    seeds: list[int],
+    processes: int | None = None,
+    progress: Callable[[float], None] = lambda done: None,
+) -> list[dict]:
     """Play what is not in the folder yet; all rows."""
     return play_all(folder / RESULTS, jobs(seeds), play, processes, progress)
 
 
-COLUMNS = {"bad": ("sent_to_bad", "served", "p99_ms", "words"), "errors": ("served", "errored", "words"),
-           "link": ("others_served", "served", "words"), "cold": ("push", "used", "served", "falls"),
-           "parts": ("held", "sends", "pairs", "server", "limiter", "served"),
-           "grow": ("jain_limiters", "jain_customers", "served", "errored", "over")}
+COLUMNS = {
+    "bad": ("sent_to_bad", "served", "p99_ms", "words"),
+    "errors": ("served", "errored", "words"),
+    "link": ("others_served", "served", "words"),
+    "cold": ("push", "used", "served", "falls"),
+    "parts": ("held", "sends", "pairs", "server", "limiter", "served"),
+    "grow": ("jain_limiters", "jain_customers", "served", "errored", "over"),
+}
 
 
 def groups(rows: list[dict]) -> dict[tuple, list[dict]]:
     found: dict[tuple, list[dict]] = {}
-    for row in sorted(rows, key=lambda row: (row["what"], row.get("kind", ""), row["limiters"], row.get("scale", 0),
-                                             (WAYS + PART_WAYS).index(row["way"]))):
+    for row in sorted(
+        rows,
+        key=lambda row: (
+            row["what"],
+            row.get("kind", ""),
+            row["limiters"],
+            row.get("scale", 0),
+            (WAYS + PART_WAYS).index(row["way"]),
+        ),
+    ):
         kind = row.get("kind", f"{row['servers']} servers" if "servers" in row else "")
-        found.setdefault((row["what"], kind, row["limiters"], row.get("scale", ""), row["way"]), []).append(row)
+        found.setdefault((row["what"], kind, row["limiters"], row.get("scale", ""), row["way"]), []).append(
+            row
+        )
     return found
 
 
@@ -216,13 +313,18 @@
     for (what, kind, limiters, scale, way), own in groups(rows).items():
         if what != head:
             head = what
-            lines += ["", f"| {what} | limiters | load | words by | " + " | ".join(COLUMNS[what]) + " |",
-                      "| --- " * (4 + len(COLUMNS[what])) + "|"]
+            lines += [
+                "",
+                f"| {what} | limiters | load | words by | " + " | ".join(COLUMNS[what]) + " |",
+                "| --- " * (4 + len(COLUMNS[what])) + "|",
+            ]
         cells = []
         for name in COLUMNS[what]:
             values = [row[name] for row in own]
             digits = 0 if max(values) >= 10 else 3
-            cells.append(f"{sum(values) / len(values):.{digits}f} ({min(values):.{digits}f} to {max(values):.{digits}f})")
+            cells.append(
+                f"{sum(values) / len(values):.{digits}f} ({min(values):.{digits}f} to {max(values):.{digits}f})"
+            )
         lines.append(f"| {kind} | {limiters} | {scale} | {way} | " + " | ".join(cells) + " |")
     return "\n".join(lines).strip()
 
@@ -233,20 +335,37 @@
     kinds = [key for key in groups(rows) if key[0] == "bad"]
     places = sorted({key[1:4] for key in kinds})
     for offset, way in enumerate(WAYS):
-        values = [[row["sent_to_bad"] for row in groups(rows).get(("bad", *place, way), [])] for place in places]
-        left.boxplot(values, positions=[n * 4 + offset for n in range(len(places))], widths=0.8, showfliers=False,
-                     boxprops={"color": f"C{offset}"}, medianprops={"color": f"C{offset}"})
+        values = [
+            [row["sent_to_bad"] for row in groups(rows).get(("bad", *place, way), [])] for place in places
+        ]
+        left.boxplot(
+            values,
+            positions=[n * 4 + offset for n in range(len(places))],
+            widths=0.8,
+            showfliers=False,
+            boxprops={"color": f"C{offset}"},
+            medianprops={"color": f"C{offset}"},
+        )
         left.plot([], [], color=f"C{offset}", label=f"words: {way}")
-    left.set_xticks([n * 4 + 1 for n in range(len(places))],
-                    [f"{kind}\n{limiters}, {scale}" for kind, limiters, scale in places], fontsize=7)
+    left.set_xticks(
+        [n * 4 + 1 for n in range(len(places))],
+        [f"{kind}\n{limiters}, {scale}" for kind, limiters, scale in places],
+        fontsize=7,
+    )
     left.set_yscale("log")
     left.set_title(f"tries sent to one bad server in {BAD_FOR:.0f} s (limiters, load)")
     left.legend()
     for mark, kind in (("o", "replace"), ("s", "split")):
         for colour, way in (("C0", "none"), ("C2", "peers")):
             own = [row for row in rows if row["what"] == "cold" and row["kind"] == kind and row["way"] == way]
-            right.plot([row["limiters"] for row in own], [row["push"] for row in own], mark, color=colour,
-                       label=f"{kind}, words: {way}", alpha=0.6)
+            right.plot(
+                [row["limiters"] for row in own],
+                [row["push"] for row in own],
+                mark,
+                color=colour,
+                label=f"{kind}, words: {way}",
+                alpha=0.6,
+            )
     right.axhline(1.0, color="red", lw=0.8)
     right.set_xscale("log")
     right.set_xlabel("limiters")
--- a/brookhub/links/relay.py
+++ b/brookhub/links/relay.py
@@ -36,8 +36,13 @@
         self.thread = threading.Thread(target=self.run, daemon=True)
         self.thread.start()
 
-    def tcp(self, name: str, target: tuple[str, int], source: str | None = None,
-            listen: tuple[str, int] = ("127.0.0.1", 0)) -> "TcpLink":
+    def tcp(
+        self,
+        name: str,
+        target: tuple[str, int],
+        source: str | None = None,
+        listen: tuple[str, int] = ("127.0.0.1", 0),
+    ) -> "TcpLink":
         """A relay to `target`; it dials from the address `source`, so the target sees whose link it is."""
         link = TcpLink(self, name, target, source, listen)
         self.links.append(link)
@@ -83,6 +88,7 @@
                 work()
             finally:
                 done.set()
+
         self.todo.append(job)
         self.wake_out.send(b"x")
         done.wait(5.0)
@@ -94,6 +100,7 @@
                 link.shut()
             for mesh in self.meshes:
                 mesh.shut()
+
         if not self.over:
             self.call(end)
             self.thread.join(5.0)
@@ -105,7 +112,9 @@
 class TcpLink:
     """A relay for TCP. Directions: `forward` from who dials it to the target, `back` the other way."""
 
-    def __init__(self, relays: Relays, name: str, target: tuple[str, int], source: str | None, listen: tuple[str, int]):
+    def __init__(
+        self, relays: Relays, name: str, target: tuple[str, int], source: str | None, listen: tuple[str, int]
+    ):
         self.relays, self.name, self.target, self.source = relays, name, target, source
         self.forward, self.back = Way(f"{relays.seed}/{name}/forward"), Way(f"{relays.seed}/{name}/back")
         self.pairs: set[Pair] = set()
@@ -118,10 +127,12 @@
 
     def set(self, way: str = "both", refuse: bool | None = None, **changes) -> None:
         """Change a direction (`forward`, `back`, `both`); `refuse` turns new connections away for both."""
+
         def work() -> None:
             for one in self.ways(way):
                 one.set(**changes)
             self.renew(self.refusing if refuse is None else refuse)
+
         for one in self.ways(way):  # a wrong word is told to the caller, not to the relays' thread
             Way(0).set(**changes)
         self.relays.call(work)
@@ -131,6 +142,7 @@
             for one in self.ways("both"):
                 one.clear()
             self.renew(False)
+
         self.relays.call(work)
 
     def reset_all(self) -> None:
@@ -245,7 +257,8 @@
             other = self.halves[1] if half is self.halves[0] else self.halves[0]
             due = other.held and not other.way.now.cut and other.held[0][0] <= now
             mask = (selectors.EVENT_READ if reading else 0) | (
-                selectors.EVENT_WRITE if due or (half.source is self.dialled and not self.up) else 0)
+                selectors.EVENT_WRITE if due or (half.source is self.dialled and not self.up) else 0
+            )
             sock, had = half.source, self.masks[half.source]
             if mask != had:
                 self.masks[sock] = mask
@@ -351,8 +364,12 @@
             sock.bind(("127.0.0.1", 0))
             sock.setblocking(False)
             self.sockets[pair] = sock
-        relays.call(lambda: [relays.selector.register(sock, selectors.EVENT_READ, lambda mask, pair=pair: self.come(pair))
-                             for pair, sock in self.sockets.items()])
+        relays.call(
+            lambda: [
+                relays.selector.register(sock, selectors.EVENT_READ, lambda mask, pair=pair: self.come(pair))
+                for pair, sock in self.sockets.items()
+            ]
+        )
 
     def address(self, a: str, b: str) -> str:
         return "%s:%d" % self.sockets[a, b].getsockname()
--- a/brookhub/maintenance/__init__.py
+++ b/brookhub/maintenance/__init__.py
@@ -7,5 +7,21 @@
 from .messages import FILLING, LEAVING, OPEN, TOPIC, Report, Table, Unreadable, pack, unpack
 from .plan import Machine, Plan, fits, order
 
-__all__ = ["FILLING", "LEAVING", "Machine", "Maintenance", "MaintenancePort", "OPEN", "Plan", "Report", "Settings", "TOPIC",
-           "Table", "Unreadable", "fits", "order", "pack", "unpack"]
+__all__ = [
+    "FILLING",
+    "LEAVING",
+    "Machine",
+    "Maintenance",
+    "MaintenancePort",
+    "OPEN",
+    "Plan",
+    "Report",
+    "Settings",
+    "TOPIC",
+    "Table",
+    "Unreadable",
+    "fits",
+    "order",
+    "pack",
+    "unpack",
+]
--- a/brookhub/maintenance/core.py
+++ b/brookhub/maintenance/core.py
@@ -13,8 +13,24 @@
 import msgspec
 from xxhash import xxh3_64_intdigest
 
-from .messages import (FILLING, LEAVING, MOST_PIECES, NOTHING_SAID, OPEN, PIECE, Heard, Offer, Pass, Piece, Read, Report, State,
-                       Table, Told, Want)
+from .messages import (
+    FILLING,
+    LEAVING,
+    MOST_PIECES,
+    NOTHING_SAID,
+    OPEN,
+    PIECE,
+    Heard,
+    Offer,
+    Pass,
+    Piece,
+    Read,
+    Report,
+    State,
+    Table,
+    Told,
+    Want,
+)
 from .plan import Machine, Plan, fits, order
 from .register import Register, leased
 
@@ -42,7 +58,9 @@
     """Times in s, the same at all limiters. `ends_in`: the longest client timeout, after which nothing of a limiter that fell
     silent is out any more."""
 
-    lease: float = 3.0  # longer than a datagram's way, a garbage pause and a lost renewal together; short against work
+    lease: float = (
+        3.0  # longer than a datagram's way, a garbage pause and a lost renewal together; short against work
+    )
     ends_in: float = 3.0
     offer: float = 1.0  # between two tellings of a plan to one peer; 0: none
     settle: float = 10.0  # that a plan which halted has to be well again until it goes on
@@ -62,7 +80,12 @@
         self.refused: dict[str, int] = {}  # digests of plans that conflict -> version
         self.pieces: dict[int, bytes] = {}
         # Each goes round the others from a place of its own: all in step would tell the same ones.
-        self.wanted, self.asking_at, self.offer_at, self.turn = "", self.born, self.born, xxh3_64_intdigest(me) % 2 ** 20
+        self.wanted, self.asking_at, self.offer_at, self.turn = (
+            "",
+            self.born,
+            self.born,
+            xxh3_64_intdigest(me) % 2**20,
+        )
         self.told, self.told_mark = Table(), NOTHING_SAID  # the newest table known to be held by a majority
         self.holding: tuple[str, ...] = ()
         self.try_at, self.asks = self.born, 0  # when it asks to lead, where nobody seems to; how often it did
@@ -81,8 +104,13 @@
         if self.plan and plan.version == self.plan.version and digest != self.digest:
             if digest not in self.refused:
                 self.refused[digest] = plan.version
-                self.port.log("plan refused", version=plan.version, digest=digest, held=self.digest,
-                              why="another plan of this version is held")
+                self.port.log(
+                    "plan refused",
+                    version=plan.version,
+                    digest=digest,
+                    held=self.digest,
+                    why="another plan of this version is held",
+                )
             return f"version {plan.version} is held with digest {self.digest}, this one has {digest}"
         if self.plan and plan.version < self.plan.version:
             return f"version {plan.version} is older than {self.plan.version}, digest {self.digest}"
@@ -97,8 +125,19 @@
                 if name != self.me:
                     self.port.send(name, Offer(plan.version, digest))
         if self.register is None:
-            self.register = Register(self.me, plan.voters, self.settings.lease, plan.start_within_s, self.born, self.say,
-                                     self.report, self.heard, self.learned, self.knew, lambda: sorted(self.port.listed()))
+            self.register = Register(
+                self.me,
+                plan.voters,
+                self.settings.lease,
+                plan.start_within_s,
+                self.born,
+                self.say,
+                self.report,
+                self.heard,
+                self.learned,
+                self.knew,
+                lambda: sorted(self.port.listed()),
+            )
             self.try_at = self.port.now() + self.rank() * self.settings.lease / 4
         self.keep_off(self.told if self.told_mark > self.register.mark else self.register.table)
         return ""
@@ -113,15 +152,22 @@
 
     def offered(self, peer: str, message: Offer, now: float) -> None:
         held = self.plan.version if self.plan else 0
-        if message.version > held and (self.wanted != message.digest or now >= self.asking_at + self.settings.offer):
+        if message.version > held and (
+            self.wanted != message.digest or now >= self.asking_at + self.settings.offer
+        ):
             if self.wanted != message.digest:
                 self.wanted, self.pieces = message.digest, {}
             self.asking_at = now
             self.port.send(peer, Want(message.digest, len(self.pieces)))
         elif message.version == held and message.digest != self.digest and message.digest not in self.refused:
             self.refused[message.digest] = message.version
-            self.port.log("plan refused", version=message.version, digest=message.digest, held=self.digest,
-                          why="another plan of this version is held")
+            self.port.log(
+                "plan refused",
+                version=message.version,
+                digest=message.digest,
+                held=self.digest,
+                why="another plan of this version is held",
+            )
         elif message.version < held:
             self.port.send(peer, Offer(held, self.digest))
 
@@ -145,7 +191,9 @@
             data = msgspec.msgpack.encode(self.plan)
             pieces = max(1, -(-len(data) // PIECE))
             if message.piece < pieces <= MOST_PIECES:
-                self.port.send(peer, Piece(self.digest, message.piece, pieces, data[message.piece * PIECE:][:PIECE]))
+                self.port.send(
+                    peer, Piece(self.digest, message.piece, pieces, data[message.piece * PIECE :][:PIECE])
+                )
 
     # what arrives
 
@@ -177,7 +225,11 @@
         """The register's words. Who remembers nothing needs every voter's answer: where it asks in vain (a link may be cut one way)
         question and answer also go by a third, another one each time."""
         self.port.send(peer, message)
-        if isinstance(message, (Read, State)) and message.number > ASKED_AGAIN and peer in self.register.everyone():
+        if (
+            isinstance(message, (Read, State))
+            and message.number > ASKED_AGAIN
+            and peer in self.register.everyone()
+        ):
             others = sorted(name for name in self.port.present() if name != peer)
             if others:
                 self.port.send(others[message.number % len(others)], Pass(self.me, peer, message))
@@ -193,7 +245,11 @@
 
     def report(self) -> Report:
         """What goes with each vote and answer."""
-        quiet = tuple(name for name in self.holding if self.plan and (one := self.plan.machine(name)) and self.port.quiet(one))
+        quiet = tuple(
+            name
+            for name in self.holding
+            if self.plan and (one := self.plan.machine(name)) and self.port.quiet(one)
+        )
         return Report(quiet, *self.port.lately())
 
     # every limiter: keeps off the machines that are out
@@ -208,7 +264,11 @@
 
     def keep_off(self, table: Table) -> None:
         # A table may come before its plan: what its machines are is known only with that.
-        holding = tuple(name for name, step in table.outs if step in (LEAVING, OPEN) and self.plan and self.plan.machine(name))
+        holding = tuple(
+            name
+            for name, step in table.outs
+            if step in (LEAVING, OPEN) and self.plan and self.plan.machine(name)
+        )
         if holding != self.holding:
             self.holding = holding
             self.port.hold(holding)
@@ -240,20 +300,29 @@
         elif now >= self.try_at:
             # Those that asked at one moment must not do so again: drawn by name and number, the same each time it is played.
             self.asks = (self.asks + 1) % 64
-            drawn = xxh3_64_intdigest(f"{self.me}/{self.asks}") / 2 ** 64
+            drawn = xxh3_64_intdigest(f"{self.me}/{self.asks}") / 2**64
             self.try_at = now + self.settings.lease * (1 + drawn * len(register.voters()) / 2)
             register.ask(now)
 
     def rank(self) -> int:
         """This one's place among the voters that are there."""
         here = {*self.port.present(), self.me}
-        return sorted((name not in here, name) for name in self.register.voters()).index((False, self.me)) \
-            if self.me in self.register.voters() else len(self.register.voters())
+        return (
+            sorted((name not in here, name) for name in self.register.voters()).index((False, self.me))
+            if self.me in self.register.voters()
+            else len(self.register.voters())
+        )
 
     def finished(self, table: Table) -> bool:
         """Whether nothing is left to do: all machines of the newest plan known here are done, and none is out."""
-        return (table.digest == self.digest and table.done == self.plan.everything() and not table.outs
-                and not (self.plan.voters_next and set(self.plan.voters_next) != set(table.voters or self.plan.voters)))
+        return (
+            table.digest == self.digest
+            and table.done == self.plan.everything()
+            and not table.outs
+            and not (
+                self.plan.voters_next and set(self.plan.voters_next) != set(table.voters or self.plan.voters)
+            )
+        )
 
     # the steward
 
@@ -270,9 +339,15 @@
         if not self.led:
             self.led, self.since, self.started, self.late, self.well_at = True, {}, {}, {}, now
             self.freed_at = now - (0 if register.held.outs else 1e9)
-            self.port.log("steward", steward=self.me, version=register.held.version, digest=register.held.digest)
+            self.port.log(
+                "steward", steward=self.me, version=register.held.version, digest=register.held.digest
+            )
         table = register.held
-        if self.told_mark[:2] != register.ballot or table != self.told or now >= register.sent_at + settings.lease / 3:
+        if (
+            self.told_mark[:2] != register.ballot
+            or table != self.told
+            or now >= register.sent_at + settings.lease / 3
+        ):
             self.spread(table)
         following = self.follow(table, now)
         if following != table or now >= register.sent_at + settings.lease / 3:
@@ -292,11 +367,20 @@
         """The table as it should be next; the steward writes it, and acts on it only once a majority holds it."""
         plan = self.plan
         if plan.version > table.version:
-            return msgspec.structs.replace(table, version=plan.version, digest=self.digest, done=0, halted="",
-                                           voters=table.voters or plan.voters, resume=plan.resume,
-                                           load=tuple(sorted((zone, round(load, 1)) for zone, load in self.port.load().items())))
+            return msgspec.structs.replace(
+                table,
+                version=plan.version,
+                digest=self.digest,
+                done=0,
+                halted="",
+                voters=table.voters or plan.voters,
+                resume=plan.resume,
+                load=tuple(sorted((zone, round(load, 1)) for zone, load in self.port.load().items())),
+            )
         if table.digest != self.digest:
-            return table  # a majority holds another plan of this version, or a newer one that is on its way here
+            return (
+                table  # a majority holds another plan of this version, or a newer one that is on its way here
+            )
         voters = table.voters or plan.voters
         if plan.voters_next and set(voters) != set(plan.voters_next):
             return msgspec.structs.replace(table, voters=self.one_changed(voters, plan.voters_next))
@@ -318,7 +402,10 @@
 
     def one_changed(self, voters: tuple, following: tuple) -> tuple:
         """One voter more or less at a time: any majority before shares one with any majority after."""
-        more, less = [one for one in following if one not in voters], [one for one in voters if one not in following]
+        more, less = (
+            [one for one in following if one not in voters],
+            [one for one in voters if one not in following],
+        )
         return (*voters, more[0]) if more else tuple(one for one in voters if one != less[0])
 
     def moved(self, table: Table, name: str, step: int = 0, done: bool = False) -> Table:
@@ -327,18 +414,29 @@
         return msgspec.structs.replace(table, outs=outs, done=table.done | bit)
 
     def step(self, table: Table, machine: Machine, step: int, now: float) -> Table:
-        name, plan, up, waited = machine.name, self.plan, self.port.up(machine), now - self.since[machine.name]
+        name, plan, up, waited = (
+            machine.name,
+            self.plan,
+            self.port.up(machine),
+            now - self.since[machine.name],
+        )
         if step == LEAVING:
             if table.halted and up:
-                self.port.log("brought back", machine=name, why="the plan halted and nobody had started on it")
+                self.port.log(
+                    "brought back", machine=name, why="the plan halted and nobody had started on it"
+                )
                 return self.moved(table, name)
             if self.all_quiet(machine, now):
                 return self.moved(table, name, OPEN)
         elif step == OPEN:
             if name not in self.late:
                 self.late[name] = False
-                self.port.log("safe to work on " + name, machine=name, start_within_s=plan.start_within_s,
-                              work_most_s=plan.work_most_s)
+                self.port.log(
+                    "safe to work on " + name,
+                    machine=name,
+                    start_within_s=plan.start_within_s,
+                    work_most_s=plan.work_most_s,
+                )
             self.started[name] = self.started.get(name, False) or not up
             # Down and up again may also have been a failure of its own: as long as somebody may yet start it stays out.
             begun = waited >= leased(plan.start_within_s)
@@ -346,7 +444,11 @@
                 self.port.log("back", machine=name)
                 return self.moved(table, name, FILLING)
             if up and begun:  # whoever wanted to start had to be gone from the list by now
-                self.port.log("withdrawn", machine=name, why=f"nobody started within {plan.start_within_s:.0f} s: ask again")
+                self.port.log(
+                    "withdrawn",
+                    machine=name,
+                    why=f"nobody started within {plan.start_within_s:.0f} s: ask again",
+                )
                 self.late.pop(name, None)
                 return self.moved(table, name)
             if not up and waited >= plan.work_most_s and not self.late[name]:
@@ -371,7 +473,11 @@
             at, report = self.reports.get(name, (-1e9, None))
             if at >= since and machine.name in report.quiet:
                 continue
-            last = max(since, at) + self.settings.lease if name in here else max(since, self.seen.get(name, since))
+            last = (
+                max(since, at) + self.settings.lease
+                if name in here
+                else max(since, self.seen.get(name, since))
+            )
             if now < last + wait:
                 return False
         return True
@@ -389,7 +495,9 @@
             why = "work takes longer than the plan allows"
         elif asked >= self.settings.asked_least and served < plan.served_least * asked:
             why = f"{served / asked:.3f} of the calls are served, {plan.served_least:g} is the least"
-        elif served >= self.settings.asked_least and plan.answer_most_s and took > plan.answer_most_s * served:
+        elif (
+            served >= self.settings.asked_least and plan.answer_most_s and took > plan.answer_most_s * served
+        ):
             why = f"an answer takes {took / served:.2f} s in the mean, {plan.answer_most_s:g} s is the most"
         if why:
             self.well_at = now
@@ -399,8 +507,11 @@
         return "" if not table.halted or told or now - self.well_at >= self.settings.settle else table.halted
 
     def sums(self, now: float) -> tuple[float, float, float]:
-        fresh = [self.port.lately()] + [(one.asked, one.served, one.took) for at, one in self.reports.values()
-                                        if now - at < self.settings.lease]
+        fresh = [self.port.lately()] + [
+            (one.asked, one.served, one.took)
+            for at, one in self.reports.values()
+            if now - at < self.settings.lease
+        ]
         return tuple(sum(figures) for figures in zip(*fresh))
 
     def permit(self, table: Table, now: float) -> Table:
--- a/brookhub/maintenance/messages.py
+++ b/brookhub/maintenance/messages.py
@@ -7,13 +7,17 @@
 import msgspec
 
 TOPIC = 2  # of maintenance among membership's words
-LEAVING, OPEN, FILLING = 1, 2, 3  # a machine's steps: permitted, safe to work on, back and filled as a cold one
+LEAVING, OPEN, FILLING = (
+    1,
+    2,
+    3,
+)  # a machine's steps: permitted, safe to work on, back and filled as a cold one
 NOTHING_SAID = (0, "", 0)
 PIECE = 900  # bytes of a plan in a message, below membership.WORD_MOST with its head
 MOST_PIECES = 64
 
 Name = Annotated[str, msgspec.Meta(max_length=32)]
-Count = Annotated[int, msgspec.Meta(ge=0, le=2 ** 40)]
+Count = Annotated[int, msgspec.Meta(ge=0, le=2**40)]
 Digest = Annotated[str, msgspec.Meta(max_length=16)]
 Ballot = tuple[Count, Name]
 Mark = tuple[Count, Name, Count]  # ballot and serial: the order of tables
@@ -38,7 +42,9 @@
     halted: Annotated[str, msgspec.Meta(max_length=120)] = ""
     voters: tuple[Name, ...] = ()
     resume: Count = 0
-    load: tuple[tuple[Annotated[str, msgspec.Meta(max_length=32)], float], ...] = ()  # by zone, when the plan began
+    load: tuple[
+        tuple[Annotated[str, msgspec.Meta(max_length=32)], float], ...
+    ] = ()  # by zone, when the plan began
 
     def step(self, name: str) -> int:
         return dict(self.outs).get(name, 0)
@@ -55,11 +61,13 @@
 
 class Ask(Struct):
     """May I lead?"""
+
     ballot: Ballot
 
 
 class Grant(Struct):
     """For a lease's time, with the table that I hold."""
+
     ballot: Ballot
     mark: Mark
     table: Table
@@ -67,12 +75,14 @@
 
 class Deny(Struct):
     """Another leads, or leads by a later ballot."""
+
     ballot: Ballot
     promised: Ballot
 
 
 class Write(Struct):
     """Hold this table, and the lease anew."""
+
     mark: Mark
     table: Table
 
@@ -84,6 +94,7 @@
 
 class Read(Struct):
     """What do you hold? Asked by one that started with nothing."""
+
     number: Count
 
 
@@ -98,6 +109,7 @@
 
 class Pass(Struct):
     """Between two of which one does not hear the other: a third hands it on."""
+
     origin: Name
     to: Name
     message: Union[Read, State]
@@ -105,18 +117,21 @@
 
 class Told(Struct):
     """A table that a majority holds, for those that do not vote."""
+
     mark: Mark
     table: Table
 
 
 class Heard(Struct):
     """The answer to Told."""
+
     mark: Mark
     report: Report
 
 
 class Offer(Struct):
     """I have this plan."""
+
     version: Count
     digest: Digest
 
--- a/brookhub/maintenance/plan.py
+++ b/brookhub/maintenance/plan.py
@@ -9,7 +9,9 @@
 
 import msgspec
 
-DIGITS = 12  # of a plan's digest: hexadecimal, enough to tell the plans of one site apart and to be read aloud
+DIGITS = (
+    12  # of a plan's digest: hexadecimal, enough to tell the plans of one site apart and to be read aloud
+)
 
 
 class Machine(msgspec.Struct, frozen=True, array_like=True):
@@ -34,10 +36,14 @@
     served_least: float = 0.0  # share of the fleet's API calls that must be served, else the plan halts
     answer_most_s: float = 0.0  # s that an answer may take in the mean, else it halts; 0: not looked at
     work_most_s: float = 3600.0  # s that work may take, else it halts and says so
-    start_within_s: float = 60.0  # s from "safe to work" by which the machine has to be gone from discovery's list
+    start_within_s: float = (
+        60.0  # s from "safe to work" by which the machine has to be gone from discovery's list
+    )
     fill_s: float = 30.0  # s that one that came back is filled before its slot is free
     pause_s: float = 5.0  # s between a slot's end and the next permit
-    voters_next: tuple[str, ...] = ()  # who is to vote instead, changed by the leader once the plan runs; (): the same
+    voters_next: tuple[
+        str, ...
+    ] = ()  # who is to vote instead, changed by the leader once the plan runs; (): the same
     resume: int = 0  # raised by the operator to go on after a halt
 
     def digest(self) -> str:
@@ -64,17 +70,33 @@
     zones = sorted(room, key=lambda zone: (load.get(zone, 0.0) / max(room[zone], 1e-9), zone))
 
     def lane(of: list[Machine]) -> list[Machine]:
-        rows = [sorted((one for one in of if one.zone == zone), key=lambda one: (one.capacity, one.name)) for zone in zones]
+        rows = [
+            sorted((one for one in of if one.zone == zone), key=lambda one: (one.capacity, one.name))
+            for zone in zones
+        ]
         return [row[at] for at in range(max(map(len, rows), default=0)) for row in rows if at < len(row)]
+
     first = [one for one in plan.machines if one.name in down]
     rest = [one for one in plan.machines if one.name not in down]
-    return lane(first) + lane([one for one in rest if not one.limiter]) + lane([one for one in rest if one.limiter])
+    return (
+        lane(first)
+        + lane([one for one in rest if not one.limiter])
+        + lane([one for one in rest if one.limiter])
+    )
 
 
 def fits(plan: Plan, name: str, away: set[str]) -> bool:
     """Whether this machine may go out beside those that are away (permitted, or down by themselves)."""
-    machine, others = plan.machine(name), [one for one in plan.machines if one.name in away and one.name != name]
-    if len(others) + 1 > plan.most_out or sum(one.zone == machine.zone for one in others) + 1 > plan.most_zone:
+    machine, others = (
+        plan.machine(name),
+        [one for one in plan.machines if one.name in away and one.name != name],
+    )
+    if (
+        len(others) + 1 > plan.most_out
+        or sum(one.zone == machine.zone for one in others) + 1 > plan.most_zone
+    ):
         return False
     total = sum(one.capacity for one in plan.machines)
-    return total - machine.capacity - sum(one.capacity for one in others) >= plan.capacity_least * total - 1e-9
+    return (
+        total - machine.capacity - sum(one.capacity for one in others) >= plan.capacity_least * total - 1e-9
+    )
--- a/brookhub/maintenance/register.py
+++ b/brookhub/maintenance/register.py
@@ -18,7 +18,6 @@
 NOBODY = (0, "")
 
 
-
 def leased(lease: float) -> float:
     """s that a voter keeps to a lease of so many s: whatever the two clocks do, it ends after the leader's."""
     return lease * (1 + DRIFT) / (1 - DRIFT)
@@ -28,9 +27,20 @@
     """One limiter's part. `lease` s; `voters` the first ones, later a table names them. `send(peer, message)`; `report()` goes with each vote for the leader to hear; `heard(peer, report)`
     is told at the leader; `adopt(table)` whenever a newer table is known here, held by a majority or not."""
 
-    def __init__(self, me: str, voters: tuple[str, ...], lease: float, alone: float, now: float,
-                 send: Callable, report: Callable[[], Report], heard: Callable, adopt: Callable, knows: bool = False,
-                 listed: Callable[[], list[str]] = lambda: []):
+    def __init__(
+        self,
+        me: str,
+        voters: tuple[str, ...],
+        lease: float,
+        alone: float,
+        now: float,
+        send: Callable,
+        report: Callable[[], Report],
+        heard: Callable,
+        adopt: Callable,
+        knows: bool = False,
+        listed: Callable[[], list[str]] = lambda: [],
+    ):
         """`alone`: s that one abstains where nobody remembers anything (a permission to start has run out by then). `listed`: all
         limiters: those without a vote were told the tables too, and remember them for voters that all forgot."""
         self.me, self.lease, self.alone, self.born = me, lease, alone, now
@@ -78,7 +88,17 @@
         elif isinstance(message, Wrote):
             self.confirmed(peer, message, now)
         elif isinstance(message, Read):
-            self.send(peer, State(message.number, self.abstains or not self.votes(), self.promised, self.mark, self.table, now < self.until))
+            self.send(
+                peer,
+                State(
+                    message.number,
+                    self.abstains or not self.votes(),
+                    self.promised,
+                    self.mark,
+                    self.table,
+                    now < self.until,
+                ),
+            )
         elif isinstance(message, State):
             self.told(peer, message, now)
 
@@ -122,7 +142,12 @@
     def tick(self, now: float) -> None:
         if self.leads and now >= self.valid_until:
             self.step_down()
-        if self.abstains and self.votes() and now >= self.born + leased(self.lease) and now >= self.read_at + self.lease / 3:
+        if (
+            self.abstains
+            and self.votes()
+            and now >= self.born + leased(self.lease)
+            and now >= self.read_at + self.lease / 3
+        ):
             # What it may have voted for before is void by now, so whatever a majority holds, others remember.
             self.number, self.read_at, self.reads = self.number + 1, now, {}
             for name in dict.fromkeys(self.everyone() + self.listed()):
@@ -142,10 +167,14 @@
         if best:
             self.learn(best.mark, best.table)
         remember = [name for name, one in self.reads.items() if not one.abstains]
-        all_of_them = all(name in self.reads for name in self.everyone()) and now >= self.born + leased(self.alone)
+        all_of_them = all(name in self.reads for name in self.everyone()) and now >= self.born + leased(
+            self.alone
+        )
         if self.enough(remember, known) and self.enough(remember, self.voters()) or all_of_them:
             self.abstains = False
-            self.promised = max([self.promised, self.mark[:2], *(one.promised for one in self.reads.values())])
+            self.promised = max(
+                [self.promised, self.mark[:2], *(one.promised for one in self.reads.values())]
+            )
             if any(one.leased for one in self.reads.values()):
                 self.until = now + leased(self.lease)
 
@@ -155,9 +184,15 @@
         """Ask all voters to lead, under a ballot of its own."""
         if self.abstains or not self.votes():
             return
-        self.ballot, self.asked_at, self.grants = (max(self.promised[0], self.ballot[0]) + 1, self.me), now, {}
+        self.ballot, self.asked_at, self.grants = (
+            (max(self.promised[0], self.ballot[0]) + 1, self.me),
+            now,
+            {},
+        )
         self.leads, self.pending, self.held = False, None, None
-        if self.grants_to(self.ballot, now):  # no lease to itself before it is elected: one that asks in vain is in nobody's way
+        if self.grants_to(
+            self.ballot, now
+        ):  # no lease to itself before it is elected: one that asks in vain is in nobody's way
             self.promised = self.ballot
             self.grants[self.me] = Grant(self.ballot, self.mark, self.table)
         for name in self.everyone():
@@ -176,9 +211,13 @@
             return
         if self.enough(self.grants, self.voters()) and self.enough(self.grants, self.voters(best.table)):
             self.leads, self.valid_until, self.serial = True, self.asked_at + self.lease, 0
-            self.until = max(self.until, self.asked_at + leased(self.lease)) if self.me in self.grants else self.until
+            self.until = (
+                max(self.until, self.asked_at + leased(self.lease)) if self.me in self.grants else self.until
+            )
             self.learn(best.mark, best.table)
-            self.write(self.table, now)  # what is known to some has to be held by a majority before it is built on
+            self.write(
+                self.table, now
+            )  # what is known to some has to be held by a majority before it is built on
 
     def denied(self, message: Deny) -> None:
         if message.promised > self.promised and message.ballot == self.ballot:
@@ -221,7 +260,9 @@
             self.committed(now)
 
     def committed(self, now: float) -> None:
-        if self.pending is None or now >= self.sent_at + self.lease:  # an old vote may be of one that has forgotten it
+        if (
+            self.pending is None or now >= self.sent_at + self.lease
+        ):  # an old vote may be of one that has forgotten it
             return
         before = self.voters(self.held or self.table)
         if all(self.enough(self.wrote, voters) for voters in (before, self.voters(self.pending))):
--- a/brookhub/membership/__init__.py
+++ b/brookhub/membership/__init__.py
@@ -9,5 +9,19 @@
 from .members import ABSENT, ALIVE, DEAD, LEFT, SUSPECT, UNHEARD, WORDS
 from .messages import LARGEST, WORD_MOST, Unreadable, decode
 
-__all__ = ["ABSENT", "ALIVE", "DEAD", "Heartbeats", "LARGEST", "LEFT", "Membership", "MembershipPort",
-           "SUSPECT", "UNHEARD", "Unreadable", "WORDS", "WORD_MOST", "decode"]
+__all__ = [
+    "ABSENT",
+    "ALIVE",
+    "DEAD",
+    "Heartbeats",
+    "LARGEST",
+    "LEFT",
+    "Membership",
+    "MembershipPort",
+    "SUSPECT",
+    "UNHEARD",
+    "Unreadable",
+    "WORDS",
+    "WORD_MOST",
+    "decode",
+]
--- a/brookhub/membership/core.py
+++ b/brookhub/membership/core.py
@@ -20,7 +20,9 @@
 HELPERS = 3  # members asked to probe for one: with 10% loss one in 25 such rounds fails
 CONFIRM = 3  # further members whose suspicion brings its time down to the least
 LEAST, LEAST_LOG = 3.0, 1.2  # periods of the shortest suspicion: at least, and for each factor of ten members
-LONGER = 4.0  # times the shortest that an unconfirmed suspicion lasts: a lost refutation has time to come again
+LONGER = (
+    4.0  # times the shortest that an unconfirmed suspicion lasts: a lost refutation has time to come again
+)
 ASKS = 0.5  # of a suspicion's time from which the suspect itself is asked: it may have put it right, unheard here
 HEALTH_MOST = 8  # of own doubts: a period and a wait for answers are up to so many times longer, plus one
 SLEPT = 2.0  # periods that a timer may come late before this member takes itself for the one that was away
@@ -33,7 +35,9 @@
 REACH_FIRST, HURRY = 0.15, 3.0  # s between them at first, while most are unheard, and how long
 EXCHANGE = 2.0  # s between sendings of a part of the table to one member: what news missed, with flat cost
 SLICE = 450  # bytes of that part
-GROGGY = 1.0  # s after it slept in which a member takes news of deaths for suspicions: they waited, and may be old
+GROGGY = (
+    1.0  # s after it slept in which a member takes news of deaths for suspicions: they waited, and may be old
+)
 SHRINK = 5.0  # s that a fleet grown smaller counts as it was: longer than a stall or a flap is
 LEAVES_TO = 8  # members told directly of a planned end
 
@@ -55,8 +59,16 @@
 
     Tell it `received` (decoded messages with the listed name they came from), `relist`, `leave`; start it once."""
 
-    def __init__(self, port: MembershipPort, fleet: str, name: str, peers: Iterable[str], seed: int, period: float = 0.25,
-                 lifeguard: bool = True):
+    def __init__(
+        self,
+        port: MembershipPort,
+        fleet: str,
+        name: str,
+        peers: Iterable[str],
+        seed: int,
+        period: float = 0.25,
+        lifeguard: bool = True,
+    ):
         self.port, self.fleet, self.name, self.period, self.lifeguard = port, fleet, name, period, lifeguard
         self.rng, self.members = Random(f"{seed}/{name}"), {}
         self.incarnation, self.state, self.health = 0, ALIVE, 0
@@ -70,7 +82,10 @@
         self.pulsing = self.over = False
         self.numbers: tuple[int, int, int] | None = None  # as last told: live, rank, sure
         self.cursor, self.started = 0, port.now
-        self.due, self.woke = port.now, -GROGGY  # s: when the next probe is to be made; when it last had slept
+        self.due, self.woke = (
+            port.now,
+            -GROGGY,
+        )  # s: when the next probe is to be made; when it last had slept
         self.counts: Counter = Counter()  # datagrams and bytes sent, messages dropped and why, refutations
         self.present: set[str] = set()
         self.names: list[str] = []
@@ -136,7 +151,12 @@
             wronged = wronged or piece[0] == self.name and piece[1] != ALIVE
             self.hear(*piece, table=table)
         if message.kind == PING:  # who thinks wrongly of this member hears at once how it is, new or not
-            self.send(peer, ACK, message.number, news=self.yours(peer) + ([self.piece(self.name)] if wronged else []))
+            self.send(
+                peer,
+                ACK,
+                message.number,
+                news=self.yours(peer) + ([self.piece(self.name)] if wronged else []),
+            )
         elif message.kind == ACK:
             self.answered(peer, message)
         elif message.kind == PING_FOR:
@@ -146,7 +166,9 @@
         elif message.kind == WORD:
             self.port.said(peer, message.number, message.data)
         elif message.kind == HELLO:
-            self.table(peer, whole=True)  # with what is thought of it: only the member itself can put that right
+            self.table(
+                peer, whole=True
+            )  # with what is thought of it: only the member itself can put that right
         if table and message.number:  # it sent a part of its table: what is newer here goes back
             newer = [self.piece(name) for name, *told in message.news if self.newer(name, *told)]
             if newer:
@@ -255,8 +277,13 @@
             state, by = SUSPECT, self.name
         if member.overrides(state, incarnation):
             self.become(member, state, incarnation, by)
-        elif (state == SUSPECT == member.state and incarnation == member.incarnation and by not in member.by
-              and len(member.by) <= CONFIRM and self.lifeguard):
+        elif (
+            state == SUSPECT == member.state
+            and incarnation == member.incarnation
+            and by not in member.by
+            and len(member.by) <= CONFIRM
+            and self.lifeguard
+        ):
             member.by[by] = None
             self.tell(name, SUSPECT, incarnation, by)
 
@@ -275,8 +302,12 @@
             self.weigh(member)
         self.tell(name, state, incarnation, by)
         if before not in PRESENT and state in PRESENT:
-            self.order.insert(self.rng.randrange(self.turn, len(self.order) + 1) if self.turn <= len(self.order)
-                              else len(self.order), member)
+            self.order.insert(
+                self.rng.randrange(self.turn, len(self.order) + 1)
+                if self.turn <= len(self.order)
+                else len(self.order),
+                member,
+            )
         if before != state:
             self.port.changed(name, state)
             self.count()
@@ -310,7 +341,9 @@
             if waited >= patience:
                 self.hear(member.name, DEAD, member.incarnation, self.name)
             elif self.lifeguard and waited > ASKS * patience and now - member.asked >= self.period:
-                member.asked = now  # its word may have missed this one alone: asked itself before it counts as dead
+                member.asked = (
+                    now  # its word may have missed this one alone: asked itself before it counts as dead
+                )
                 self.send(member.name, PING, 0, news=self.yours(member.name))
         if self.news:
             for name in self.some(FANOUT, self.present):
@@ -370,8 +403,11 @@
 
     def newer(self, name: str, state: int, incarnation: int, by: str) -> bool:
         member = self.members.get(name)
-        return member is not None and member.state != UNHEARD and Member(name, state, incarnation).overrides(
-            member.state, member.incarnation)
+        return (
+            member is not None
+            and member.state != UNHEARD
+            and Member(name, state, incarnation).overrides(member.state, member.incarnation)
+        )
 
     # what is sent
 
@@ -387,8 +423,16 @@
         told = member is not None and member.state in (SUSPECT, DEAD, LEFT) and self.lifeguard
         return [self.piece(peer)] if told else []
 
-    def send(self, peer: str, kind: int, number: int = 0, about: str = "", news: list | None = None,
-             room: int = PIGGYBACK, chosen: bool = False) -> None:
+    def send(
+        self,
+        peer: str,
+        kind: int,
+        number: int = 0,
+        about: str = "",
+        news: list | None = None,
+        room: int = PIGGYBACK,
+        chosen: bool = False,
+    ) -> None:
         pieces = list(news or ())
         if kind == HELLO:
             pieces.append(self.piece(self.name))
@@ -425,7 +469,9 @@
         """So many of these at random (drawn over a sorted list: sets have no order to rely on)."""
         if len(among) <= most:
             return sorted(among)
-        if len(among) > len(self.names) // 2:  # draw names until enough are among them: no sorting of a large fleet
+        if (
+            len(among) > len(self.names) // 2
+        ):  # draw names until enough are among them: no sorting of a large fleet
             found: dict[str, None] = {}
             while len(found) < most:
                 name = self.names[self.rng.randrange(len(self.names))]
@@ -447,8 +493,14 @@
         if member.state in PRESENT:
             self.set_counted(member, True, True)
         else:
-            self.port.later(SHRINK, lambda: moves == member.moves and not self.over and (
-                self.set_counted(member, False, member.state != LEFT) or self.count()))
+            self.port.later(
+                SHRINK,
+                lambda: (
+                    moves == member.moves
+                    and not self.over
+                    and (self.set_counted(member, False, member.state != LEFT) or self.count())
+                ),
+            )
 
     def set_counted(self, member: Member, counted: bool, sure: bool) -> None:
         if self.members.get(member.name) is member:
--- a/brookhub/membership/messages.py
+++ b/brookhub/membership/messages.py
@@ -19,7 +19,7 @@
 
 Name = Annotated[str, msgspec.Meta(min_length=1, max_length=32)]
 Maybe = Annotated[str, msgspec.Meta(max_length=32)]
-Number = Annotated[int, msgspec.Meta(ge=0, le=2 ** 40)]
+Number = Annotated[int, msgspec.Meta(ge=0, le=2**40)]
 Piece = tuple[Name, Annotated[int, msgspec.Meta(ge=1, le=4)], Number, Maybe]
 
 
--- a/brookhub/program/log.py
+++ b/brookhub/program/log.py
@@ -31,14 +31,21 @@
 
 def setup(form: str = "json") -> None:
     """One log configuration for every sub-command: JSON lines (`json`) or a terminal's (`console`), on stderr."""
-    render = structlog.dev.ConsoleRenderer(colors=False) if form == "console" else structlog.processors.JSONRenderer()
+    render = (
+        structlog.dev.ConsoleRenderer(colors=False)
+        if form == "console"
+        else structlog.processors.JSONRenderer()
+    )
     structlog.configure(
-        processors=[structlog.processors.add_log_level,
-                    structlog.processors.TimeStamper(fmt="iso", utc=True),
-                    structlog.processors.format_exc_info,
-                    render],
+        processors=[
+            structlog.processors.add_log_level,
+            structlog.processors.TimeStamper(fmt="iso", utc=True),
+            structlog.processors.format_exc_info,
+            render,
+        ],
         logger_factory=structlog.WriteLoggerFactory(file=LossyFile(sys.stderr)),
-        cache_logger_on_first_use=True)
+        cache_logger_on_first_use=True,
+    )
 
 
 def open_log(name: str):
@@ -56,4 +63,6 @@
 
     def __call__(self, peer: str, reason: str, server, seconds: float, answers: int) -> None:
         more = {"server": f"{server.id:x}"} if server else {}
-        self.log.info("connection ended", peer=peer, reason=reason, seconds=round(seconds, 3), answers=answers, **more)
+        self.log.info(
+            "connection ended", peer=peer, reason=reason, seconds=round(seconds, 3), answers=answers, **more
+        )
--- a/brookhub/program/run.py
+++ b/brookhub/program/run.py
@@ -25,7 +25,10 @@
 SPARE = 24  # descriptors kept for the log, the listener, discovery and what is being closed
 COUNTER_LINKS = 2  # enough to have one while the other is dialled anew
 SERVER_PART = 0.25  # of the descriptors, for connections to servers: they are few for each, clients are many
-CLIENT_HELD, ALL_HELD = 0.005, 0.2  # of the memory, for answers not read by one client, by all; also bodies, values
+CLIENT_HELD, ALL_HELD = (
+    0.005,
+    0.2,
+)  # of the memory, for answers not read by one client, by all; also bodies, values
 LARGEST = 1 / 64  # of the memory, for one value of a server
 STALLED = 20.0  # s that a client may leave its answers unread
 MUTE, IDLE = 2.0, 4.0  # s until a client's connection is closed on which nothing whole came, or nothing since
@@ -35,14 +38,18 @@
 COUNTER_CONNECT, COUNTER_SILENT = 0.5, 1.0  # s to come up; s without a word while calls wait
 DISCOVERY_CONNECT, DISCOVERY_SILENT = 1.0, 4.5  # s to come up; s without a line: two are due every 4 s
 PAUSES = (0.05, 1.0)  # s between two dials, doubled while they bring nothing
-LIST_TAKES = 0.1  # s of pause for each gateway where lists are asked for: discovery has them all to answer, one by one
+LIST_TAKES = (
+    0.1  # s of pause for each gateway where lists are asked for: discovery has them all to answer, one by one
+)
 LIST_SOON, LIST_LATE = 0.5, 2.0  # shares of the time to ask in: the longest first pause, the longest of all
 LIST_AGAIN = 5.25  # s after discovery was last heard until it is called again: a change counts as told 6 s after it had
 # it and could be reached, whatever became of the calls before, and the answer needs a moment
 GRAIN = 0.001  # s between looks at the timers: each costs a thread's wake; no timer is that exact
 GARBAGE = 5000  # objects made between two looks for garbage in cycles: that of about a hundred API calls
 SIGNALS = {signal.SIGTERM, signal.SIGINT, signal.SIGHUP}
-ACCEPTS_ON = 0.45  # s after SIGTERM while new connections still come: 0.4 s, and some way; what waits then is taken
+ACCEPTS_ON = (
+    0.45  # s after SIGTERM while new connections still come: 0.4 s, and some way; what waits then is taken
+)
 LONGEST, AFTER = 3.0, 0.2  # s after SIGTERM by which all is answered: the longest client timeout, this at the
 # most, and some more; SIGKILL may come 0.7 s after that
 
@@ -66,22 +73,62 @@
         self.port = port = SocketPort(self.fault, GRAIN, self.woken)
         servers_most = max(8, int(start.sockets * SERVER_PART))
         clients_most = max(8, start.sockets - servers_most - COUNTER_LINKS - SPARE)
-        port.servers = Servers(port, ends, start.connect_within, start.server_idle_for * IDLE_PART, SETTLE,
-                               servers_most, int(start.memory * LARGEST), int(start.memory * ALL_HELD))
+        port.servers = Servers(
+            port,
+            ends,
+            start.connect_within,
+            start.server_idle_for * IDLE_PART,
+            SETTLE,
+            servers_most,
+            int(start.memory * LARGEST),
+            int(start.memory * ALL_HELD),
+        )
         self.start, chance = start, Random(start.seed).random
         port.discovery = self.discovery = Discovery(
-            port, lambda address: Dialling("discovery", address, DISCOVERY_CONNECT, list_pauses(start.terms), chance, ends,
-                                           self.fault, LIST_AGAIN),
-            start.zones, start.kinds, time() - monotonic(), DISCOVERY_SILENT)
+            port,
+            lambda address: Dialling(
+                "discovery",
+                address,
+                DISCOVERY_CONNECT,
+                list_pauses(start.terms),
+                chance,
+                ends,
+                self.fault,
+                LIST_AGAIN,
+            ),
+            start.zones,
+            start.kinds,
+            time() - monotonic(),
+            DISCOVERY_SILENT,
+        )
         if start.counter:
             port.counter = Counter(
-                port, lambda address: Dialling("counter", address, COUNTER_CONNECT, PAUSES, chance, ends, self.fault),
-                start.terms["counter_wait"], COUNTER_LINKS, COUNTER_SILENT)
+                port,
+                lambda address: Dialling(
+                    "counter", address, COUNTER_CONNECT, PAUSES, chance, ends, self.fault
+                ),
+                start.terms["counter_wait"],
+                COUNTER_LINKS,
+                COUNTER_SILENT,
+            )
         self.clients = Clients(
-            port, ends, start.terms["routes"], start.terms["plans"], start.terms["gateways"],
-            start.terms["largest"], self.discovery.fit, clients_most, SPARE // 2,
-            start.most_calls, int(start.memory * CLIENT_HELD), int(start.memory * ALL_HELD), STALLED, LINGER,
-            MUTE, IDLE)
+            port,
+            ends,
+            start.terms["routes"],
+            start.terms["plans"],
+            start.terms["gateways"],
+            start.terms["largest"],
+            self.discovery.fit,
+            clients_most,
+            SPARE // 2,
+            start.most_calls,
+            int(start.memory * CLIENT_HELD),
+            int(start.memory * ALL_HELD),
+            STALLED,
+            LINGER,
+            MUTE,
+            IDLE,
+        )
         try:
             port.gateway = Gateway(port, start.seed, **start.terms)
         except ValueError as refused:
@@ -96,7 +143,9 @@
         try:
             self.listener = Listener(start.listen)
         except OSError as broken:
-            raise StartError(f"can't listen at {start.listen[0]}:{start.listen[1]}: {broken.strerror}") from None
+            raise StartError(
+                f"can't listen at {start.listen[0]}:{start.listen[1]}: {broken.strerror}"
+            ) from None
 
     def join(self, start: Start):
         """The membership driver, where the start file names peers and the settings let limiters talk; else nothing:
@@ -108,6 +157,7 @@
             self.log.warning("membership refused", why="the settings do not allow peer messages")
             return None
         from ..routing.peers import Peers
+
         try:
             return Peers(self.port, self.log, spec, start.seed)
         except OSError as broken:
@@ -123,9 +173,16 @@
             return None
         from ..recovery import Settings
         from ..routing.recovery import Recovering
-        made = Recovering(self.port, self.log, start.terms["slot"], start.terms["gateways"],
-                          Settings(spec.beat_s, spec.missing_most),
-                          Path(spec.ledger) if spec.ledger else None, Random(start.seed ^ 1).random)
+
+        made = Recovering(
+            self.port,
+            self.log,
+            start.terms["slot"],
+            start.terms["gateways"],
+            Settings(spec.beat_s, spec.missing_most),
+            Path(spec.ledger) if spec.ledger else None,
+            Random(start.seed ^ 1).random,
+        )
         self.port.recovery = made.core
         return made
 
@@ -134,6 +191,7 @@
         given = startfile.plan(start)
         from ..maintenance import Settings
         from ..routing.maintenance import Keeper
+
         keeper = Keeper(self.port, self.log, self.peers, self.discovery, Settings(ends_in=self.longest))
         if given:
             self.port.run(monotonic(), self.given, keeper, given)
@@ -194,8 +252,12 @@
         if plan:
             self.port.run(monotonic(), self.given, self.keeper, plan)
         waits = start.terms != self.start.terms or start.listen != self.start.listen
-        self.log.info("reloaded", discovery="%s:%d" % start.discovery, waits_for_a_start=waits,
-                      counter="%s:%d" % start.counter if start.counter else None)
+        self.log.info(
+            "reloaded",
+            discovery="%s:%d" % start.discovery,
+            waits_for_a_start=waits,
+            counter="%s:%d" % start.counter if start.counter else None,
+        )
 
     def stop(self, told_at: float) -> None:
         self.log.info("stopping")
@@ -215,7 +277,9 @@
 
 
 def main() -> int:
-    signal.pthread_sigmask(signal.SIG_BLOCK, SIGNALS)  # before the first thread; one that comes early waits its turn
+    signal.pthread_sigmask(
+        signal.SIG_BLOCK, SIGNALS
+    )  # before the first thread; one that comes early waits its turn
     try:
         program = Program(startfile.read(os.environ))
     except StartError as refused:
--- a/brookhub/program/startfile.py
+++ b/brookhub/program/startfile.py
@@ -76,6 +76,7 @@
 def toml(text: bytes, path: str) -> dict:
     """A start file in TOML, checked against config.models.GatewayFile: the same keys as the JSON one."""
     from ..config import ConfigError, GatewayFile, loads
+
     try:
         return loads(text.decode(errors="replace"), GatewayFile, path).start_json()
     except ConfigError as broken:
@@ -85,6 +86,7 @@
 def peers(start: Start):
     """The file of peers that a start file names (config.models.MembershipFile); raises StartError in one line."""
     from ..config import ConfigError, MembershipFile, load
+
     try:
         return load(start.membership, MembershipFile)
     except ConfigError as broken:
@@ -94,6 +96,7 @@
 def recovery(start: Start):
     """The file that a start file names for the counter's recovery (config.models.RecoveryFile); raises StartError in one line."""
     from ..config import ConfigError, RecoveryFile, load
+
     try:
         return load(start.recovery, RecoveryFile)
     except ConfigError as broken:
@@ -104,13 +107,16 @@
     """The plan of work that a start file names (maintenance.Plan), None where there is none yet; raises StartError in one line."""
     from ..config import ConfigError, PlanFile, load
     from ..maintenance import Machine, Plan
+
     if not start.maintenance or not Path(start.maintenance).exists():
         return None
     try:
         spec = load(start.maintenance, PlanFile)
     except ConfigError as broken:
         raise StartError(f"maintenance: {broken}") from None
-    machines = tuple(Machine(one.name, one.zone, one.capacity, tuple(one.servers), one.limiter) for one in spec.machines)
+    machines = tuple(
+        Machine(one.name, one.zone, one.capacity, tuple(one.servers), one.limiter) for one in spec.machines
+    )
     figures = spec.model_dump(exclude={"machines", "voters", "voters_next"})
     return Plan(**figures, machines=machines, voters=tuple(spec.voters), voters_next=tuple(spec.voters_next))
 
--- a/brookhub/protocol/calls.py
+++ b/brookhub/protocol/calls.py
@@ -11,7 +11,7 @@
 HEXADECIMAL = re.compile(rb"[0-9a-fA-F]{16}")
 DECIMAL, WHOLE = re.compile(rb"\d{1,9}(\.\d{1,9})?"), re.compile(rb"\d{1,9}")
 NAME = re.compile(rb"[a-z][a-z0-9_]{0,31}")  # of a figure in a load report
-MOST_CUSTOMERS = 2 ** 33  # their numbers lie below
+MOST_CUSTOMERS = 2**33  # their numbers lie below
 LONGEST_KEY = 64  # bytes of the mark of a call that may be recognised again
 VERBS = {b"CALL.GET": 4, b"CALL.POST": 5}  # and of how many words a command of each is
 
@@ -23,8 +23,23 @@
 class Wording:
     """One API call as its client worded it. It goes to servers in the same words, but for the time left."""
 
-    __slots__ = ("customer", "ident", "route", "plan", "patience", "units", "spread", "first", "repeated", "write",
-                 "keyed", "words", "fields", "at", "size")
+    __slots__ = (
+        "customer",
+        "ident",
+        "route",
+        "plan",
+        "patience",
+        "units",
+        "spread",
+        "first",
+        "repeated",
+        "write",
+        "keyed",
+        "words",
+        "fields",
+        "at",
+        "size",
+    )
 
     def __init__(self, words: list):
         if len(words) != VERBS.get(words[0]):
@@ -46,12 +61,20 @@
         self.patience, self.units = number(told, b"d", DECIMAL) / 1000, number(told, b"units", DECIMAL)
         self.spread, self.first = number(told, b"spread", WHOLE), number(told, b"first", WHOLE)
         self.repeated, self.keyed = b"r" in told, b"k" in told
-        if told.get(b"r", b"1") != b"1" or not 0 < len(told.get(b"k", b"1")) <= LONGEST_KEY or not self.patience:
+        if (
+            told.get(b"r", b"1") != b"1"
+            or not 0 < len(told.get(b"k", b"1")) <= LONGEST_KEY
+            or not self.patience
+        ):
             raise BadCall("r, k or d can't be read")
 
     def check(self, route: Route, gateways: int, largest: float) -> None:
         """Whether it fits what the settings tell. Raises BadCall."""
-        if self.write is (route.repeat is Repeat.IDEMPOTENT) or route.repeat is Repeat.TOKENED and not self.keyed:
+        if (
+            self.write is (route.repeat is Repeat.IDEMPOTENT)
+            or route.repeat is Repeat.TOKENED
+            and not self.keyed
+        ):
             raise BadCall("a c that is not called in this way")
         if not 0 < self.units <= largest or not 0 < self.spread <= gateways or self.first >= gateways:
             raise BadCall("units, spread or first are out of range")
--- a/brookhub/protocol/documents.py
+++ b/brookhub/protocol/documents.py
@@ -11,7 +11,9 @@
 
 from .resp import Malformed
 
-LONGEST_DOCUMENT = 1024 * 1024  # bytes of one object with its line ends: a whole list of some thousand servers
+LONGEST_DOCUMENT = (
+    1024 * 1024
+)  # bytes of one object with its line ends: a whole list of some thousand servers
 STRING = re.compile(rb'"(?:[^"\\]|\\.)*"')  # JSON strings hold no raw line ends, so none spans two lines
 
 
--- a/brookhub/protocol/resp.py
+++ b/brookhub/protocol/resp.py
@@ -31,7 +31,9 @@
     """Takes whole values from a ring buffer as they come; what is not whole stays there."""
 
     def __init__(self, largest: int = LARGEST):
-        self.largest = largest  # bytes of a value; one that does not fit the ring is gathered here as it comes
+        self.largest = (
+            largest  # bytes of a value; one that does not fit the ring is gathered here as it comes
+        )
         self.words, self.missing = None, 0  # the array under way, and how many of its words have yet to come
         self.size, self.gathered, self.filled = None, bytearray(), 0  # of the bulk string under way
 
@@ -114,7 +116,7 @@
             return memoryview(b"")
         if not self.gathered:
             self.gathered = bytearray(self.size)
-        return memoryview(self.gathered)[self.filled:]
+        return memoryview(self.gathered)[self.filled :]
 
     def begin(self, size: int) -> None:
         self.taken = size + (self.taken if self.words is not None else 0)
--- a/brookhub/recovery/__init__.py
+++ b/brookhub/recovery/__init__.py
@@ -9,4 +9,15 @@
 from .epochs import Epochs
 from .ledger import Ledger
 
-__all__ = ["Epochs", "Ledger", "Record", "Recovery", "RecoveryPort", "Settings", "Unusable", "append", "scan", "snapshot"]
+__all__ = [
+    "Epochs",
+    "Ledger",
+    "Record",
+    "Recovery",
+    "RecoveryPort",
+    "Settings",
+    "Unusable",
+    "append",
+    "scan",
+    "snapshot",
+]
--- a/brookhub/recovery/core.py
+++ b/brookhub/recovery/core.py
@@ -15,7 +15,11 @@
 from .epochs import TOKEN, Epochs
 from .ledger import LIVES, Ledger
 
-NEVER_ADDED = (Outcome.FULL, Outcome.UNCONNECTED, Outcome.UNSENT)  # outcomes of a count that prove that nothing was added
+NEVER_ADDED = (
+    Outcome.FULL,
+    Outcome.UNCONNECTED,
+    Outcome.UNSENT,
+)  # outcomes of a count that prove that nothing was added
 AGAIN = 0.25  # of a beat: the least between two beats that a doubt brings forward
 AT_ONCE = 25  # names that are added again at one stroke: a call of some 50 bytes each
 STROKE = 0.05  # s between two strokes: 500 names a second for each limiter
@@ -48,7 +52,14 @@
 class Recovery:
     """One limiter's part. `slot` of `limiters` by the settings' numbers. `ledger`: of an earlier life, read from disk."""
 
-    def __init__(self, port: RecoveryPort, slot: int, limiters: int, settings: Settings = Settings(), ledger: Ledger | None = None):
+    def __init__(
+        self,
+        port: RecoveryPort,
+        slot: int,
+        limiters: int,
+        settings: Settings = Settings(),
+        ledger: Ledger | None = None,
+    ):
         self.port, self.settings, self.limiters = port, settings, max(1, limiters)
         self.epochs, self.ledger = Epochs(slot, limiters, settings.beat), ledger or Ledger()
         self.sure_at = -1e9  # until the first look epoch 0 is as good as any
@@ -57,7 +68,9 @@
         self.marked = (0, 0)  # epoch and beat of the last roll that this one is on
         self.part = self.logged = ALL
         self.resent = 0  # names added again, in all
-        self.on_unit: Callable[[int, float, float], None] = lambda name, amount, lives: None  # the disk's, where there is one
+        self.on_unit: Callable[[int, float, float], None] = lambda name, amount, lives: (
+            None
+        )  # the disk's, where there is one
 
     def start(self) -> None:
         """Look at once, then each beat at a moment of its own."""
@@ -107,6 +120,7 @@
                 self.suspect, outcome = True, Outcome.TIMEOUT
                 self.beat()
             told(outcome, total - entry.unseen if outcome is Outcome.OK else 0.0, took)
+
         self.port.add(self.epochs.name(name), amount + owed, lives, answered)
 
     def note(self, name: int, amount: float, lives: float, told: Told) -> None:
@@ -131,7 +145,9 @@
             return
         self.looking, self.beat_at = True, now
         self.ledger.sweep(now)
-        self.port.add(epochs.register(clock), 0.0, LIVES, lambda outcome, total, took: self.read(outcome, total, clock))
+        self.port.add(
+            epochs.register(clock), 0.0, LIVES, lambda outcome, total, took: self.read(outcome, total, clock)
+        )
 
     def read(self, outcome: Outcome, total: float, clock: float) -> None:
         self.looking = False
@@ -152,11 +168,13 @@
 
     def claim(self, clock: float, value: float, why: str) -> None:
         """Make this keeper's epoch a new one, unless another does; a claim lapses after a beat."""
+
         def answered(outcome: Outcome, total: float, took: float) -> None:
             if outcome is Outcome.OK and total < 1.5:
                 self.add_token(clock, why)
             else:  # the one that is first adds within a moment
                 self.port.later(2 * AGAIN * self.settings.beat, self.beat)
+
         self.port.add(self.epochs.claim(clock, value), 1.0, self.settings.beat, answered)
 
     def add_token(self, clock: float, why: str) -> None:
@@ -168,6 +186,7 @@
                 self.call_the_roll(clock)
                 if self.epochs.late_half(clock):
                     self.amend(clock)
+
         self.port.add(self.epochs.register(clock), token, LIVES, answered)
 
     def amend(self, clock: float) -> None:
@@ -177,6 +196,7 @@
         def answered(outcome: Outcome, total: float, took: float) -> None:
             if outcome is Outcome.OK and total > 0.5 and epoch == self.epochs.epoch != round(total):
                 self.port.add(name, epoch - round(total), LIVES, lambda outcome, total, took: None)
+
         self.port.add(name, 0.0, LIVES, answered)
 
     def enter(self, value: float, why: str) -> None:
@@ -186,8 +206,13 @@
         self.suspect = False
         # Who is new has lost nothing, and finds the others' counts whole; if just then they are not, it is one of many.
         self.sure_at = now if first else now + SETTLE * self.settings.beat
-        self.port.log("counter known" if first else "counter changed", epoch=self.epochs.epoch, why=why,
-                      names=len(self.ledger.entries), sure_in_s=round(self.sure_at - now, 2))
+        self.port.log(
+            "counter known" if first else "counter changed",
+            epoch=self.epochs.epoch,
+            why=why,
+            names=len(self.ledger.entries),
+            sure_in_s=round(self.sure_at - now, 2),
+        )
         if now < self.sure_at:
             self.part = 0.0
             self.port.grant(0.0)
@@ -203,8 +228,11 @@
                 self.port.add(name, epoch, LIVES, lambda outcome, total, took: None)
 
         def answered(outcome: Outcome, total: float, took: float) -> None:
-            if outcome is Outcome.OK and round(total) == 0:  # two that carried it at once would make it another
+            if (
+                outcome is Outcome.OK and round(total) == 0
+            ):  # two that carried it at once would make it another
                 self.port.add(self.epochs.claim(clock, epoch, 1), 1.0, self.settings.beat, claimed)
+
         self.port.add(name, 0.0, LIVES, answered)
 
     def call_the_roll(self, clock: float) -> None:
@@ -218,6 +246,7 @@
             if outcome is Outcome.OK and mark[0] == epochs.epoch:
                 epochs.rolled(clock, total)
                 self.judge()
+
         self.port.add(epochs.roll(clock, 1), 0.0, last, heard)
 
     def judge(self) -> None:
@@ -225,11 +254,18 @@
         here = self.epochs.here(self.port.clock())
         if self.port.now() < self.sure_at or here is None:
             return
-        part = ALL if here >= (1 - self.settings.missing_most) * self.limiters else max(1, here) / self.limiters
+        part = (
+            ALL if here >= (1 - self.settings.missing_most) * self.limiters else max(1, here) / self.limiters
+        )
         if part != self.part:
             if abs(part - self.logged) > NOTABLE or not self.part:
                 self.logged = part
-                self.port.log("counter sure" if part == ALL else "counter split", here=here, limiters=self.limiters, part=round(part, 3))
+                self.port.log(
+                    "counter sure" if part == ALL else "counter split",
+                    here=here,
+                    limiters=self.limiters,
+                    part=round(part, 3),
+                )
             self.part = part
             self.port.grant(part)
 
@@ -260,4 +296,5 @@
             if outcome in NEVER_ADDED and epoch == self.epochs.epoch:
                 entry.held -= owed
                 self.resend()
+
         self.port.add(self.epochs.name(name), owed, entry.lives, answered)
--- a/brookhub/recovery/disk.py
+++ b/brookhub/recovery/disk.py
@@ -52,8 +52,11 @@
 
 def snapshot(ledger: Ledger, now: float, calendar: float) -> bytes:
     """The whole ledger in as few records; `now` and `calendar`: the same moment (s) on the ledger's clock and the calendar."""
-    return b"".join(append(Record(str(name), one.own, one.lives, one.dies - now + calendar, True))
-                    for name, one in sorted(ledger.entries.items()) if one.dies > now and one.own)
+    return b"".join(
+        append(Record(str(name), one.own, one.lives, one.dies - now + calendar, True))
+        for name, one in sorted(ledger.entries.items())
+        if one.dies > now and one.own
+    )
 
 
 def scan(data: bytes, now: float, calendar: float) -> Scanned:
@@ -74,7 +77,7 @@
             found.torn = len(data) - begins
             break
         length, checksum = HEAD.unpack_from(data, at)
-        body = data[at + HEAD.size:at + HEAD.size + length]
+        body = data[at + HEAD.size : at + HEAD.size + length]
         if len(body) < length and data.find(MARK, at) < 0:
             found.torn = len(data) - begins
             break
--- a/brookhub/recovery/epochs.py
+++ b/brookhub/recovery/epochs.py
@@ -16,7 +16,12 @@
 
 ERA = LIVES / 3  # s of a register, so that two are alive in its second half
 TOKEN = 99_999  # the largest token: a few add up to seven digits at most, which the counter keeps exactly
-REGISTER, ROLL, CLAIM, EPOCH = 1 << 100, 2 << 100, 3 << 100, 70  # names beyond the decisions' 64 bits; where an epoch stands in one
+REGISTER, ROLL, CLAIM, EPOCH = (
+    1 << 100,
+    2 << 100,
+    3 << 100,
+    70,
+)  # names beyond the decisions' 64 bits; where an epoch stands in one
 
 
 class Epochs:
@@ -77,7 +82,9 @@
         """The roll of the beat before that of `clock`, which is whole by now."""
         number = floor(clock / self.beat) - 1
         if number > self.since:
-            self.rolls = {at: many for at, many in self.rolls.items() if at >= number - 1} | {number: round(value)}
+            self.rolls = {at: many for at, many in self.rolls.items() if at >= number - 1} | {
+                number: round(value)
+            }
 
     def here(self, clock: float) -> int | None:
         """Limiters that see this keeper: the larger of the last two whole beats' rolls; None while none is known of a beat that
--- a/brookhub/recovery/ledger.py
+++ b/brookhub/recovery/ledger.py
@@ -47,8 +47,10 @@
 
     def owing(self, now: float) -> list[int]:
         """Names of which the keeper lacks units, or has some too many, the most first (by name where alike)."""
-        return sorted((name for name, one in self.entries.items() if one.dies > now and abs(one.owed()) > EXACT),
-                      key=lambda name: (-abs(self.entries[name].owed()), name))
+        return sorted(
+            (name for name, one in self.entries.items() if one.dies > now and abs(one.owed()) > EXACT),
+            key=lambda name: (-abs(self.entries[name].owed()), name),
+        )
 
     def lost(self, entry: Entry, held: float, total: float) -> bool:
         """Whether this total proves that the keeper lost units: each limiter's net part of a name is above 0 and a name's calls
--- a/brookhub/routing/clients.py
+++ b/brookhub/routing/clients.py
@@ -18,7 +18,9 @@
 
 
 LATEST = 0.5  # s after its client timeout from which a call's connection is ended rather than answered: nobody waits
-STOPPED = 1.0  # s that a look at the connections may come late before the process counts as one that was stopped
+STOPPED = (
+    1.0  # s that a look at the connections may come late before the process counts as one that was stopped
+)
 LOOKS = 8  # idle connections looked at for one that can be closed, at a time
 
 
@@ -124,7 +126,9 @@
                     self.clients.port.todo.append((self.clients.port.faults, met))
                     slot.answer(calls.ERRORED)
             else:
-                slot.answer(one if one is not resp.PONG or self.clients.fit() else resp.error("ERR not ready yet"))
+                slot.answer(
+                    one if one is not resp.PONG or self.clients.fit() else resp.error("ERR not ready yet")
+                )
         if bad:  # it ends at once, whatever else is open on it: all that was taken gets its answer
             self.clients.give_up(self)
             self.parting = True
@@ -179,26 +183,52 @@
 class Clients:
     """All client connections. Its methods but for `accepted` are called under the port's lock."""
 
-    def __init__(self, port, log_end: Callable, routes: list[Route], plans: list[Plan], gateways: int, largest: float,
-                 fit: Callable[[], bool], most_clients: int, over: int, most_calls: int, client_held: int, most_held: int,
-                 stalled_for: float, lingers_for: float, mute_for: float, idle_for: float):
+    def __init__(
+        self,
+        port,
+        log_end: Callable,
+        routes: list[Route],
+        plans: list[Plan],
+        gateways: int,
+        largest: float,
+        fit: Callable[[], bool],
+        most_clients: int,
+        over: int,
+        most_calls: int,
+        client_held: int,
+        most_held: int,
+        stalled_for: float,
+        lingers_for: float,
+        mute_for: float,
+        idle_for: float,
+    ):
         self.port, self.log_end, self.fit = port, log_end, fit
         self.routes = {route.name.encode(): route for route in routes}
         self.gateways, self.largest = gateways, largest
         self.plans = {plan.name.encode(): plan for plan in plans}
         self.most_clients, self.most_calls = most_clients, most_calls
-        self.client_held, self.most_held, self.held = client_held, most_held, 0  # bytes of answers not yet written
+        self.client_held, self.most_held, self.held = (
+            client_held,
+            most_held,
+            0,
+        )  # bytes of answers not yet written
         self.stalled_for, self.lingers_for, self.over = stalled_for, lingers_for, over
         self.mute_for, self.idle_for = mute_for, idle_for
         self.customers = Customers()
         self.all: dict[Client, None] = {}
         self.idle: dict[Client, None] = {}  # those without an open command, the longest idle first
         self.mute: dict[Client, None] = {}  # those that never sent a whole one, the oldest first
-        self.stopping = self.closing = False  # no idle one is closed for another or for its age; each after its answer
+        self.stopping = self.closing = (
+            False  # no idle one is closed for another or for its age; each after its answer
+        )
         self.ids: set[int] = set()  # of the calls that are open
         self.sweeps_at = port.now + mute_for  # when the next look at them is due
-        self.woke_at = self.slept_for = -1.0  # when this process last was found to have been stopped, and how long
-        self.living = self.open_calls = self.asked = 0  # descriptors not yet given back; API calls, bytes of them
+        self.woke_at = (
+            self.slept_for
+        ) = -1.0  # when this process last was found to have been stopped, and how long
+        self.living = self.open_calls = self.asked = (
+            0  # descriptors not yet given back; API calls, bytes of them
+        )
 
     def accepted(self, sock) -> None:
         try:
@@ -288,9 +318,19 @@
         if self.open_calls >= self.most_calls or self.asked + self.held + wording.size > self.most_held:
             return slot.answer(calls.rate_limited(0.0))
         customer = self.customers.find(wording.customer, plan)
-        call = WordedCall(wording.ident, customer, route, self.port.now + min(wording.patience, route.client_timeout) - waited,
-                          wording.units, wording.spread, wording.first, wording.repeated, wording.write,
-                          wording=wording, slot=slot)
+        call = WordedCall(
+            wording.ident,
+            customer,
+            route,
+            self.port.now + min(wording.patience, route.client_timeout) - waited,
+            wording.units,
+            wording.spread,
+            wording.first,
+            wording.repeated,
+            wording.write,
+            wording=wording,
+            slot=slot,
+        )
         self.ids.add(wording.ident)
         slot.call, self.open_calls, self.asked = call, self.open_calls + 1, self.asked + wording.size
         self.port.gateway.arrived(call)
--- a/brookhub/routing/connections.py
+++ b/brookhub/routing/connections.py
@@ -39,7 +39,9 @@
     Called outside the port's lock.
     """
     if not spawn(name, work):
-        port.run(monotonic(), port.later, THREAD_PAUSE, lambda: port.todo.append((spawn_surely, port, name, work)))
+        port.run(
+            monotonic(), port.later, THREAD_PAUSE, lambda: port.todo.append((spawn_surely, port, name, work))
+        )
 
 
 class Dialling:
@@ -51,8 +53,17 @@
     The next dial begins at the latest `again_within` s after the peer was last heard, whatever pause is due.
     """
 
-    def __init__(self, peer: str, address: tuple[str, int], within: float, pauses: tuple[float, float],
-                 chance: Callable[[], float], log_end: Callable, faults: Callable, again_within: float = inf):
+    def __init__(
+        self,
+        peer: str,
+        address: tuple[str, int],
+        within: float,
+        pauses: tuple[float, float],
+        chance: Callable[[], float],
+        log_end: Callable,
+        faults: Callable,
+        again_within: float = inf,
+    ):
         self.peer, self.address, self.within, self.pauses, self.chance = peer, address, within, pauses, chance
         self.log_end, self.faults, self.again_within = log_end, faults, again_within
         self.over, self.asked = Event(), 0.0
--- a/brookhub/routing/counter.py
+++ b/brookhub/routing/counter.py
@@ -70,7 +70,9 @@
         self.dialling.over.set()
         self.settled()
         if self.stream:
-            self.counter.port.later(self.counter.silent_after, partial(stream_end, self.counter.port, self.stream, "moved"))
+            self.counter.port.later(
+                self.counter.silent_after, partial(stream_end, self.counter.port, self.stream, "moved")
+            )
 
     def settled(self) -> None:
         if self.dialling.over.is_set() and self.stream and not self.waiting:
@@ -133,7 +135,9 @@
 class Counter:
     """The counter as the decisions ask it: a few places, each of a connection that calls are written to."""
 
-    def __init__(self, port, dialling: Callable[[tuple], Dialling], wait: float, links: int, silent_after: float):
+    def __init__(
+        self, port, dialling: Callable[[tuple], Dialling], wait: float, links: int, silent_after: float
+    ):
         self.port, self.dialling, self.wait, self.silent_after = port, dialling, wait, silent_after
         self.address, self.links, self.coming = None, [None] * links, [None] * links
         self.asked: deque[Count] = deque()  # the oldest first, until answered or given up
--- a/brookhub/routing/discovery.py
+++ b/brookhub/routing/discovery.py
@@ -41,7 +41,9 @@
         port.run(monotonic(), self.up, stream)
         stream.flush()
         reason = read_to_end(stream.read, took, port.faults)
-        if reason == "closed" and (rest := reader.end()):  # an answer of no stated length, whose last line has no end
+        if reason == "closed" and (
+            rest := reader.end()
+        ):  # an answer of no stated length, whose last line has no end
             self.tell(monotonic(), documents.feed(rest))
         stream.end(reason)
         stream.close()
@@ -57,8 +59,11 @@
 
     def up(self, stream: Stream) -> None:
         self.stream = stream
-        stream.put(http.request("%s:%d" % self.dialling.address,
-                                f"/v1/servers?stream=1&index={self.discovery.version}"))
+        stream.put(
+            http.request(
+                "%s:%d" % self.dialling.address, f"/v1/servers?stream=1&index={self.discovery.version}"
+            )
+        )
         if self.dialling.over.is_set():
             self.leave()
 
@@ -76,12 +81,21 @@
 class Discovery:
     """What is known of the servers, and where news of them are watched."""
 
-    def __init__(self, port, dialling: Callable[[tuple], Dialling], zones: list[str], kinds: list[str],
-                 clock_ahead: float, silent_after: float):
+    def __init__(
+        self,
+        port,
+        dialling: Callable[[tuple], Dialling],
+        zones: list[str],
+        kinds: list[str],
+        clock_ahead: float,
+        silent_after: float,
+    ):
         self.port, self.dialling, self.clock_ahead = port, dialling, clock_ahead
         self.zones, self.kinds, self.silent_after = list(zones), list(kinds), silent_after
         self.roster, self.version, self.begun, self.watch = Roster(), 0, False, None
-        self.held: set[str] = set()  # servers by name that a plan keeps off; else they are used as the list says
+        self.held: set[str] = (
+            set()
+        )  # servers by name that a plan keeps off; else they are used as the list says
         self.ready: dict[str, bool] = {}  # what the list says of a server, by name: ready or not
         self.places, self.where = {}, {}  # who is at an address, and the address of each, by its id
 
@@ -162,8 +176,15 @@
     def entry(self, host: hosts.Host) -> tuple:
         born = host.born - self.clock_ahead if host.born else 0.0
         state = State.DRAINING if host.name in self.held and host.state is State.READY else host.state
-        return (host.ident(), place(self.zones, host.zone), place(self.kinds, host.kind), host.cell, state,
-                host.weight, born)
+        return (
+            host.ident(),
+            place(self.zones, host.zone),
+            place(self.kinds, host.kind),
+            host.cell,
+            state,
+            host.weight,
+            born,
+        )
 
     def fit(self) -> bool:
         """Whether there has been a server to send to: a gateway whose servers are all away still answers."""
--- a/brookhub/routing/maintenance.py
+++ b/brookhub/routing/maintenance.py
@@ -17,7 +17,9 @@
     def __init__(self, port, log, peers, discovery, settings: Settings):
         self.port, self.out, self.peers, self.discovery = port, log, peers, discovery
         self.core = Maintenance(self, peers.core.name, settings)
-        self.seconds: list[tuple[int, float, float, float]] = []  # a second's calls: asked, served, s they took
+        self.seconds: list[
+            tuple[int, float, float, float]
+        ] = []  # a second's calls: asked, served, s they took
         peers.on_topic[TOPIC] = self.heard
 
     def start(self) -> None:
@@ -38,7 +40,9 @@
         """One API call had its final answer."""
         second = int(self.port.now)
         if not self.seconds or self.seconds[-1][0] != second:
-            self.seconds = [one for one in self.seconds if one[0] > second - LATELY] + [(second, 0.0, 0.0, 0.0)]
+            self.seconds = [one for one in self.seconds if one[0] > second - LATELY] + [
+                (second, 0.0, 0.0, 0.0)
+            ]
         at, asked, well, spent = self.seconds[-1]
         self.seconds[-1] = (at, asked + 1, well + served, spent + took * served)
 
@@ -59,7 +63,11 @@
 
     def up(self, machine: Machine) -> bool:
         """Whether discovery lists all its servers as ready (held back here or not), and its limiter is there."""
-        here = not machine.limiter or machine.limiter == self.core.me or machine.limiter in self.peers.core.present
+        here = (
+            not machine.limiter
+            or machine.limiter == self.core.me
+            or machine.limiter in self.peers.core.present
+        )
         return here and all(self.discovery.lists(name) for name in machine.servers)
 
     def hold(self, names: tuple[str, ...]) -> None:
@@ -80,7 +88,9 @@
         """Tries out by zone name, as a picture of the load: all limiters take the leader's."""
         found: dict[str, float] = {}
         for one in self.port.servers.out:
-            zone = self.discovery.zones[one.server.zone] if one.server.zone < len(self.discovery.zones) else ""
+            zone = (
+                self.discovery.zones[one.server.zone] if one.server.zone < len(self.discovery.zones) else ""
+            )
             found[zone] = found.get(zone, 0.0) + 1.0
         return found
 
--- a/brookhub/routing/peers.py
+++ b/brookhub/routing/peers.py
@@ -16,7 +16,10 @@
 from ..transport.threads import spawn
 
 BUFFER = 256 * 1024  # bytes that the system holds of datagrams not yet read: a burst after a split heals
-SAYS, SAYS_DROPPED = 1.0, 5.0  # s between two log lines of the fleet's state at the least, of what was dropped
+SAYS, SAYS_DROPPED = (
+    1.0,
+    5.0,
+)  # s between two log lines of the fleet's state at the least, of what was dropped
 NAMED = 8  # absent members named in a log line
 
 
@@ -50,7 +53,9 @@
         self.turns = Turns(xxh3_64_intdigest(spec.fleet), spec.name)  # one key for a fleet, the same at all
         self.on_topic: dict[int, object] = {}  # what other parts take of the peers' words
         self.signals = Signals(ByPeers(self, self.core), self.turns) if spec.signals else None
-        self.parts = Parts(self.turns.key, spec.name, self.by_name, self.core.counted) if spec.subsets else None
+        self.parts = (
+            Parts(self.turns.key, spec.name, self.by_name, self.core.counted) if spec.subsets else None
+        )
         if self.signals or self.parts:
             port.gateway.choices_told(Shared(self.signals, self.parts))
         if self.signals:
@@ -145,8 +150,17 @@
         if shunned != self.shunned:
             self.shunned = shunned
             told, refused = signals.told, signals.refused
-            self.port.todo.append((lambda: self.log.info("servers left alone", servers=shunned[:NAMED],
-                                                         more=max(0, len(shunned) - NAMED), words=told, refused=refused),))
+            self.port.todo.append(
+                (
+                    lambda: self.log.info(
+                        "servers left alone",
+                        servers=shunned[:NAMED],
+                        more=max(0, len(shunned) - NAMED),
+                        words=told,
+                        refused=refused,
+                    ),
+                )
+            )
         self.later(SAYS, self.look)
 
     # the log
@@ -158,16 +172,35 @@
 
     def say(self) -> None:
         self.saying, self.said_at = False, self.now
-        absent = [f"{name} {WORDS[one.state]}" for name, one in sorted(self.core.members.items())
-                  if name not in self.core.present]
+        absent = [
+            f"{name} {WORDS[one.state]}"
+            for name, one in sorted(self.core.members.items())
+            if name not in self.core.present
+        ]
         live, rank, sure = self.numbers
-        self.port.todo.append((lambda: self.log.info(
-            "fleet", live=live, rank=rank, sure=sure, present=1 + len(self.core.present), absent=absent[:NAMED],
-            more=max(0, len(absent) - NAMED)),))
+        self.port.todo.append(
+            (
+                lambda: self.log.info(
+                    "fleet",
+                    live=live,
+                    rank=rank,
+                    sure=sure,
+                    present=1 + len(self.core.present),
+                    absent=absent[:NAMED],
+                    more=max(0, len(absent) - NAMED),
+                ),
+            )
+        )
 
     def say_dropped(self) -> None:
-        counts = {**self.dropped, **{name: self.core.counts[name] for name in ("foreign", "unlisted-member")
-                                     if self.core.counts[name]}}
+        counts = {
+            **self.dropped,
+            **{
+                name: self.core.counts[name]
+                for name in ("foreign", "unlisted-member")
+                if self.core.counts[name]
+            },
+        }
         if counts != self.dropped_told:
             self.dropped_told = counts
             self.port.todo.append((lambda: self.log.warning("peer datagrams dropped", **counts),))
--- a/brookhub/routing/port.py
+++ b/brookhub/routing/port.py
@@ -19,14 +19,23 @@
     has to be written, dialled, closed or logged goes to `todo`, which the same thread does after it.
     """
 
-    def __init__(self, faults: Callable[[BaseException], None], grain: float,
-                 log_woken: Callable[[float], None] = lambda seconds: None):
+    def __init__(
+        self,
+        faults: Callable[[BaseException], None],
+        grain: float,
+        log_woken: Callable[[float], None] = lambda seconds: None,
+    ):
         self.log_woken = log_woken
         self.now, self.lock, self.faults = monotonic(), Lock(), faults
         self.alarms, self.order, self.grain = [], 0, grain
-        self.bell, self.looks_at = Lock(), 0.0  # held while nobody rings; when the timers look next by themselves
+        self.bell, self.looks_at = (
+            Lock(),
+            0.0,
+        )  # held while nobody rings; when the timers look next by themselves
         self.todo, self.soon = [], deque()
-        self.watch: Callable[[ApiCall, float, bool], None] | None = None  # told of each final answer: s it took, proxied or not
+        self.watch: Callable[[ApiCall, float, bool], None] | None = (
+            None  # told of each final answer: s it took, proxied or not
+        )
         self.recovery = None  # stands before the counter where the operator's file has it
         self.gateway = self.servers = self.counter = self.discovery = None  # set where the program is wired
 
@@ -119,8 +128,15 @@
             self.servers.abandon(one)
             self.end_try(one, outcome)
 
-    def end_try(self, one: UpstreamTry, outcome: Outcome, value: bytes | None = None, charged: float = 0.0,
-                used: float | None = None, report: dict | None = None) -> None:
+    def end_try(
+        self,
+        one: UpstreamTry,
+        outcome: Outcome,
+        value: bytes | None = None,
+        charged: float = 0.0,
+        used: float | None = None,
+        report: dict | None = None,
+    ) -> None:
         if one.outcome is not None:
             return
         one.outcome = outcome
--- a/brookhub/routing/recovery.py
+++ b/brookhub/routing/recovery.py
@@ -20,7 +20,16 @@
 
     `path`: of the ledger's file, None where no disk lasts."""
 
-    def __init__(self, port, log, slot: int, limiters: int, settings: Settings, path: Path | None, chance: Callable[[], float]):
+    def __init__(
+        self,
+        port,
+        log,
+        slot: int,
+        limiters: int,
+        settings: Settings,
+        path: Path | None,
+        chance: Callable[[], float],
+    ):
         self.port, self.out, self.chance, self.path = port, log, chance, path
         self.file, self.unwritten, self.broken = None, [], False
         self.core = Recovery(self, slot, limiters, settings, self.read() if path else None)
@@ -69,7 +78,13 @@
         except Unusable as bad:
             self.out.error("ledger not read", path=str(self.path), why=str(bad))
             return None
-        self.out.info("ledger read", names=len(found.ledger.entries), records=found.records, skipped=found.skipped, torn=found.torn)
+        self.out.info(
+            "ledger read",
+            names=len(found.ledger.entries),
+            records=found.records,
+            skipped=found.skipped,
+            torn=found.torn,
+        )
         return found.ledger
 
     def unit(self, name: int, amount: float, lives: float) -> None:
--- a/brookhub/routing/servers.py
+++ b/brookhub/routing/servers.py
@@ -53,7 +53,9 @@
         port.run(monotonic(), servers.broke, self)
         self.stream.close()
         port.run(monotonic(), servers.closed)
-        servers.log_end("server", self.ended or self.stream.reason, self.server, monotonic() - began, self.served)
+        servers.log_end(
+            "server", self.ended or self.stream.reason, self.server, monotonic() - began, self.served
+        )
 
     def end(self, reason: str) -> None:
         self.ended = self.ended or reason
@@ -64,11 +66,23 @@
 class Servers:
     """All connections to servers. Its methods but for `Link.run` are called under the port's lock."""
 
-    def __init__(self, port, log_end: Callable, connect_within: float, idle_for: float, settles_for: float,
-                 most_links: int, largest: int, most_gathered: int):
+    def __init__(
+        self,
+        port,
+        log_end: Callable,
+        connect_within: float,
+        idle_for: float,
+        settles_for: float,
+        most_links: int,
+        largest: int,
+        most_gathered: int,
+    ):
         self.port, self.log_end, self.connect_within = port, log_end, connect_within
         self.idle_for, self.settles_for, self.most_links = idle_for, settles_for, most_links
-        self.largest, self.most_gathered = largest, most_gathered  # bytes of a value, of all that are on their way
+        self.largest, self.most_gathered = (
+            largest,
+            most_gathered,
+        )  # bytes of a value, of all that are on their way
         self.gathered = 0
         self.pools: dict[int, Pool] = {}
         self.out: dict[UpstreamTry, Link] = {}
--- a/brookhub/stand_ins/__init__.py
+++ b/brookhub/stand_ins/__init__.py
@@ -10,4 +10,13 @@
 from .discovery import DiscoveryStandIn, host
 from .server import ModelServer, ServerStandIn
 
-__all__ = ["CounterStandIn", "DiscoveryStandIn", "ModelServer", "ServerStandIn", "StandIn", "Timers", "host", "read_value"]
+__all__ = [
+    "CounterStandIn",
+    "DiscoveryStandIn",
+    "ModelServer",
+    "ServerStandIn",
+    "StandIn",
+    "Timers",
+    "host",
+    "read_value",
+]
--- a/brookhub/stand_ins/counter.py
+++ b/brookhub/stand_ins/counter.py
@@ -70,8 +70,12 @@
                     self.asked += 1
                     keeper = self.keepers[self.side(limiter)]
                     total = keeper.add(words[1], float(words[2]), float(words[3]) / 1000, monotonic())
-                answer = {"ok": b"$%d\r\n%b\r\n" % (len(b"%.7g" % total), b"%.7g" % total), "busy": b"-BUSY\r\n",
-                          "nonsense": b"$3\r\nfoo\r\n", "silent": b""}.get(self.mode, b"")
+                answer = {
+                    "ok": b"$%d\r\n%b\r\n" % (len(b"%.7g" % total), b"%.7g" % total),
+                    "busy": b"-BUSY\r\n",
+                    "nonsense": b"$3\r\nfoo\r\n",
+                    "silent": b"",
+                }.get(self.mode, b"")
             if self.delay:
                 time.sleep(self.delay)
             if self.mode != "silent" and not (self.lost and self.rng.random() < self.lost):
--- a/brookhub/stand_ins/discovery.py
+++ b/brookhub/stand_ins/discovery.py
@@ -18,14 +18,24 @@
     that of the JSON text (None: one line), `cut` sends each byte by itself, `chunked` False an answer of no stated
     length. The calls that come first are answered with the heads in `refusals` and closed."""
 
-    def __init__(self, hosts, at: tuple[str, int] = ("127.0.0.1", 0), dial=None, indent: int | None = None,
-                 cut: bool = False, chunked: bool = True, refusals: tuple[bytes, ...] = ()):
+    def __init__(
+        self,
+        hosts,
+        at: tuple[str, int] = ("127.0.0.1", 0),
+        dial=None,
+        indent: int | None = None,
+        cut: bool = False,
+        chunked: bool = True,
+        refusals: tuple[bytes, ...] = (),
+    ):
         self.hosts, self.seq, self.asked, self.quiet, self.dial = hosts, 41, [], False, dial
         self.indent, self.cut, self.chunked, self.refusals = indent, cut, chunked, list(refusals)
         super().__init__(at)
 
     def seen_from(self, limiter: str, hosts) -> list[dict]:
-        return [{**one, "dial": self.dial(limiter, one["host"])} for one in hosts] if self.dial else list(hosts)
+        return (
+            [{**one, "dial": self.dial(limiter, one["host"])} for one in hosts] if self.dial else list(hosts)
+        )
 
     def whole(self, limiter: str = "") -> str:
         return self.text(True, self.seen_from(limiter, self.hosts))
@@ -50,7 +60,7 @@
     def send(self, conn, text):
         data = text.encode() + b"\n"
         data = b"%x\r\n%b\r\n" % (len(data), data) if self.chunked else data
-        for piece in (data[at:at + 1] for at in range(len(data))) if self.cut else (data,):
+        for piece in (data[at : at + 1] for at in range(len(data))) if self.cut else (data,):
             conn.sendall(piece)
 
     def tell(self, *hosts, text=None):
@@ -64,5 +74,13 @@
 
 def host(name, address, health="Ready", born=0, zone="a", cell=1):
     """A server as discovery words it; `born` in Unix ms, 0 for long ago."""
-    return {"host": name, "dial": address, "site": zone, "class": "m", "block": cell, "health": health, "share": 1.0,
-            "born_ms": born}
+    return {
+        "host": name,
+        "dial": address,
+        "site": zone,
+        "class": "m",
+        "block": cell,
+        "health": health,
+        "share": 1.0,
+        "born_ms": born,
+    }
--- a/brookhub/stand_ins/server.py
+++ b/brookhub/stand_ins/server.py
@@ -74,8 +74,14 @@
     Modes as in emulator.world: ok, slow, failing, silent (takes a place, never answers), dead (refuses). `seen`
     holds every try that arrived whole. Tokened repeats (`k`) that come while or after one ran have no second effect."""
 
-    def __init__(self, model: ServerModel, timers: Timers, rng: random.Random, seen: list[Seen],
-                 at: tuple[str, int] = ("127.0.0.1", 0)):
+    def __init__(
+        self,
+        model: ServerModel,
+        timers: Timers,
+        rng: random.Random,
+        seen: list[Seen],
+        at: tuple[str, int] = ("127.0.0.1", 0),
+    ):
         self.model, self.timers, self.rng, self.seen = model, timers, rng, seen
         self.lock, self.busy, self.waiting, self.dialled = threading.Lock(), set(), deque(), 0
         self.lost = 0.0  # share of the answers that never come, though the work was done
@@ -92,9 +98,18 @@
                     continue
                 fields = dict(pair.split(b"=", 1) for pair in words[3].split(b","))
                 now, model = monotonic(), self.model
-                one = Seen(now, model.id, limiter, int(words[2], 16), int(words[1], 16), fields[b"c"].decode(),
-                           fields.get(b"k", b""), model.cold(now),
-                           now - model.drained_at if model.drained_at is not None else None, conn=conn)
+                one = Seen(
+                    now,
+                    model.id,
+                    limiter,
+                    int(words[2], 16),
+                    int(words[1], 16),
+                    fields[b"c"].decode(),
+                    fields.get(b"k", b""),
+                    model.cold(now),
+                    now - model.drained_at if model.drained_at is not None else None,
+                    conn=conn,
+                )
                 self.take(one, now)
         finally:
             self.left(conn)
@@ -141,7 +156,9 @@
             self.pump()
         if lost:
             return
-        one.conn.sendall(b"-ERR failed\r\n" if failing else b"*3\r\n$16\r\n%016x\r\n$-1\r\n$-1\r\n" % one.call)
+        one.conn.sendall(
+            b"-ERR failed\r\n" if failing else b"*3\r\n$16\r\n%016x\r\n$-1\r\n$-1\r\n" % one.call
+        )
 
     def pump(self) -> None:
         now = monotonic()
--- a/brookhub/terms.py
+++ b/brookhub/terms.py
@@ -7,12 +7,16 @@
 
 from .interface import Group, Plan, Repeat, Route
 
+
 class TermsError(ValueError):
     """The settings can't be read: says which one and why."""
 
 
-REPEATS = {"read_like": Repeat.IDEMPOTENT, "idempotency_key": Repeat.TOKENED,
-           "non_idempotent": Repeat.NON_IDEMPOTENT}
+REPEATS = {
+    "read_like": Repeat.IDEMPOTENT,
+    "idempotency_key": Repeat.TOKENED,
+    "non_idempotent": Repeat.NON_IDEMPOTENT,
+}
 GROUPS = {"all": Group.ALL, "zone": Group.ZONE, "cell": Group.CELL}
 
 
@@ -55,24 +59,39 @@
 
 
 def routes(info: dict) -> list[Route]:
-    return [Route(name=str(item.get("name", index)), target=number(item, "slo_s"),
-                  client_timeout=number(item, "hard_limit_s"),
-                  repeat=word(REPEATS, item, "semantics", "read_like"),
-                  group=word(GROUPS, item, "key_scope", "all"),
-                  window=number(item, "window_s"), value=number(item, "importance", 1.0),
-                  late_value=number(item, "late_value"), streamed=bool(item.get("stream", False)),
-                  stretch=number(item, "aim_stretch"))
-            for index, item in enumerate(items(info, "classes"))]
+    return [
+        Route(
+            name=str(item.get("name", index)),
+            target=number(item, "slo_s"),
+            client_timeout=number(item, "hard_limit_s"),
+            repeat=word(REPEATS, item, "semantics", "read_like"),
+            group=word(GROUPS, item, "key_scope", "all"),
+            window=number(item, "window_s"),
+            value=number(item, "importance", 1.0),
+            late_value=number(item, "late_value"),
+            streamed=bool(item.get("stream", False)),
+            stretch=number(item, "aim_stretch"),
+        )
+        for index, item in enumerate(items(info, "classes"))
+    ]
 
 
 def plans(info: dict) -> list[Plan]:
-    return [Plan(name=str(item.get("name", index)), rate=number(item, "refill"),
-                 burst=number(item, "store_size"),
-                 open_cap=int(number(item, "concurrency")), ceiling_rate=number(item, "ceiling_rate"),
-                 ceiling_burst=number(item, "cap_depth"), ceiling_slack=number(item, "tolerance"),
-                 value=number(item, "pays", 1.0), beyond_value=number(item, "excess_worth"),
-                 beyond_cost=number(item, "overrun_cost"))
-            for index, item in enumerate(items(info, "tariffs"))]
+    return [
+        Plan(
+            name=str(item.get("name", index)),
+            rate=number(item, "refill"),
+            burst=number(item, "store_size"),
+            open_cap=int(number(item, "concurrency")),
+            ceiling_rate=number(item, "ceiling_rate"),
+            ceiling_burst=number(item, "cap_depth"),
+            ceiling_slack=number(item, "tolerance"),
+            value=number(item, "pays", 1.0),
+            beyond_value=number(item, "excess_worth"),
+            beyond_cost=number(item, "overrun_cost"),
+        )
+        for index, item in enumerate(items(info, "tariffs"))
+    ]
 
 
 def terms(info: dict) -> dict[str, Any]:
--- a/brookhub/transport/ring.py
+++ b/brookhub/transport/ring.py
@@ -26,9 +26,9 @@
         capacity = len(self.store)
         end = (self.start + self.size) % capacity if capacity else 0
         first = min(length, capacity - end)
-        self.store[end:end + first] = data[:first]
+        self.store[end : end + first] = data[:first]
         if first < length:
-            self.store[:length - first] = data[first:]
+            self.store[: length - first] = data[first:]
         self.size += length
         return True
 
@@ -43,7 +43,7 @@
         end = self.start + self.size
         if end >= capacity:
             end -= capacity
-            return memoryview(self.store)[end:self.start if self.size else capacity]
+            return memoryview(self.store)[end : self.start if self.size else capacity]
         return memoryview(self.store)[end:]
 
     def filled(self, length: int) -> None:
@@ -51,7 +51,7 @@
 
     def chunk(self) -> memoryview:
         """The oldest bytes, as many as lie in one piece."""
-        return memoryview(self.store)[self.start:min(self.start + self.size, len(self.store))]
+        return memoryview(self.store)[self.start : min(self.start + self.size, len(self.store))]
 
     def drop(self, length: int) -> None:
         self.size -= length
@@ -66,9 +66,9 @@
         """The oldest bytes, taken out."""
         end = self.start + length
         if end <= len(self.store):
-            data = bytes(memoryview(self.store)[self.start:end])
+            data = bytes(memoryview(self.store)[self.start : end])
         else:
-            data = bytes(self.store[self.start:] + self.store[:end - len(self.store)])
+            data = bytes(self.store[self.start :] + self.store[: end - len(self.store)])
         self.drop(length)
         return data
 
@@ -79,7 +79,7 @@
         at = self.store.find(b"\r\n", self.start, self.start + self.size)
         if at < 0:
             return None
-        data = bytes(memoryview(self.store)[self.start:at])
+        data = bytes(memoryview(self.store)[self.start : at])
         self.drop(at + 2 - self.start)
         return data
 
@@ -87,6 +87,6 @@
         """Lay what is held at the start of a store of its own. The old one stays as it was for who still sends it."""
         store = bytearray(min(self.limit, max(wanted, KEPT)))
         first = min(self.size, len(self.store) - self.start)
-        store[:first] = self.store[self.start:self.start + first]
-        store[first:self.size] = self.store[:self.size - first]
+        store[:first] = self.store[self.start : self.start + first]
+        store[first : self.size] = self.store[: self.size - first]
         self.store, self.start = store, 0
--- a/brookhub/transport/stream.py
+++ b/brookhub/transport/stream.py
@@ -12,9 +12,13 @@
 from .threads import spawn
 
 
-ENDED = select.POLLRDHUP | select.POLLHUP | select.POLLERR  # the other side sends no more, or the connection broke
+ENDED = (
+    select.POLLRDHUP | select.POLLHUP | select.POLLERR
+)  # the other side sends no more, or the connection broke
 LAST_HEARD = 52  # place in Linux' struct tcp_info of the ms since the last bytes came (tcpi_last_data_recv)
-NOWHERE = bytearray(16 * 1024)  # bytes waited for at a time, at most: well within what the system holds of one
+NOWHERE = bytearray(
+    16 * 1024
+)  # bytes waited for at a time, at most: well within what the system holds of one
 # connection. Nothing is written there: they are counted, not taken
 
 
@@ -25,8 +29,19 @@
     system takes at once; what it does not take is written by a thread that lives as long as that needs.
     """
 
-    __slots__ = ("sock", "lock", "inbound", "outbound", "flushing", "reason", "told", "tried",
-                 "written", "drained", "last")
+    __slots__ = (
+        "sock",
+        "lock",
+        "inbound",
+        "outbound",
+        "flushing",
+        "reason",
+        "told",
+        "tried",
+        "written",
+        "drained",
+        "last",
+    )
 
     def __init__(self, sock: socket.socket, limit: int, drained: Callable[[], None] | None = None):
         self.sock, self.lock, self.drained = sock, Lock(), drained
@@ -45,7 +60,9 @@
         """Wait until so many bytes are there to read, or a fair part of many, and leave them where they are; False at
         the end."""
         wanted = max(1, min(wanted, len(NOWHERE)))
-        return self.sock.recv_into(NOWHERE, wanted, socket.MSG_PEEK | socket.MSG_TRUNC | socket.MSG_WAITALL) > 0
+        return (
+            self.sock.recv_into(NOWHERE, wanted, socket.MSG_PEEK | socket.MSG_TRUNC | socket.MSG_WAITALL) > 0
+        )
 
     def read_at_once(self, wanted: int) -> bool:
         """Read what has come, of so many bytes; raises BlockingIOError where that is nothing."""
@@ -90,7 +107,7 @@
             return at_most
         if len(told) < LAST_HEARD + 4:
             return at_most
-        return min(at_most, int.from_bytes(told[LAST_HEARD:LAST_HEARD + 4], sys.byteorder) / 1000)
+        return min(at_most, int.from_bytes(told[LAST_HEARD : LAST_HEARD + 4], sys.byteorder) / 1000)
 
     def put(self, data: bytes) -> bool:
         """Have it written after all before it; False where it does not fit."""
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -54,7 +54,9 @@
     for outcome, told in (("xfailed", "fails as known"), ("xpassed", "passes again: take it off the list")):
         for report in terminalreporter.stats.get(outcome, ()):
             if failure := known.get(report.nodeid):
-                terminalreporter.write_line(f"KNOWN-RED {failure.test}: {told} ({failure.cause}; {failure.issue})")
+                terminalreporter.write_line(
+                    f"KNOWN-RED {failure.test}: {told} ({failure.cause}; {failure.issue})"
+                )
 
 
 @pytest.fixture
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -10,7 +10,18 @@
 import threading
 import time
 
-from brookhub.interface import ApiCall, Customer, Group, Outcome, Plan, Repeat, Route, Server, State, UpstreamTry
+from brookhub.interface import (
+    ApiCall,
+    Customer,
+    Group,
+    Outcome,
+    Plan,
+    Repeat,
+    Route,
+    Server,
+    State,
+    UpstreamTry,
+)
 from brookhub.policy import NEVER_RAN, Gateway
 from brookhub.stand_ins import CounterStandIn, DiscoveryStandIn, ServerStandIn, StandIn, host, read_value
 
@@ -24,11 +35,26 @@
         self.sent, self.out, self.answers, self.told_gone = [], [], {}, {}
         self.calls, self.late = 0, False  # late: it stood still, so late answers are the adapter's to drop
         self.terms = {
-            "routes": [Route("read", 1.0, 4.0)], "plans": [Plan("hard", 4.0, 8.0)], "zone": 0, "slot": 0,
-            "gateways": 2, "counter_wait": 0.05, "largest": 1.0, "trued_up": False, "max_tries": 3,
-            "second_copies": False, "may_cancel": True, "longest_retry_after": 2.0, "cold_from": 0.2,
-            "warm_after": 10.0, "fall_multiple": 2.0, "fall_within": 1.0, "asks_for_servers": False, "ask_within": 10.0,
-            **terms}
+            "routes": [Route("read", 1.0, 4.0)],
+            "plans": [Plan("hard", 4.0, 8.0)],
+            "zone": 0,
+            "slot": 0,
+            "gateways": 2,
+            "counter_wait": 0.05,
+            "largest": 1.0,
+            "trued_up": False,
+            "max_tries": 3,
+            "second_copies": False,
+            "may_cancel": True,
+            "longest_retry_after": 2.0,
+            "cold_from": 0.2,
+            "warm_after": 10.0,
+            "fall_multiple": 2.0,
+            "fall_within": 1.0,
+            "asks_for_servers": False,
+            "ask_within": 10.0,
+            **terms,
+        }
         self.gateway = Gateway(self, seed, **self.terms)
         self.servers = [Server(index, zone=index % 3) for index in range(servers)]
         self.gateway.servers_told(self.servers)
@@ -43,7 +69,9 @@
         if ran and call.route.repeat is not Repeat.IDEMPOTENT:
             assert call.route.repeat is Repeat.TOKENED, "a non-idempotent call sent twice"
             assert self.now < ran[0].sent + call.route.window, "a repeat after its window"
-            assert call.route.group is not Group.ZONE or server.zone == ran[0].server.zone, "a repeat left its zone"
+            assert call.route.group is not Group.ZONE or server.zone == ran[0].server.zone, (
+                "a repeat left its zone"
+            )
         assert len(call.tries) < self.terms["max_tries"]
         one = UpstreamTry(call, server, len(call.tries), self.now)
         one.timeout = timeout
@@ -79,12 +107,23 @@
             self.totals[name] = total = self.totals.get(name, 0.0) + amount
             self.later(0.002, lambda: told(Outcome.OK, total, 0.002))
 
-    def probe(self, server): pass
-    def tell(self, peer, data): pass
-    def close_idle(self, server): pass
-    def follow_servers(self, on): pass
-    def fetch_servers(self): pass
-    def log(self, text): pass
+    def probe(self, server):
+        pass
+
+    def tell(self, peer, data):
+        pass
+
+    def close_idle(self, server):
+        pass
+
+    def follow_servers(self, on):
+        pass
+
+    def fetch_servers(self):
+        pass
+
+    def log(self, text):
+        pass
 
     def later(self, seconds, callback):
         self.order += 1
@@ -95,7 +134,9 @@
     def call(self, customer, route=0, units=1.0, gateways=2, patience=None):
         self.calls += 1
         route = self.terms["routes"][route]
-        call = ApiCall(self.calls, customer, route, self.now + (patience or route.client_timeout), units, gateways)
+        call = ApiCall(
+            self.calls, customer, route, self.now + (patience or route.client_timeout), units, gateways
+        )
         self.gateway.arrived(call)
         return call
 
@@ -126,15 +167,32 @@
 
 
 SETTINGS = {
-    "areas": ["a", "b"], "kinds": ["m"], "balancers": 1, "slot_no": 0, "zone": 0, "membership_mode": "pushed",
-    "classes": [{"name": "look", "slo_s": 1.0, "hard_limit_s": 2.0, "semantics": "read_like"},
-                {"name": "once", "slo_s": 1.0, "hard_limit_s": 2.0, "semantics": "non_idempotent"}],
-    "tariffs": [{"name": "wide", "refill": 500.0, "store_size": 1000.0},
-                {"name": "narrow", "refill": 0.1, "store_size": 2.0}],
+    "areas": ["a", "b"],
+    "kinds": ["m"],
+    "balancers": 1,
+    "slot_no": 0,
+    "zone": 0,
+    "membership_mode": "pushed",
+    "classes": [
+        {"name": "look", "slo_s": 1.0, "hard_limit_s": 2.0, "semantics": "read_like"},
+        {"name": "once", "slo_s": 1.0, "hard_limit_s": 2.0, "semantics": "non_idempotent"},
+    ],
+    "tariffs": [
+        {"name": "wide", "refill": 500.0, "store_size": 1000.0},
+        {"name": "narrow", "refill": 0.1, "store_size": 2.0},
+    ],
     "extra": {"counter": True, "count_limit_s": 0.2, "largest": 1},
-    "limits": {"max_attempts": 3, "cancel": True, "retry_after": True, "max_retry_after_s": 2.0, "open_cap": 20000,
-               "conn_idle_s": 15.0, "connect_timeout_s": 0.25},
-    "invariants": {"cold_from": 0.5, "ramp_time_s": 1.0, "fall_multiple": 3.0, "fall_s": 1.0}}
+    "limits": {
+        "max_attempts": 3,
+        "cancel": True,
+        "retry_after": True,
+        "max_retry_after_s": 2.0,
+        "open_cap": 20000,
+        "conn_idle_s": 15.0,
+        "connect_timeout_s": 0.25,
+    },
+    "invariants": {"cold_from": 0.5, "ramp_time_s": 1.0, "fall_multiple": 3.0, "fall_s": 1.0},
+}
 
 
 class Ports:
@@ -176,15 +234,28 @@
         listed = [host(f"s-{n}", one.address) for n, one in enumerate(self.servers)]
         self.discovery = DiscoveryStandIn(listed, **(discovery or {}))
         self.port = PORTS.draw()
-        told = {"name": "n0", "listen": f"127.0.0.1:{self.port}", "discovery": self.discovery.address, "seed": "8c1f30",
-                "limits": limits or {"memory_mb": 192, "sockets": 1024}, "counter": self.counter.address,
-                "known": json.loads(self.discovery.whole()), "settings": {**SETTINGS, **(settings or {})}, **(start or {})}
+        told = {
+            "name": "n0",
+            "listen": f"127.0.0.1:{self.port}",
+            "discovery": self.discovery.address,
+            "seed": "8c1f30",
+            "limits": limits or {"memory_mb": 192, "sockets": 1024},
+            "counter": self.counter.address,
+            "known": json.loads(self.discovery.whole()),
+            "settings": {**SETTINGS, **(settings or {})},
+            **(start or {}),
+        }
         config = folder / "config.json"
         config.write_text(json.dumps(told))
         self.log_path = folder / "log"
-        self.process = subprocess.Popen([sys.executable, "-m", "brookhub"], stderr=open(self.log_path, "w"), env={
-            **{name: value for name, value in os.environ.items() if not name.startswith("NODE_")},
-            "NODE_CONFIG": str(config)})
+        self.process = subprocess.Popen(
+            [sys.executable, "-m", "brookhub"],
+            stderr=open(self.log_path, "w"),
+            env={
+                **{name: value for name, value in os.environ.items() if not name.startswith("NODE_")},
+                "NODE_CONFIG": str(config),
+            },
+        )
         assert until(self.ready, 20), self.log_path.read_text()
         until(lambda: self.counter.open, 1)  # a first call decided without the counter's word may be refused
 
@@ -202,13 +273,19 @@
         return [(line["peer"], line["reason"]) for line in lines if line["event"] == "connection ended"]
 
     def faults(self):
-        return [line for line in self.log_path.read_text().splitlines() if '"fault"' in line or "Traceback" in line]
+        return [
+            line
+            for line in self.log_path.read_text().splitlines()
+            if '"fault"' in line or "Traceback" in line
+        ]
 
     def descriptors(self):
         return len(os.listdir(f"/proc/{self.process.pid}/fd"))
 
     def status(self, name):
-        return next(int(line.split()[1]) for line in open(f"/proc/{self.process.pid}/status") if line.startswith(name))
+        return next(
+            int(line.split()[1]) for line in open(f"/proc/{self.process.pid}/status") if line.startswith(name)
+        )
 
     def close(self):
         self.process.kill()
@@ -231,7 +308,12 @@
 
 def api_call(ident, route="look", plan="wide", patience=2000, body=None, customer=7, more=""):
     verb = b"CALL.POST" if route == "once" else b"CALL.GET"
-    words = [verb, b"%016x" % customer, b"%016x" % ident, f"c={route},t={plan},d={patience}{more},units=1,spread=1,first=0".encode()]
+    words = [
+        verb,
+        b"%016x" % customer,
+        b"%016x" % ident,
+        f"c={route},t={plan},d={patience}{more},units=1,spread=1,first=0".encode(),
+    ]
     return command(*words, *([body or b""] if route == "once" else []))
 
 
@@ -268,6 +350,7 @@
     def started():
         start()
         threading.Thread(target=run, daemon=True).start()
+
     lab.start = started
     outcome = lab.play()
     if failed:
--- a/tests/test_choices.py
+++ b/tests/test_choices.py
@@ -32,7 +32,9 @@
             assert held <= room[server] <= max(mean + 1, SLACK * mean)
         own = fleet.match(each)
         assert all(len(set(them)) == len(them) for them in own.values())
-        assert sum(map(len, own.values())) >= 0.98 * len(fleet.limiters) * each  # the last may find all places taken
+        assert (
+            sum(map(len, own.values())) >= 0.98 * len(fleet.limiters) * each
+        )  # the last may find all places taken
         if before is not None:
             moved += len(now ^ before)
         before = now
@@ -52,7 +54,9 @@
             least += 2 * len(fleet.limiters) * each * weights[gone] / sum(weights.values())
             del weights[gone]
             fleet.listed(weights)
-    assert moved <= 4.0 * least  # places that are whole numbers move more than the ideal; docs/choices.md has the means
+    assert (
+        moved <= 4.0 * least
+    )  # places that are whole numbers move more than the ideal; docs/choices.md has the means
 
 
 @pytest.mark.parametrize("seed", range(4))
@@ -109,10 +113,13 @@
         fleet = Subsets(range(20), key)
         fleet.listed({f"s{n}": 1.0 for n in range(50)})
         return fleet.match(10)
+
     assert chosen(1) == chosen(1) != chosen(2)
 
 
-@pytest.mark.parametrize("limiters, servers, each", [(1, 1, 1), (3, 5, 12), (1, 30, 12), (0, 4, 3), (4, 0, 3)])
+@pytest.mark.parametrize(
+    "limiters, servers, each", [(1, 1, 1), (3, 5, 12), (1, 30, 12), (0, 4, 3), (4, 0, 3)]
+)
 def test_small_fleets_have_all_they_can(limiters, servers, each):
     fleet = Subsets(range(limiters))
     fleet.listed({n: 1.0 for n in range(servers)})
@@ -197,7 +204,10 @@
 
     def __init__(self, names, servers, key=1):
         self.names, self.here, self.views = names, set(names), {}
-        self.parts = {name: Parts(key, name, names, lambda name=name: sorted(self.views.get(name, self.here) - {name})) for name in names}
+        self.parts = {
+            name: Parts(key, name, names, lambda name=name: sorted(self.views.get(name, self.here) - {name}))
+            for name in names
+        }
         self.listed(servers)
 
     def listed(self, servers):
@@ -206,7 +216,11 @@
             one.listed(servers)
 
     def pairs(self):
-        return {(name, server) for name in sorted(self.here) for server in self.parts[name].order()[:self.parts[name].least()]}
+        return {
+            (name, server)
+            for name in sorted(self.here)
+            for server in self.parts[name].order()[: self.parts[name].least()]
+        }
 
 
 def sites(count, zones=3, first=0):
@@ -238,9 +252,15 @@
             count[server] = count.get(server, 0) + 1
             zones.setdefault(name, []).append(crowd.servers[server][0])
         mean = len(now) / len(crowd.servers)
-        assert max(count.values()) <= 1.25 * mean + 1 and len(count) == len(crowd.servers)  # no server without a limiter
-        assert all(max(map(own.count, range(3))) - min(map(own.count, range(3))) <= 1 for own in zones.values())
-        if abs(len(now) / len(crowd.here) - len(before) / len(before and {name for name, _ in before})) < 0.5:  # parts of one size
+        assert max(count.values()) <= 1.25 * mean + 1 and len(count) == len(
+            crowd.servers
+        )  # no server without a limiter
+        assert all(
+            max(map(own.count, range(3))) - min(map(own.count, range(3))) <= 1 for own in zones.values()
+        )
+        if (
+            abs(len(now) / len(crowd.here) - len(before) / len(before and {name for name, _ in before})) < 0.5
+        ):  # parts of one size
             moved += len(now ^ before)
             least += 2 * mean if what >= 0.6 else len(now) / len(crowd.here)
         before = now
@@ -250,7 +270,9 @@
 def test_all_that_see_the_same_choose_alike_and_two_sides_of_a_split_each_cover_every_server():
     crowd = Crowd([f"n{n}" for n in range(24)], sites(30))
     whole = crowd.pairs()
-    assert whole == Crowd(list(reversed(crowd.names)), dict(reversed(sites(30).items()))).pairs()  # no order matters
+    assert (
+        whole == Crowd(list(reversed(crowd.names)), dict(reversed(sites(30).items()))).pairs()
+    )  # no order matters
     left, right = set(crowd.names[:8]), set(crowd.names[8:])
     crowd.views = {name: left if name in left else right for name in crowd.names}
     apart = crowd.pairs()
@@ -276,6 +298,7 @@
     class Server:
         def __init__(self, ident):
             self.id, self.zone, self.weight, self.up_since = ident, 0, 1.0, 0.0
+
     servers = {n: Server(n) for n in range(200)}
     views = [View(one) for one in servers.values()]
     names = [f"n{n}" for n in range(MOST_PAIRS // 200 + 1)]
@@ -285,9 +308,18 @@
     small = Shared(parts=Parts(1, "n0", names[:20], lambda: [*names[:20], "stranger"]))
     small.listed(servers)
     order = [one.server.id for one in small.ring(views, 7)]
-    assert sorted(order) == sorted(servers) and order != [one.server.id for one in views[7:] + views[:7]] and small.least > 12
+    assert (
+        sorted(order) == sorted(servers)
+        and order != [one.server.id for one in views[7:] + views[:7]]
+        and small.least > 12
+    )
     small.listed({n: servers[n] for n in range(3)})
     assert [one.server.id for one in small.ring(views[:3], 0)] and small.least == 3
     nothing = Shared()
     nothing.listed(servers)
-    assert nothing.least == 0 and not nothing.shuns(1) and not nothing.due(1) and list(nothing.ring(views, 0)) == views
+    assert (
+        nothing.least == 0
+        and not nothing.shuns(1)
+        and not nothing.due(1)
+        and list(nothing.ring(views, 0)) == views
+    )
--- a/tests/test_choices_processes.py
+++ b/tests/test_choices_processes.py
@@ -20,7 +20,9 @@
 from test_fleet_processes import all_hold, fleet, lab  # noqa: F401  the fixture
 from test_processes import experiment
 
-pytestmark = pytest.mark.xdist_group("process lab")  # its limiters have the same addresses in each lab: one at a time
+pytestmark = pytest.mark.xdist_group(
+    "process lab"
+)  # its limiters have the same addresses in each lab: one at a time
 
 BAD, USERS = 5, 2  # the server that turns bad; limiters that use it once it is well: more than a holder
 
@@ -68,12 +70,19 @@
 
 def test_a_healthy_fleet_whose_service_times_scatter_leaves_nobody_alone(lab):
     """Eight in a hundred tries are given up for their slowness here; each was told as a fault, and 70 times in 20 s a server left alone."""
+
     def script(lab):
         assert until(all_hold(lab, 8), 8)
         sleep(6.0)
         assert sum(one.how == "abandoned" for one in list(lab.seen)) > 10  # so there were some
-        told = [line for one in lab.limiters for line in one.lines() if line["event"] == "servers left alone" and line["servers"]]
+        told = [
+            line
+            for one in lab.limiters
+            for line in one.lines()
+            if line["event"] == "servers left alone" and line["servers"]
+        ]
         assert len(told) <= 2, told  # 2: what is usual is known after the first
+
     lab(script, 30.0, **LARGE)
 
 
@@ -87,6 +96,7 @@
         lab.servers[BAD].model.mode = "ok"
         well = monotonic()
         assert used_by(lab, well, USERS, HOLD_MOST + 3), Counter(one.limiter for one in sends(lab, well))
+
     lab(script, 60.0, **LARGE)
 
 
@@ -96,11 +106,14 @@
         sleep(1.0)
         began = monotonic()
         lab.cut(lab.limiters[0], sorted(lab.servers), "back", 6.0)  # it sends, and hears no answer
-        others = {one.server for one in lab.seen if began + 1 < one.at and one.limiter != lab.limiters[0].address}
+        others = {
+            one.server for one in lab.seen if began + 1 < one.at and one.limiter != lab.limiters[0].address
+        }
         assert len(others) >= 20, others
         mine = [one for one in lab.load.asked if one.limiter != 0 and began < one.sent < began + 5]
         served = [one for one in mine if one.answers and one.answers[0][1] == "proxied"]
         assert len(mine) > 300 and len(served) > 0.97 * len(mine)
+
     lab(script, 60.0, **LARGE)
 
 
@@ -112,8 +125,11 @@
         lab.kill(gone)
         killed = monotonic()
         lab.servers[BAD].model.mode = "ok"
-        assert used_by(lab, killed, USERS, FADE + HOLD_MOST), Counter(one.limiter for one in sends(lab, killed))
+        assert used_by(lab, killed, USERS, FADE + HOLD_MOST), Counter(
+            one.limiter for one in sends(lab, killed)
+        )
         assert gone.address not in {one.limiter for one in sends(lab, killed + 0.1)}
+
     lab(script, 60.0, **LARGE)
 
 
@@ -121,7 +137,9 @@
     def script(lab):
         began = begin_bad(lab)
         names = [f"n{n}" for n in range(8)]
-        assert until(lambda: sends(lab, began + TRY_AT * FADE), 2 * FADE)  # the first try by turn failed: away for longer now
+        assert until(
+            lambda: sends(lab, began + TRY_AT * FADE), 2 * FADE
+        )  # the first try by turn failed: away for longer now
         tried = sends(lab, began + TRY_AT * FADE)[0].at
         sleeper = holder(lab, names, tried + TRY_AT * 2 * FADE + 0.5)  # a failed try doubles the time
         sleep(max(0.0, tried + 1.0 - monotonic()))
@@ -132,6 +150,7 @@
         assert len(sends(lab, tried + 0.5)) <= 3  # its turn, whoever took it, and one more view's
         lab.servers[BAD].model.mode = "ok"
         assert used_by(lab, woke + GRACE, USERS, HOLD_MOST + FADE)
+
     lab(script, 60.0, **LARGE)
 
 
@@ -142,21 +161,51 @@
         split = monotonic()
         sleep(10.0)
         tries = sends(lab, split)
-        assert 1 <= len(tries) <= 10, len(tries)  # each side finds two witnesses of its own, and tries by turn
+        assert 1 <= len(tries) <= 10, len(
+            tries
+        )  # each side finds two witnesses of its own, and tries by turn
         lab.split([], False)
         lab.servers[BAD].model.mode = "ok"
         assert used_by(lab, monotonic(), USERS, HOLD_MOST + FADE)
         assert began < split
+
     lab(script, 60.0, **LARGE)
 
 
-@pytest.mark.parametrize("faults", [
-    [{"at_s": 2.0, "action": "replace_servers", "share": 0.5, "for_s": 0.5}, {"at_s": 2.6, "action": "restart_limiters", "share": 1.0}],
-    [{"at_s": 1.5 + n, "action": "replace_servers", "share": 0.11 + 0.01 * n, "for_s": 0.5} for n in range(6)],
-    [{"at_s": 2.0, "action": "split_limiters", "share": 0.5, "for_s": 7.0}, {"at_s": 3.5, "action": "zone_lost", "zone": 1, "for_s": 1.5}]],
-    ids=["all restarted onto half cold servers", "six in ten replaced within 7 s", "a zone returns cold on both sides of a split"])
+@pytest.mark.parametrize(
+    "faults",
+    [
+        [
+            {"at_s": 2.0, "action": "replace_servers", "share": 0.5, "for_s": 0.5},
+            {"at_s": 2.6, "action": "restart_limiters", "share": 1.0},
+        ],
+        [
+            {"at_s": 1.5 + n, "action": "replace_servers", "share": 0.11 + 0.01 * n, "for_s": 0.5}
+            for n in range(6)
+        ],
+        [
+            {"at_s": 2.0, "action": "split_limiters", "share": 0.5, "for_s": 7.0},
+            {"at_s": 3.5, "action": "zone_lost", "zone": 1, "for_s": 1.5},
+        ],
+    ],
+    ids=[
+        "all restarted onto half cold servers",
+        "six in ten replaced within 7 s",
+        "a zone returns cold on both sides of a split",
+    ],
+)
 def test_cold_servers_are_not_pushed_over_by_the_sum_of_all(tmp_path, faults):
-    spec = experiment(limiters=8, servers=24, rate=160.0, service=0.1, warm=8.0, membership=True, signals=True, duration=11.0, faults=faults)
+    spec = experiment(
+        limiters=8,
+        servers=24,
+        rate=160.0,
+        service=0.1,
+        warm=8.0,
+        membership=True,
+        signals=True,
+        duration=11.0,
+        faults=faults,
+    )
     # Cold for 8 s: at 2 s a machine that takes long to start eight processes finds all warm when they are back, and no
     # cold one has been used (seen: 7 of 12).
     spec = spec.model_copy(update={"fleet": spec.fleet.model_copy(update={"zones": 2})})
@@ -164,7 +213,9 @@
         outcome = played.play()
         push = {ident: one.model.push for ident, one in played.servers.items() if one.model.push}
     assert not outcome.result.broken, outcome.result.first_break
-    assert len(push) >= 11 and max(push.values()) < 1.0, push  # cold ones were used, and none up to rule 4's bound
+    assert len(push) >= 11 and max(push.values()) < 1.0, (
+        push
+    )  # cold ones were used, and none up to rule 4's bound
     # A restart of all takes some 2 s of the 11, longer on a loaded machine; calls that find no limiter then are nobody's fault.
     assert outcome.result.proxied > 0.5 * (outcome.result.calls - outcome.verdict.excused)
 
@@ -177,16 +228,22 @@
         found = {}
         for name in here:
             one = Parts(xxh3_64_intdigest("lab"), name, names, lambda: here)
-            one.listed({hosts.ident(f"s-{ident}"): (server.model.zone, 1.0) for ident, server in lab.servers.items()})
-            own = set(one.order()[:one.least()])
-            found[lab.limiters[int(name[1:])].address] = {ident for ident in lab.servers if hosts.ident(f"s-{ident}") in own}
+            one.listed(
+                {hosts.ident(f"s-{ident}"): (server.model.zone, 1.0) for ident, server in lab.servers.items()}
+            )
+            own = set(one.order()[: one.least()])
+            found[lab.limiters[int(name[1:])].address] = {
+                ident for ident in lab.servers if hosts.ident(f"s-{ident}") in own
+            }
         return found
 
     def keeps(lab, here, seconds):
         """For so long each sends only to its part, and in all to most of it."""
         since, own = monotonic(), parts(lab, here)
         sleep(seconds)
-        used = {at: {one.server for one in list(lab.seen) if one.at >= since and one.limiter == at} for at in own}
+        used = {
+            at: {one.server for one in list(lab.seen) if one.at >= since and one.limiter == at} for at in own
+        }
         beyond = {at: them - own[at] for at, them in used.items() if them - own[at]}
         assert not beyond, (beyond, here)
         assert all(used.values())
@@ -210,6 +267,7 @@
         assert until(lambda: present_of(lab, rest) == {13}, 8)
         sleep(1.5)
         keeps(lab, rest, 2.0)
+
     lab(script, 70.0, limiters=14, servers=30, rate=60.0, subsets=True)
 
 
--- a/tests/test_emulator.py
+++ b/tests/test_emulator.py
@@ -66,7 +66,9 @@
     return loads(text, Experiment).model_copy(update=changes)
 
 
-@pytest.mark.parametrize("action, said", [("reset_links", "only on processes"), ("split_limiters", "no membership")])
+@pytest.mark.parametrize(
+    "action, said", [("reset_links", "only on processes"), ("split_limiters", "no membership")]
+)
 def test_a_fault_that_it_cannot_play_is_refused(action, said):
     with pytest.raises(ValueError, match=said):
         Fleet(experiment(("1.0", action))).run()
@@ -74,11 +76,18 @@
 
 def test_a_split_in_the_emulator_tells_the_decisions_of_each_side_and_takes_nobody_from_the_sure():
     spec = experiment(("1.0", "split_limiters"), duration_s=16.0)
-    spec = spec.model_copy(update={"fleet": spec.fleet.model_copy(update={"membership": MembershipSpec(on=True)}),
-                                   "faults": [spec.faults[0].model_copy(update={"for_s": 10.0})]})
+    spec = spec.model_copy(
+        update={
+            "fleet": spec.fleet.model_copy(update={"membership": MembershipSpec(on=True)}),
+            "faults": [spec.faults[0].model_copy(update={"for_s": 10.0})],
+        }
+    )
     fleet = Fleet(spec)
     told = []
-    fleet.engine.at(10.5, lambda: told.append({(seat.gateway.upstreams.gateways, seat.gateway.sure) for seat in fleet.seats}))
+    fleet.engine.at(
+        10.5,
+        lambda: told.append({(seat.gateway.upstreams.gateways, seat.gateway.sure) for seat in fleet.seats}),
+    )
     fleet.run()
     assert told == [{(3, 6)}]  # each half of six sees three; both halves are still there
     assert {(seat.gateway.upstreams.gateways, seat.gateway.sure) for seat in fleet.seats} == {(6, 6)}
@@ -88,25 +97,57 @@
     one, two = Fleet(experiment(("2.0", "kill_limiters"))), Fleet(experiment(("2.0", "kill_limiters")))
     first, second = one.run(), two.run()
     assert first.digest == second.digest and list(one.referee.trail) == list(two.referee.trail)
-    assert first.metrics() | {"wall_s": 0, "events_per_s": 0} == second.metrics() | {"wall_s": 0, "events_per_s": 0}
+    assert first.metrics() | {"wall_s": 0, "events_per_s": 0} == second.metrics() | {
+        "wall_s": 0,
+        "events_per_s": 0,
+    }
     assert Fleet(experiment(), seed=2).run().digest != Fleet(experiment(), seed=3).run().digest
 
 
-@pytest.mark.parametrize("fault", ["restart_limiters", "replace_servers", "drain_servers", "zone_lost",
-                                   "counter_down", "counter_wipe", "counter_split", "lose_answers",
-                                   "failing_servers", "slow_servers", "stall_limiters", "term_limiters",
-                                   "split_limiters", "cut_peers", "lose_packets", "cut_links"])
+@pytest.mark.parametrize(
+    "fault",
+    [
+        "restart_limiters",
+        "replace_servers",
+        "drain_servers",
+        "zone_lost",
+        "counter_down",
+        "counter_wipe",
+        "counter_split",
+        "lose_answers",
+        "failing_servers",
+        "slow_servers",
+        "stall_limiters",
+        "term_limiters",
+        "split_limiters",
+        "cut_peers",
+        "lose_packets",
+        "cut_links",
+    ],
+)
 def test_every_fault_is_played_with_the_rules_judged_at_each_event(fault):
     # Strict: any break of rules 1 to 4 raises with its trail; the faults cause the failures the module handles.
     spec = experiment(("3.0", fault))
-    spec = spec.model_copy(update={"fleet": spec.fleet.model_copy(update={"membership": MembershipSpec(on=True)})})
+    spec = spec.model_copy(
+        update={"fleet": spec.fleet.model_copy(update={"membership": MembershipSpec(on=True)})}
+    )
     result = Fleet(spec).run()
     metrics = result.metrics()
     assert not result.broken and metrics["calls"] > 300
-    assert metrics["calls"] == metrics["proxied"] + metrics["rate_limited"] + metrics["errored"] + \
-        metrics["lost"] + metrics["left"] + metrics["open"]  # every API call ended one way, or is still open
+    assert (
+        metrics["calls"]
+        == metrics["proxied"]
+        + metrics["rate_limited"]
+        + metrics["errored"]
+        + metrics["lost"]
+        + metrics["left"]
+        + metrics["open"]
+    )  # every API call ended one way, or is still open
     if fault == "zone_lost":
-        assert metrics["errored_share"] + metrics["rate_limited_share"] > 0.0 or metrics["tries"] > metrics["proxied"]
+        assert (
+            metrics["errored_share"] + metrics["rate_limited_share"] > 0.0
+            or metrics["tries"] > metrics["proxied"]
+        )
 
 
 def test_a_killed_limiter_loses_its_calls_but_no_rule_breaks_and_answered_calls_are_forgotten():
@@ -124,7 +165,9 @@
     line = "NEVER_RAN = (Outcome.FULL, Outcome.UNCONNECTED, Outcome.UNSENT)"
     assert line in source
     source = source.replace(line, "NEVER_RAN = tuple(Outcome)")
-    module = importlib.util.module_from_spec(importlib.util.spec_from_loader("brookhub.policy_broken", loader=None))
+    module = importlib.util.module_from_spec(
+        importlib.util.spec_from_loader("brookhub.policy_broken", loader=None)
+    )
     module.__package__ = "brookhub"
     exec(compile(source, "policy_broken.py", "exec"), module.__dict__)
     return module
@@ -141,7 +184,9 @@
 
 
 def test_a_send_to_a_drained_server_after_the_grace_is_caught():
-    fleet = Fleet(experiment(), )
+    fleet = Fleet(
+        experiment(),
+    )
     fleet.discovery.delay = 5.0  # the list comes later than the grace: the limiters send on
     fleet.schedule(loads(SMALL + FAULTS % ("1.0", "drain_servers"), Experiment).faults[0])
     with pytest.raises(RuleBroken) as caught:
@@ -168,9 +213,23 @@
     # A fall seen as the try was handed over ended the tries inside Port.send, before the module had recorded the
     # try: the module's own bookkeeping then failed. The fall is a rule 4 break, counted where not strict.
     spec = experiment(("2.0", "zone_lost"), strict=False)
-    spec = spec.model_copy(update={"fleet": spec.fleet.model_copy(update={
-        "servers": spec.fleet.servers.model_copy(update={"count": 3, "service_s": 0.2, "places": 1,
-                                                         "fall_multiple": 3.0, "warm_after_s": 20.0})})})
+    spec = spec.model_copy(
+        update={
+            "fleet": spec.fleet.model_copy(
+                update={
+                    "servers": spec.fleet.servers.model_copy(
+                        update={
+                            "count": 3,
+                            "service_s": 0.2,
+                            "places": 1,
+                            "fall_multiple": 3.0,
+                            "warm_after_s": 20.0,
+                        }
+                    )
+                }
+            )
+        }
+    )
     fleet = Fleet(spec)
     for model in fleet.servers.models.values():
         model.fall_multiple = 0.3  # less than the decisions are told: they keep to half of what they are told
@@ -183,8 +242,19 @@
 
 def plan_of_work(most, machines=6):
     from brookhub.maintenance import Machine, Plan
+
     made = tuple(Machine(f"m{n}", f"z{n % 3}", 1.0, (f"s-{n}",)) for n in range(machines))
-    return Plan(1, made, ("n0", "n1", "n2"), most_out=most, most_zone=1, capacity_least=0.4, start_within_s=5.0, fill_s=3.0, pause_s=0.0)
+    return Plan(
+        1,
+        made,
+        ("n0", "n1", "n2"),
+        most_out=most,
+        most_zone=1,
+        capacity_least=0.4,
+        start_within_s=5.0,
+        fill_s=3.0,
+        pause_s=0.0,
+    )
 
 
 @pytest.mark.parametrize("most", [1, 2])
@@ -192,6 +262,7 @@
 def test_random_faults_on_a_plan_of_work_break_nothing_and_the_plan_ends(most, seed):
     """Kills that forget all, stops, splits, lost words, machines that fail by themselves; clocks up to 5% fast or slow."""
     from brookhub.emulator.site import Site
+
     site = Site(plan_of_work(most), limiters=12, seed=seed, work_s=8.0)
     site.faults(20.0, 120.0)
     site.run(1500.0)
@@ -201,6 +272,7 @@
 
 def test_without_agreement_too_many_are_out_and_without_faults_a_plan_takes_little_more_than_the_work():
     from brookhub.emulator.site import Site
+
     alone = Site(plan_of_work(1), limiters=12, seed=1, how="alone", work_s=8.0).run(600.0)
     assert alone.breaks and alone.most > 1
     agreed = Site(plan_of_work(2), limiters=12, seed=1, work_s=60.0).run(1500.0)
@@ -209,6 +281,7 @@
 
 def test_a_fleet_sends_nothing_to_machines_that_a_plan_has_out_and_serves_on():
     from brookhub.emulator.site import Site
+
     spec = loads(SMALL.replace("duration_s = 8.0", "duration_s = 60.0"), Experiment)
     fleet = Fleet(spec)
     site = Site(plan_of_work(1, machines=3), limiters=spec.fleet.limiters, seed=1, work_s=3.0, fleet=fleet)
@@ -219,6 +292,7 @@
         if one.server.id in seat.off:
             sent_to_out.append(one)
         take(one, seat)
+
     fleet.servers.take = seen
     result = fleet.run()
     assert not site.breaks and len(site.done) >= 2 and not sent_to_out
@@ -228,6 +302,7 @@
 def test_what_all_voters_forgot_the_others_remember():
     """Found by random faults: voters that had all restarted began with low ballots, and who had no vote heeded them no more."""
     from brookhub.emulator.site import Site
+
     site = Site(plan_of_work(1), limiters=8, seed=2, work_s=40.0)
     while not site.out:
         site.engine.run(site.engine.now + 0.5)
@@ -236,7 +311,9 @@
     for name in ("n0", "n1", "n2"):
         site.kill(name, 0.5)
     site.engine.run(site.engine.now + 15.0)
-    held = next(seat.core.register for seat in map(site.seats.get, site.plan.voters) if seat.core.register.leads)
+    held = next(
+        seat.core.register for seat in map(site.seats.get, site.plan.voters) if seat.core.register.leads
+    )
     assert {name for name, _ in held.table.outs} == first and held.ballot > marks[:2]
     assert site.seats["n5"].core.told_mark[:2] == held.ballot  # heeded again
     assert not site.run(900.0).breaks and site.ended
@@ -247,6 +324,7 @@
     import msgspec
 
     from brookhub.emulator.site import Site
+
     plan = plan_of_work(1)
     site = Site(plan, limiters=10, seed=seed, work_s=8.0)
     while not site.done:
--- a/tests/test_endings.py
+++ b/tests/test_endings.py
@@ -30,7 +30,16 @@
 # Discovery: the list arrives in every form, and a change is known in time after whatever became of the calls.
 
 
-@pytest.mark.parametrize("form", [{"indent": 2}, {"indent": 2, "cut": True}, {"cut": True}, {"chunked": False}, {"chunked": False, "indent": 1}])
+@pytest.mark.parametrize(
+    "form",
+    [
+        {"indent": 2},
+        {"indent": 2, "cut": True},
+        {"cut": True},
+        {"chunked": False},
+        {"chunked": False, "indent": 1},
+    ],
+)
 def test_a_list_and_its_changes_are_read_in_every_form(started, form):
     # Before: each line was parsed as a whole list, so the first line of an indented one ended the watch as nonsense.
     one, two = ServerStandIn(), ServerStandIn()
@@ -51,8 +60,15 @@
     assert [text for text in map(reader.feed, lines) if text] == [b"\n".join(lines[1:5]), b'{"seq": 2}']
 
 
-@pytest.mark.parametrize("lines, reason", [([b"[1]"], "malformed"), ([b"{ no JSON", b""], "malformed"), ([b'{"a": "b'], "malformed"),
-                                           ([b"{"] + [b'"x": 1,' * 1000] * 200, "oversized")])
+@pytest.mark.parametrize(
+    "lines, reason",
+    [
+        ([b"[1]"], "malformed"),
+        ([b"{ no JSON", b""], "malformed"),
+        ([b'{"a": "b'], "malformed"),
+        ([b"{"] + [b'"x": 1,' * 1000] * 200, "oversized"),
+    ],
+)
 def test_lines_that_no_object_can_come_of_are_refused(lines, reason):
     reader = DocumentReader()
     with pytest.raises(resp.Malformed) as met:
@@ -61,18 +77,31 @@
     assert met.value.reason == reason
 
 
-@pytest.mark.parametrize("data, ended, rest", [(b'{"a":1}\n{"b"', [b'{"a":1}'], b'{"b"'), (b'{"a":1}\n', [b'{"a":1}'], b"")])
+@pytest.mark.parametrize(
+    "data, ended, rest", [(b'{"a":1}\n{"b"', [b'{"a":1}'], b'{"b"'), (b'{"a":1}\n', [b'{"a":1}'], b"")]
+)
 def test_an_answer_of_no_stated_length_lasts_until_the_connection_ends(data, ended, rest):
     reader, ring = http.Lines(), Ring(8192)
     ring.put(b"HTTP/1.1 200 OK\r\n\r\n" + data)
     assert list(reader.feed(ring)) == ended and not reader.ended and reader.end() == rest
 
 
-@pytest.mark.parametrize("refusal", [b"HTTP/1.1 503 Busy\r\nRetry-After: 60\r\n\r\n", b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n",
-                                     b"HTTP/1.1 500 Down\r\n\r\n", b""])
+@pytest.mark.parametrize(
+    "refusal",
+    [
+        b"HTTP/1.1 503 Busy\r\nRetry-After: 60\r\n\r\n",
+        b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n",
+        b"HTTP/1.1 500 Down\r\n\r\n",
+        b"",
+    ],
+)
 def test_a_list_refused_at_first_is_had_within_six_seconds(started, refusal):
     # Before: a Retry-After was heeded up to 60 s, and pauses where lists are asked for grew to 30 s.
-    settings = {"membership_mode": "on_request", "balancers": 200, "invariants": {"must_ask_in_s": 10.0, "ramp_time_s": 1.0}}
+    settings = {
+        "membership_mode": "on_request",
+        "balancers": 200,
+        "invariants": {"must_ask_in_s": 10.0, "ramp_time_s": 1.0},
+    }
     began = time.monotonic()
     program = started(start={"known": None}, discovery={"refusals": (refusal,)}, settings=settings)
     assert time.monotonic() - began < 6.0 + 1.0  # and its start
@@ -80,16 +109,23 @@
         assert client.ask(api_call(1)) == b"ok"
 
 
-@pytest.mark.parametrize("takes, brings, asked, pauses", [
-    (4.5, 0, 0.0, (0.05, 1.0)),  # watches that are silent from the start, one after another
-    (4.5, 3, 0.0, (5.0, 20.0)),  # a watch that fell silent, where lists are asked for
-    (2.0, 0, 60.0, (5.0, 20.0)),  # turned away after a wait in line, with a time to come back in
-    (1.0, 0, 0.0, (5.0, 20.0))])  # nobody there
-def test_discovery_is_called_again_in_time_whatever_became_of_the_call_before(monkeypatch, takes, brings, asked, pauses):
+@pytest.mark.parametrize(
+    "takes, brings, asked, pauses",
+    [
+        (4.5, 0, 0.0, (0.05, 1.0)),  # watches that are silent from the start, one after another
+        (4.5, 3, 0.0, (5.0, 20.0)),  # a watch that fell silent, where lists are asked for
+        (2.0, 0, 60.0, (5.0, 20.0)),  # turned away after a wait in line, with a time to come back in
+        (1.0, 0, 0.0, (5.0, 20.0)),
+    ],
+)  # nobody there
+def test_discovery_is_called_again_in_time_whatever_became_of_the_call_before(
+    monkeypatch, takes, brings, asked, pauses
+):
     clock, begun, heard = [100.0], [], []
     monkeypatch.setattr(connections, "monotonic", lambda: clock[0])
     monkeypatch.setattr(connections, "dial", lambda address, within: None)
     for seed in range(20):
+
         def serve(sock):
             begun.append(clock[0])
             heard.append(clock[0])
@@ -103,7 +139,16 @@
             clock[0] += seconds
 
         begun.clear(), heard.clear()
-        dialling = Dialling("discovery", ("127.0.0.1", 1), 1.0, pauses, random.Random(seed).random, lambda *what: None, lambda met: None, 5.25)
+        dialling = Dialling(
+            "discovery",
+            ("127.0.0.1", 1),
+            1.0,
+            pauses,
+            random.Random(seed).random,
+            lambda *what: None,
+            lambda met: None,
+            5.25,
+        )
         dialling.over.wait = wait
         dialling.run(serve)
         gaps = [after - before for before, after in zip(heard, begun[1:])]
@@ -116,7 +161,9 @@
     port, begun, refused = SocketPort(print, 0.001), threading.Event(), [True, True]
     threads.spawn("timers", port.run_timers)
     monkeypatch.setattr(connections, "THREAD_PAUSE", 0.02)
-    monkeypatch.setattr(connections, "spawn", lambda name, work: not refused.pop() if refused else threads.spawn(name, work))
+    monkeypatch.setattr(
+        connections, "spawn", lambda name, work: not refused.pop() if refused else threads.spawn(name, work)
+    )
     connections.spawn_surely(port, "discovery", begun.set)
     assert begun.wait(2) and not refused
 
@@ -140,7 +187,11 @@
 def unread_log(program, log):
     """Another process of the same start file, on a port of its own, whose log goes to the descriptor `log`."""
     port = PORTS.draw()
-    environment = {**os.environ, "NODE_CONFIG": str(program.log_path.parent / "config.json"), "NODE_LISTEN": f"127.0.0.1:{port}"}
+    environment = {
+        **os.environ,
+        "NODE_CONFIG": str(program.log_path.parent / "config.json"),
+        "NODE_LISTEN": f"127.0.0.1:{port}",
+    }
     process = subprocess.Popen([sys.executable, "-m", "brookhub"], stderr=log, env=environment)
     os.close(log)
     try:
@@ -152,8 +203,12 @@
 
 
 def ask_at(port):
-    with contextlib.suppress(OSError, ValueError), socket.create_connection(("127.0.0.1", port), 5) as sock, sock.makefile("rb") as lines:
-        sock.sendall(api_call(random.randrange(10 ** 6)))
+    with (
+        contextlib.suppress(OSError, ValueError),
+        socket.create_connection(("127.0.0.1", port), 5) as sock,
+        sock.makefile("rb") as lines,
+    ):
+        sock.sendall(api_call(random.randrange(10**6)))
         return read_value(lines)
 
 
@@ -166,7 +221,9 @@
     program = started(servers=[ServerStandIn([0.05] * 99)])
     with Client(program) as usual:
         assert usual.ask(api_call(1)) == b"%016x" % 1
-        program.process.send_signal(signal.SIGSTOP)  # what follows is there, whole, before anything of it is read
+        program.process.send_signal(
+            signal.SIGSTOP
+        )  # what follows is there, whole, before anything of it is read
         with program.dial() as sock:
             sock.sendall(b"".join(api_call(n) for n in range(10, 16)))
             if end == "reset":
@@ -241,7 +298,13 @@
 
 
 def test_a_client_that_leaves_while_its_attempt_is_dialled_has_nothing_sent(started):
-    limits = {"max_attempts": 3, "cancel": True, "open_cap": 100, "conn_idle_s": 15.0, "connect_timeout_s": 5.0}
+    limits = {
+        "max_attempts": 3,
+        "cancel": True,
+        "open_cap": 100,
+        "conn_idle_s": 15.0,
+        "connect_timeout_s": 5.0,
+    }
     late = LateListener()
     program = started(servers=[late], settings={"limits": limits})
     with Client(program) as client:
@@ -267,8 +330,11 @@
         client.sock.sendall(api_call(1, patience=1900))
         assert until(lambda: sum(len(one.asked) for one in servers) == 2, 5)
         assert read_value(client.lines) == b"-ERR failed"
-    told = sorted(int(next(field for field in words[3].split(b",") if field.startswith(b"d="))[2:])
-                  for one in servers for words in one.asked)
+    told = sorted(
+        int(next(field for field in words[3].split(b",") if field.startswith(b"d="))[2:])
+        for one in servers
+        for words in one.asked
+    )
     assert told[1] > 1850 and told[0] <= 1900 - 450  # the second began after half the target, 0.5 s
 
 
@@ -356,7 +422,9 @@
     try:
         # `started` waits for one at a time, so all but the first start beside it
         with ThreadPoolExecutor(30) as pool:
-            for _ in pool.map(lambda folder: started(folder=folder), [tmp_path / f"n{index}" for index in range(30)]):
+            for _ in pool.map(
+                lambda folder: started(folder=folder), [tmp_path / f"n{index}" for index in range(30)]
+            ):
                 ready.append(time.monotonic() - began)
     finally:
         os.sched_setaffinity(0, cores)
@@ -390,4 +458,4 @@
 def asks(program):
     """The answer to one request on a new connection; None where it was turned away."""
     with contextlib.suppress(OSError, ValueError), Client(program) as client:
-        return client.ask(api_call(random.randrange(10 ** 6)))
+        return client.ask(api_call(random.randrange(10**6)))
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -15,8 +15,19 @@
 def test_servers_that_take_nothing_any_more_cost_calls_only_time(seed):
     # Guards: 42 of 60 servers drained while the list was late; each turned calls away at once, was never rested for it
     # and so looked best, and a call ended as an error after one such try by the luck of tries before (26% of all).
-    chance, world = random.Random(seed), World(seed, servers=20, plans=[WIDE], max_tries=5, gateways=40, counter_wait=0.0,
-                                               largest=1.0, routes=[Route("read", 2.0, 4.0)])
+    chance, world = (
+        random.Random(seed),
+        World(
+            seed,
+            servers=20,
+            plans=[WIDE],
+            max_tries=5,
+            gateways=40,
+            counter_wait=0.0,
+            largest=1.0,
+            routes=[Route("read", 2.0, 4.0)],
+        ),
+    )
     gone = set(chance.sample(range(20), 12))
     payer, calls = world.customer(), []
     for _ in range(400):
@@ -60,7 +71,9 @@
     # Guards: after six in ten servers were replaced, cold ones (slow, with a budget of their own) narrowed each gateway's
     # window as often as jammed ones, and the calls they had room for waited for it (0.66 of their warming used).
     def narrowed(cold):
-        world = World(servers=8, plans=[WIDE], max_tries=5, counter_wait=0.0, gateways=4, cold_from=0.2, warm_after=30.0)
+        world = World(
+            servers=8, plans=[WIDE], max_tries=5, counter_wait=0.0, gateways=4, cold_from=0.2, warm_after=30.0
+        )
         payer = world.customer()
         for _ in range(120):
             world.call(payer)
@@ -77,6 +90,7 @@
                 if world.now - one.sent >= 0.8:
                     world.end(one, Outcome.OK)
         return world.gateway.upstreams.window / before
+
     assert narrowed(cold=True) > 0.9 > narrowed(cold=False)
 
 
@@ -98,6 +112,7 @@
                 return world.later(self.wait, lambda: told(Outcome.TIMEOUT, 0.0, self.wait))
             self.totals[name] = total = self.totals.get(name, 0.0) + amount
             world.later(took, lambda: told(Outcome.OK, total, took))
+
         world.count = count
 
 
@@ -125,8 +140,19 @@
 
 
 def fleet(count, seed, plan, wait=0.08, **terms):
-    worlds = [World(seed + index, servers=4, plans=[plan], gateways=count, slot=index, counter_wait=wait, largest=4.0, **terms)
-              for index in range(count)]
+    worlds = [
+        World(
+            seed + index,
+            servers=4,
+            plans=[plan],
+            gateways=count,
+            slot=index,
+            counter_wait=wait,
+            largest=4.0,
+            **terms,
+        )
+        for index in range(count)
+    ]
     for world in worlds:
         world.payers = {}
     return worlds
@@ -186,7 +212,9 @@
     assert len(sent) >= least * done
 
 
-@pytest.mark.parametrize("seed, capacity, wiped", [(0, 1000, False), (1, 60, False), (2, 1000, True), (3, 60, True)])
+@pytest.mark.parametrize(
+    "seed, capacity, wiped", [(0, 1000, False), (1, 60, False), (2, 1000, True), (3, 60, True)]
+)
 def test_a_ceiling_is_kept_jointly_by_forty_gateways_whatever_the_counter_does(seed, capacity, wiped):
     # The rule's own store over all gateways: seven times the quota is asked for, the counter is crowded or emptied.
     plan = Plan("ceiled", 13.0, 17.0, ceiling_rate=30.0, ceiling_burst=39.0)
@@ -199,14 +227,20 @@
         play(worlds, crowd, 4.0, (45.0, 3.0)[phase % 2], 1, chance, units=float(chance.choice([1, 2])))
         if wiped:
             crowd.totals.clear()
-    for sent, units in sorted((one.sent, one.call.units) for world in worlds for one in world.sent if not one.number):
+    for sent, units in sorted(
+        (one.sent, one.call.units) for world in worlds for one in world.sent if not one.number
+    ):
         level, at = min(39.0, level + 30.0 * (sent - at)) - units, sent
         assert level >= 0.0
 
 
 def test_the_busiest_gateway_of_a_customer_passes_more_than_its_nth_of_a_ceiling():
     # Guards: a tenth of the units of ceiled plans, all inside the quota, waited out their targets at the own share.
-    worlds, crowd, chance = fleet(20, 7, Plan("ceiled", 25.0, 57.0, ceiling_rate=60.0, ceiling_burst=142.0)), Crowd(1000, 0.08), random.Random(7)
+    worlds, crowd, chance = (
+        fleet(20, 7, Plan("ceiled", 25.0, 57.0, ceiling_rate=60.0, ceiling_burst=142.0)),
+        Crowd(1000, 0.08),
+        random.Random(7),
+    )
     for world in worlds:
         crowd.join(world)
         world.run(5.0)
@@ -216,14 +250,21 @@
         busy.run(0.2)
         for one in list(busy.out):
             busy.end(one, Outcome.OK)
-    assert sum(busy.answers[call][0] == "proxied" for call in calls if call in busy.answers) >= 0.97 * len(calls)
+    assert sum(busy.answers[call][0] == "proxied" for call in calls if call in busy.answers) >= 0.97 * len(
+        calls
+    )
 
 
 # the fleet as membership tells it
 
 
 def told_world(gateways=4, **more):
-    world = World(gateways=gateways, servers=12, plans=[Plan("hard", 40.0, 80.0, ceiling_rate=48.0, ceiling_burst=96.0)], **more)
+    world = World(
+        gateways=gateways,
+        servers=12,
+        plans=[Plan("hard", 40.0, 80.0, ceiling_rate=48.0, ceiling_burst=96.0)],
+        **more,
+    )
     world.run(5.0)  # stores that begin empty have filled
     return world
 
@@ -233,13 +274,18 @@
     customer = world.customer()
     world.call(customer, gateways=4)
     account = customer.account
-    before = {name: (getattr(account, name).rate, getattr(account, name).depth) for name in ("share", "alone", "ceiling")}
+    before = {
+        name: (getattr(account, name).rate, getattr(account, name).depth)
+        for name in ("share", "alone", "ceiling")
+    }
     world.gateway.fleet_told(2, 0, 4)  # a split in halves: two are seen, none has left
     assert {name: (getattr(account, name).rate, getattr(account, name).depth) for name in before} == before
     cold = world.gateway.upstreams.rivals
     world.gateway.fleet_told(2, 0, 2)  # two have left for good
     after = {name: getattr(account, name) for name in before}
-    assert after["share"].rate == 20.0 and after["alone"].rate == 40.0 * 0.75 and after["ceiling"].rate == 24.0
+    assert (
+        after["share"].rate == 20.0 and after["alone"].rate == 40.0 * 0.75 and after["ceiling"].rate == 24.0
+    )
     assert world.gateway.upstreams.rivals == cold / 2
     world.gateway.fleet_told(8, 0, 8)  # growth: what was there for fewer is cut at once
     assert account.share.level <= account.share.depth == 10.0 and account.ceiling.depth == 12.0
@@ -265,8 +311,17 @@
     divided by the two that each sees (the baseline), they pass it."""
     spent = {}
     for hard in ("sure", "live"):
-        worlds = [World(seed=seed * 10 + n, gateways=4, servers=12, counter="silent", slot=n,
-                        plans=[Plan("hard", 40.0, 80.0)]) for n in range(4)]
+        worlds = [
+            World(
+                seed=seed * 10 + n,
+                gateways=4,
+                servers=12,
+                counter="silent",
+                slot=n,
+                plans=[Plan("hard", 40.0, 80.0)],
+            )
+            for n in range(4)
+        ]
         for world in worlds:
             world.run(8.0)  # stores that begin empty have filled
             world.gateway.fleet_told(2, 0, 4 if hard == "sure" else 2)
@@ -304,8 +359,12 @@
     # a window could use half the burst: 59% of the calls were rate-limited at 62% of the ceiling (docs/lab.md).
     for load, least, most in ((15.0, 0.95, 1.0), (60.0, 0.85, 1.0)):
         chance, crowd = random.Random(seed), Crowd(capacity=2000, wait=0.08)
-        worlds = fleet(100, seed, Plan("ceiled", 40.0, 80.0, ceiling_rate=24.0, ceiling_burst=48.0),
-                       routes=[Route("read", 1.0, 4.0)])
+        worlds = fleet(
+            100,
+            seed,
+            Plan("ceiled", 40.0, 80.0, ceiling_rate=24.0, ceiling_burst=48.0),
+            routes=[Route("read", 1.0, 4.0)],
+        )
         for world in worlds:
             crowd.join(world)
             world.run(3.0)
@@ -347,7 +406,9 @@
             customer = world.customer()
             world.call(customer, gateways=10)
             world.gateway.counter_told(0.0)
-            world.count = lambda name, amount, lives, told, world=world: world.later(0.0, lambda: told(Outcome.NOTED, 0.0, 0.0))
+            world.count = lambda name, amount, lives, told, world=world: world.later(
+                0.0, lambda: told(Outcome.NOTED, 0.0, 0.0)
+            )
             before = len(world.sent)
             for _ in range(100):
                 world.call(customer, gateways=10)
@@ -355,4 +416,6 @@
                 for one in list(world.out):
                     world.end(one, Outcome.OK)
             spent += len(world.sent) - before
-        assert spent <= plan.burst + 20.0 * plan.rate + 2 * 10, plan.name  # two units each: saved up, and whole or not
+        assert spent <= plan.burst + 20.0 * plan.rate + 2 * 10, (
+            plan.name
+        )  # two units each: saved up, and whole or not
