--- a/tests/test_fleet_processes.py
+++ b/tests/test_fleet_processes.py
@@ -23,8 +23,9 @@
 from helpers import SETTINGS, Program, play_script, until
 from test_processes import experiment
 
-pytestmark = pytest.mark.xdist_group("process lab")  # its limiters have the same addresses in each lab: one at a time
-
+pytestmark = pytest.mark.xdist_group(
+    "process lab"
+)  # its limiters have the same addresses in each lab: one at a time
 
 
 def fleet(one):
@@ -36,7 +37,9 @@
 
 
 def present(lab, but=()):
-    return {one.index: fleet(one).get("present") for one in lab.limiters if one.alive() and one.index not in but}
+    return {
+        one.index: fleet(one).get("present") for one in lab.limiters if one.alive() and one.index not in but
+    }
 
 
 def all_hold(lab, count, but=()):
@@ -53,6 +56,7 @@
         lab = ProcessLab(spec, tmp_path, seed=1)
         made.append(lab)
         return play_script(lab, script)
+
     yield begin
     for one in made:
         one.close()
@@ -65,7 +69,10 @@
         assert until(lambda: present(lab) == {0: 2, 1: 2, 2: 3, 3: 3, 4: 3}, 8), present(lab)
         lab.split([], False)
         assert until(all_hold(lab, 5), 6), present(lab)
-        assert {line["sure"] for one in lab.limiters for line in one.lines() if line["event"] == "fleet"} == {5}
+        assert {line["sure"] for one in lab.limiters for line in one.lines() if line["event"] == "fleet"} == {
+            5
+        }
+
     lab(script, 30.0)
 
 
@@ -75,13 +82,18 @@
         lab.stall(lab.limiters[1], 5.0)
         assert until(all_hold(lab, 4, but=[1]), 0.1) or all(
             any(line["event"] == "fleet" and line["present"] == 4 for line in one.lines())
-            for one in lab.limiters if one.index != 1)  # the others missed it meanwhile
+            for one in lab.limiters
+            if one.index != 1
+        )  # the others missed it meanwhile
         assert until(all_hold(lab, 5), 5), present(lab)
         own = [line for line in lab.limiters[1].lines() if line["event"] == "fleet"]
         assert not any("dead" in text for line in own for text in line["absent"]), own
         assert any(line["event"] == "was stopped" for line in lab.limiters[1].lines())
+
     outcome = lab(script, 30.0)
-    assert outcome.verdict.excused > 0  # its calls were lost while it stood still; the judge excuses no late answer
+    assert (
+        outcome.verdict.excused > 0
+    )  # its calls were lost while it stood still; the judge excuses no late answer
 
 
 def test_half_killed_at_once_and_then_all_restarted_together(lab):
@@ -97,6 +109,7 @@
         for one in gone:
             one.join()
         assert until(all_hold(lab, 4), 6), present(lab)
+
     lab(script, 30.0, limiters=4)
 
 
@@ -105,14 +118,17 @@
         assert until(all_hold(lab, 4), 5)
         before = {one.index: len(one.lines()) for one in lab.limiters}
         lab.mesh.every(loss=0.1, duplicate=0.1, reorder=0.1)
-        for flap in range(6):  # one pair, one way, then the other: each still reaches the other through the rest
+        for flap in range(
+            6
+        ):  # one pair, one way, then the other: each still reaches the other through the rest
             lab.mesh.set("n0", "n1", cut=flap % 2 == 0)
             lab.mesh.set("n1", "n0", cut=flap % 2 == 1)
             time.sleep(0.5)
         lab.mesh.clear()
         for one in lab.limiters:
-            new = [line for line in one.lines()[before[one.index]:] if line["event"] == "fleet"]
+            new = [line for line in one.lines()[before[one.index] :] if line["event"] == "fleet"]
             assert all(line["present"] == 4 and line["live"] == 4 for line in new), new
+
     lab(script, 30.0, limiters=4)
 
 
@@ -124,6 +140,7 @@
         lab.limiters[3].start()
         lab.wait_ready(lab.limiters[3])
         assert until(all_hold(lab, 4), 6), present(lab)  # its incarnation is lower than what the others hold
+
     lab(script, 30.0, limiters=4)
 
 
@@ -132,16 +149,22 @@
         assert until(all_hold(lab, 4), 5)
         target, chance = lab.limiters[0], random.Random(1)
         stranger = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
-        false = encode(Message("lab", VERSION, 4, "n1", 0, "", [("n2", 4, 2 ** 39, "")]))  # n2 left, says who is not n1
+        false = encode(
+            Message("lab", VERSION, 4, "n1", 0, "", [("n2", 4, 2**39, "")])
+        )  # n2 left, says who is not n1
         listed = lab.mesh.sockets["n0", "n1"]  # where n0 knows n1: cut and spoilt messages come from there
         whole = encode(Message("lab", VERSION, 1, "n1", 3))
-        sent, began, memory = 0, time.monotonic(), lambda: int(Path(f"/proc/{target.process.pid}/statm").read_text().split()[1])
+        sent, began, memory = (
+            0,
+            time.monotonic(),
+            lambda: int(Path(f"/proc/{target.process.pid}/statm").read_text().split()[1]),
+        )
         before = memory()
         while time.monotonic() - began < 3.0:
             for _ in range(100):
                 stranger.sendto(false, target.udp)
                 stranger.sendto(chance.randbytes(1400), target.udp)
-                listed.sendto(whole[:chance.randrange(len(whole))], target.udp)
+                listed.sendto(whole[: chance.randrange(len(whole))], target.udp)
                 listed.sendto(chance.randbytes(200), target.udp)
             sent += 400
             time.sleep(max(0.0, began + sent / 10_000 - time.monotonic()))
@@ -152,8 +175,10 @@
         assert told["unlisted"] > 1000 and told["unreadable"] > 1000
         assert memory() - before < 8 * 1024 * 1024 / os.sysconf("SC_PAGE_SIZE")
         assert until(all_hold(lab, 4), 5) and {fleet(one)["sure"] for one in lab.limiters} == {4}
+
     lab(script, 30.0, limiters=4)
 
+
 def test_a_fleet_goes_from_four_to_twelve_and_back_to_four_under_load(lab):
     def script(lab):
         few, many = lab.limiters[:4], lab.limiters[4:]
@@ -168,15 +193,23 @@
         def back(one):
             one.start()
             lab.wait_ready(one)
+
         assert until(all_hold(lab, 12), 6), present(lab)
         for _ in range(2):
-            together(lambda one: lab.kill(one, None, signal.SIGTERM))  # planned: no call is lost, the judge sees to it
-            assert until(lambda: {fleet(one).get("sure") for one in few} == {4}, 12), [fleet(one) for one in few]
-            assert {fleet(one)["live"] for one in few} == {4} and {fleet(one)["rank"] for one in few} == set(range(4))
+            together(
+                lambda one: lab.kill(one, None, signal.SIGTERM)
+            )  # planned: no call is lost, the judge sees to it
+            assert until(lambda: {fleet(one).get("sure") for one in few} == {4}, 12), [
+                fleet(one) for one in few
+            ]
+            assert {fleet(one)["live"] for one in few} == {4} and {fleet(one)["rank"] for one in few} == set(
+                range(4)
+            )
             if _ == 0:
                 together(back)
                 assert until(all_hold(lab, 12), 6), present(lab)
                 assert {fleet(one)["sure"] for one in few} == {12}  # growth counts at once
+
     lab(script, 60.0, limiters=12)
 
 
@@ -196,9 +229,13 @@
 PEERS = 'fleet = "a"\nname = "n0"\nlisten = "127.0.0.1:%d"\n[[peers]]\nname = "n1"\naddress = "127.0.0.1:9"\n'
 
 
-@pytest.mark.parametrize("named, allowed, opens", [(False, False, 0), (False, True, 0), (True, False, 0), (True, None, 0),
-                                                   (True, True, 1)])
-def test_run_opens_a_udp_socket_only_where_peers_are_named_and_the_settings_allow_it(tmp_path, named, allowed, opens):
+@pytest.mark.parametrize(
+    "named, allowed, opens",
+    [(False, False, 0), (False, True, 0), (True, False, 0), (True, None, 0), (True, True, 1)],
+)
+def test_run_opens_a_udp_socket_only_where_peers_are_named_and_the_settings_allow_it(
+    tmp_path, named, allowed, opens
+):
     """On the operators' platform limits.peer_messages is false and no file is named: `run` is as it was."""
     with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as probe:
         probe.bind(("127.0.0.1", 0))
@@ -212,7 +249,9 @@
         refused = [line for line in program.log_path.read_text().splitlines() if "membership refused" in line]
         assert len(refused) == (named and not opens)
         assert ("brookhub/membership" in Path(f"/proc/{program.process.pid}/maps").read_text()) is False
-        assert ("msgspec" in Path(f"/proc/{program.process.pid}/maps").read_text()) is bool(opens)  # nor is it imported
+        assert ("msgspec" in Path(f"/proc/{program.process.pid}/maps").read_text()) is bool(
+            opens
+        )  # nor is it imported
     finally:
         program.close()
 
@@ -230,29 +269,51 @@
         with socket.socket() as client:
             met.append(client.connect_ex(start.listen))
         raise startfile.StartError("enough seen")
+
     monkeypatch.setattr(startfile, reader, read)
-    config.write_text(json.dumps({"listen": f"127.0.0.1:{port}", "discovery": "127.0.0.1:9", "counter": "127.0.0.1:9",
-                                  "membership" if reader == "peers" else "recovery": "some.toml",
-                                  "settings": {**SETTINGS, "limits": {"max_attempts": 3, "peer_messages": True}}}))
+    config.write_text(
+        json.dumps(
+            {
+                "listen": f"127.0.0.1:{port}",
+                "discovery": "127.0.0.1:9",
+                "counter": "127.0.0.1:9",
+                "membership" if reader == "peers" else "recovery": "some.toml",
+                "settings": {**SETTINGS, "limits": {"max_attempts": 3, "peer_messages": True}},
+            }
+        )
+    )
     with pytest.raises(startfile.StartError, match="enough seen"):
         run.Program(startfile.read({"NODE_CONFIG": str(config)}))
     assert met == [errno.ECONNREFUSED]
 
 
-@pytest.mark.parametrize("text, said", [
-    (None, "No such file"), ("fleet = 1", "fleet"), (PEERS % 7000 + "more = 1\n", "unknown key"),
-    (PEERS.replace("127.0.0.1:9", "localhost:9") % 7000, "an IPv4 address and a port"),
-    (PEERS.replace("127.0.0.1:9", "127.0.0.1:99999") % 7000, "an IPv4 address and a port"),
-    (PEERS.replace('"n1"', '"n0"') % 7000, "the name n0 is there twice"),
-    (PEERS.replace("127.0.0.1:9", "127.0.0.1:7000") % 7000, "the address 127.0.0.1:7000 is there twice"),
-    (PEERS.replace('"n0"', '"%s"' % ("n" * 33)) % 7000, "32 characters")])
+@pytest.mark.parametrize(
+    "text, said",
+    [
+        (None, "No such file"),
+        ("fleet = 1", "fleet"),
+        (PEERS % 7000 + "more = 1\n", "unknown key"),
+        (PEERS.replace("127.0.0.1:9", "localhost:9") % 7000, "an IPv4 address and a port"),
+        (PEERS.replace("127.0.0.1:9", "127.0.0.1:99999") % 7000, "an IPv4 address and a port"),
+        (PEERS.replace('"n1"', '"n0"') % 7000, "the name n0 is there twice"),
+        (PEERS.replace("127.0.0.1:9", "127.0.0.1:7000") % 7000, "the address 127.0.0.1:7000 is there twice"),
+        (PEERS.replace('"n0"', '"%s"' % ("n" * 33)) % 7000, "32 characters"),
+    ],
+)
 def test_a_file_of_peers_that_cannot_be_used_is_told_in_one_line_and_ends_with_2(tmp_path, text, said):
     path, config = tmp_path / "membership.toml", tmp_path / "config.json"
     if text is not None:
         path.write_text(text)
-    config.write_text('{"listen": "127.0.0.1:1", "discovery": "127.0.0.1:1", "membership": "%s", '
-                      '"settings": {"limits": {"peer_messages": true}}}' % path)
-    ended = subprocess.run([sys.executable, "-m", "brookhub"], env={**os.environ, "NODE_CONFIG": str(config)},
-                           capture_output=True, text=True, timeout=20)
+    config.write_text(
+        '{"listen": "127.0.0.1:1", "discovery": "127.0.0.1:1", "membership": "%s", '
+        '"settings": {"limits": {"peer_messages": true}}}' % path
+    )
+    ended = subprocess.run(
+        [sys.executable, "-m", "brookhub"],
+        env={**os.environ, "NODE_CONFIG": str(config)},
+        capture_output=True,
+        text=True,
+        timeout=20,
+    )
     lines = [line for line in ended.stderr.splitlines() if not line.startswith("{")]
     assert ended.returncode == 2 and len(lines) == 1 and said in lines[0], ended.stderr
--- a/tests/test_known_failures.py
+++ b/tests/test_known_failures.py
@@ -28,7 +28,10 @@
 
 def test_a_listed_failure_is_printed_and_passed_over(tmp_path):
     code, said = run_suite(tmp_path, "tests/test_small.py::test_red | not mended yet | issue 1\n")
-    assert code == 0 and "KNOWN-RED tests/test_small.py::test_red: fails as known (not mended yet; issue 1)" in said
+    assert (
+        code == 0
+        and "KNOWN-RED tests/test_small.py::test_red: fails as known (not mended yet; issue 1)" in said
+    )
 
 
 def test_a_failure_that_is_not_listed_fails(tmp_path):
@@ -37,11 +40,17 @@
 
 
 def test_a_listed_test_that_passes_is_told(tmp_path):
-    code, said = run_suite(tmp_path, "tests/test_small.py::test_green | not mended yet | issue 1\n", SUITE.replace("False", "True"))
+    code, said = run_suite(
+        tmp_path,
+        "tests/test_small.py::test_green | not mended yet | issue 1\n",
+        SUITE.replace("False", "True"),
+    )
     assert code == 0 and "test_green: passes again" in said
 
 
-@pytest.mark.parametrize("text", ["tests/test_small.py::test_red\n", "a | b | c\n" "d | e | f\n" "g | h | i\n" "j | k | l\n", "a | | c\n"])
+@pytest.mark.parametrize(
+    "text", ["tests/test_small.py::test_red\n", "a | b | c\nd | e | f\ng | h | i\nj | k | l\n", "a | | c\n"]
+)
 def test_a_list_that_is_too_long_or_says_too_little_is_refused(text):
     with pytest.raises(pytest.UsageError):
         read_known_failures(text)
--- a/tests/test_lab.py
+++ b/tests/test_lab.py
@@ -13,11 +13,19 @@
 from test_emulator import SMALL
 
 
-@pytest.mark.parametrize("change, key, line, why", [
-    (("limiters = 6", 'limiters = "six"'), "fleet.limiters", 6, "integer"),
-    (("zones = 2", "zones = 2\nlimters = 4"), "fleet.limters", 8, "unknown key"),
-    (('name = "grid-fetch"\ntarget_s = 0.5\n', 'name = "grid-fetch"\n'), "fleet.routes.0.target_s", 10, "missing"),
-])
+@pytest.mark.parametrize(
+    "change, key, line, why",
+    [
+        (("limiters = 6", 'limiters = "six"'), "fleet.limiters", 6, "integer"),
+        (("zones = 2", "zones = 2\nlimters = 4"), "fleet.limters", 8, "unknown key"),
+        (
+            ('name = "grid-fetch"\ntarget_s = 0.5\n', 'name = "grid-fetch"\n'),
+            "fleet.routes.0.target_s",
+            10,
+            "missing",
+        ),
+    ],
+)
 def test_a_bad_experiment_gives_one_error_naming_key_and_line_and_exit_2(tmp_path, change, key, line, why):
     path = tmp_path / "bad.toml"
     path.write_text(SMALL.replace(*change))
@@ -49,8 +57,10 @@
 
 
 def test_a_sweep_cut_off_half_way_resumes_without_redoing_finished_points(tmp_path):
-    text = SMALL.replace("duration_s = 8.0", "duration_s = 2.0") + \
-        '[sweep]\nseeds = [1, 2]\n[[sweep.axes]]\nparameter = "fleet.limiters"\nvalues = [2, 4]\n'
+    text = (
+        SMALL.replace("duration_s = 8.0", "duration_s = 2.0")
+        + '[sweep]\nseeds = [1, 2]\n[[sweep.axes]]\nparameter = "fleet.limiters"\nvalues = [2, 4]\n'
+    )
     spec = loads(text, Experiment)
     assert sweep.sweep(spec, tmp_path, processes=1, limit=3) == 3
     with open(tmp_path / sweep.RESULTS, "a") as sink:
@@ -67,9 +77,33 @@
 
 def test_the_figures_of_subsets_and_of_ceilings_are_drawn_from_rows(tmp_path):
     from brookhub.lab import choices, recovery
-    subsets = [{"limiters": 4, "servers": 10, "way": way, "weighted": False, "limiters_a_server": 1.1, "load_a_server": 1.2,
-                "churn_limiter": 1.0, "churn_server": None} for way in choices.WAYS]
-    ceilings = [{"kind": kind, "for_s": 0.0, "limiters": limiters, "way": way, "plans": "national", "ceiling_over": 0.5, "of_ceiling": 0.9}
-                for kind in ("none", "wipe") for limiters in (4, 40) for way in ("off", "on")]
+
+    subsets = [
+        {
+            "limiters": 4,
+            "servers": 10,
+            "way": way,
+            "weighted": False,
+            "limiters_a_server": 1.1,
+            "load_a_server": 1.2,
+            "churn_limiter": 1.0,
+            "churn_server": None,
+        }
+        for way in choices.WAYS
+    ]
+    ceilings = [
+        {
+            "kind": kind,
+            "for_s": 0.0,
+            "limiters": limiters,
+            "way": way,
+            "plans": "national",
+            "ceiling_over": 0.5,
+            "of_ceiling": 0.9,
+        }
+        for kind in ("none", "wipe")
+        for limiters in (4, 40)
+        for way in ("off", "on")
+    ]
     for draw, rows in ((choices.plot, subsets), (recovery.plot_ceiling, ceilings)):
         assert draw(rows, tmp_path / "drawn.png").stat().st_size > 10_000
--- a/tests/test_links.py
+++ b/tests/test_links.py
@@ -57,7 +57,7 @@
         sent, got = 0, b""
         while len(got) < len(big):
             if sent < len(big):
-                sent += sock.send(big[sent:sent + 50000])
+                sent += sock.send(big[sent : sent + 50000])
             got += sock.recv(65536)
     assert got == big
     server.close()
@@ -162,4 +162,5 @@
         way = Way(seed)
         way.set(loss=0.2, duplicate=0.1, reorder=0.1, delay=0.01, spread=0.02)
         return [way.packet(100, float(n)) for n in range(200)]
+
     assert fates("1/a") == fates("1/a") != fates("2/a")
--- a/tests/test_maintenance.py
+++ b/tests/test_maintenance.py
@@ -9,13 +9,30 @@
 from hypothesis.stateful import RuleBasedStateMachine, invariant, rule
 
 from brookhub.checker import PLANTED, Model, search
-from brookhub.maintenance import LEAVING, OPEN, Machine, Maintenance, Plan, Settings, Unreadable, fits, order, pack, unpack
+from brookhub.maintenance import (
+    LEAVING,
+    OPEN,
+    Machine,
+    Maintenance,
+    Plan,
+    Settings,
+    Unreadable,
+    fits,
+    order,
+    pack,
+    unpack,
+)
 from brookhub.maintenance.messages import Grant, Offer, Table, Write
 from brookhub.maintenance.register import DRIFT, leased
 
 
 def plan(machines=6, zones=2, version=1, voters=("n0", "n1", "n2"), **more):
-    return Plan(version, tuple(Machine(f"m{n}", f"z{n % zones}", 1.0 + n % 3, (f"s-{n}",)) for n in range(machines)), voters, **more)
+    return Plan(
+        version,
+        tuple(Machine(f"m{n}", f"z{n % zones}", 1.0 + n % 3, (f"s-{n}",)) for n in range(machines)),
+        voters,
+        **more,
+    )
 
 
 # the order
@@ -24,8 +41,15 @@
 @pytest.mark.parametrize("seed", range(10))
 def test_the_order_has_every_machine_once_and_is_the_same_however_the_plan_is_listed(seed):
     chance = random.Random(seed)
-    machines = [Machine(f"m{n}", f"z{chance.randrange(3)}", chance.choice([1.0, 2.0, 4.0]), limiter=chance.choice(["", "", f"n{n}"]))
-                for n in range(chance.randrange(1, 20))]
+    machines = [
+        Machine(
+            f"m{n}",
+            f"z{chance.randrange(3)}",
+            chance.choice([1.0, 2.0, 4.0]),
+            limiter=chance.choice(["", "", f"n{n}"]),
+        )
+        for n in range(chance.randrange(1, 20))
+    ]
     load = {f"z{n}": chance.random() * 100 for n in range(3)}
     down = frozenset(one.name for one in machines if chance.random() < 0.2)
     made = order(Plan(1, tuple(machines), ("n0",)), load, down)
@@ -147,10 +171,13 @@
 def test_a_table_that_comes_before_its_plan_is_kept_and_its_machines_are_kept_off_once_the_plan_is_there():
     """Seen on eight processes: the steward's word was quicker than the plan, and the limiter that met it logged a fault."""
     from brookhub.maintenance.messages import Told
+
     port = Alone(["n1"])
     core = Maintenance(port, "n7")
     one = plan()
-    core.received("n1", Told((2, "n1", 3), Table(1, one.digest(), (("m0", LEAVING),), voters=("n0", "n1", "n2"))))
+    core.received(
+        "n1", Told((2, "n1", 3), Table(1, one.digest(), (("m0", LEAVING),), voters=("n0", "n1", "n2")))
+    )
     assert port.held == () and [type(message).__name__ for _, message in port.out] == ["Heard", "Want"]
     assert port.out[0][1].report.quiet == ()  # it can't say so yet
     core.give(one)
@@ -163,7 +190,12 @@
 def begun(**more):
     port = Alone()
     core = Maintenance(port, "n0", Settings(lease=1.0, ends_in=1.0, settle=3.0), knows=True)
-    assert core.give(plan(voters=("n0",), machines=4, **{"pause_s": 0.0, "fill_s": 2.0, "start_within_s": 6.0, **more})) == ""
+    assert (
+        core.give(
+            plan(voters=("n0",), machines=4, **{"pause_s": 0.0, "fill_s": 2.0, "start_within_s": 6.0, **more})
+        )
+        == ""
+    )
     port.run(core, 3.0)
     return port, core
 
@@ -175,7 +207,11 @@
 def test_a_machine_is_permitted_safe_gone_back_filled_and_done_and_then_the_next():
     port, core = begun(capacity_least=0.4)
     first = next(iter(out_of(core)))
-    assert out_of(core) == {first: OPEN} and f"safe to work on {first}" in port.events() and port.held == (first,)
+    assert (
+        out_of(core) == {first: OPEN}
+        and f"safe to work on {first}" in port.events()
+        and port.held == (first,)
+    )
     port.run(core, 3.0)
     assert out_of(core) == {first: OPEN}  # it is still there: nobody has started
     port.gone = {first}
@@ -288,7 +324,9 @@
 def test_a_lease_ends_at_the_voter_after_the_leader_s_whatever_the_two_clocks_do():
     for leader in (1 - DRIFT, 1 + DRIFT):
         for voter in (1 - DRIFT, 1 + DRIFT):
-            assert leased(3.0) / voter >= 3.0 / leader - 1e-9  # true s: rate of a clock times true time is what it shows
+            assert (
+                leased(3.0) / voter >= 3.0 / leader - 1e-9
+            )  # true s: rate of a clock times true time is what it shows
 
 
 def test_one_that_starts_with_nothing_abstains_for_a_lease_and_until_it_has_read_a_majority():
@@ -304,6 +342,7 @@
     asked = [message.number for _, message in port.out if type(message).__name__ == "Read"]
     assert asked
     from brookhub.maintenance.messages import State
+
     for peer, abstains in (("n1", False), ("n2", False), ("n3", True)):
         core.received(peer, State(asked[-1], abstains, (4, "n1"), (4, "n1", 2), table, True))
     assert register.abstains  # two that remember are no majority of five
@@ -344,7 +383,9 @@
     assert any(core.register.table.outs for core in cores.values())
 
 
-@pytest.mark.parametrize("cut", [{("n0", "n1"), ("n0", "n2")}, {("n1", "n0"), ("n2", "n0")}, {("n1", "n0"), ("n0", "n2")}])
+@pytest.mark.parametrize(
+    "cut", [{("n0", "n1"), ("n0", "n2")}, {("n1", "n0"), ("n2", "n0")}, {("n1", "n0"), ("n0", "n2")}]
+)
 def test_voters_that_remember_nothing_hear_each_other_by_a_third_where_a_link_is_cut_one_way(cut):
     """Seen on processes, where it held a plan up for as long as the cut lasted: two new voters waited for the third, whose
     answers did not reach them."""
@@ -362,7 +403,10 @@
 # the checker
 
 
-@pytest.mark.parametrize("voters, most, joins, states", [(3, 1, False, 5000), (3, 2, False, 4000), (5, 1, False, 2000), (4, 1, True, 2000)])
+@pytest.mark.parametrize(
+    "voters, most, joins, states",
+    [(3, 1, False, 5000), (3, 2, False, 4000), (5, 1, False, 2000), (4, 1, True, 2000)],
+)
 def test_the_checker_finds_nothing_wrong_and_from_what_it_saw_every_plan_ends(voters, most, joins, states):
     model = Model(voters, most, machines=1 + most, joins=joins, rounds=True)
     found = search(model, deviations=2, depth=30, states=states, seconds=15.0, sample=states // 8)
@@ -376,10 +420,17 @@
     found = search(model, deviations=2, depth=30, states=3000, seconds=15.0, sample=400)
     assert not found.broken and found.states > 500
     assert [model.ends(state) for state in found.ends[:4]] == [""] * len(found.ends[:4])
-    loose = Model(3, 2, machines=4, zone_most=1, zones=2, rounds=True)  # and it would be found: limiters with other zones
+    loose = Model(
+        3, 2, machines=4, zone_most=1, zones=2, rounds=True
+    )  # and it would be found: limiters with other zones
     for core in loose.cores:
-        core.plan = msgspec.structs.replace(core.plan, machines=tuple(
-            msgspec.structs.replace(one, zone="prqs"[number]) for number, one in enumerate(core.plan.machines)))
+        core.plan = msgspec.structs.replace(
+            core.plan,
+            machines=tuple(
+                msgspec.structs.replace(one, zone="prqs"[number])
+                for number, one in enumerate(core.plan.machines)
+            ),
+        )
     assert "zone" in search(loose, deviations=0, depth=30, states=500, seconds=15.0).broken
 
 
@@ -388,12 +439,44 @@
     assert not found.broken and found.states > 1000
 
 
-@pytest.mark.parametrize("planted, model, text", [
-    ("no look at the lease", dict(voters=3, most=1, machines=2, rounds=True, faults={"stall": 1}), "two hold the permit"),
-    ("counted votes", dict(voters=3, most=2, machines=3, rounds=True, one_permit=False, blind=True, faults={"hold": 1, "mute": 1}),
-     "3 machines out"),
-    ("no abstaining", dict(voters=3, most=1, machines=2, rounds=True, apart="n2", blind=True, work_s=9, one_permit=False,
-                           faults={"crash": 2}), "2 machines out")])
+@pytest.mark.parametrize(
+    "planted, model, text",
+    [
+        (
+            "no look at the lease",
+            dict(voters=3, most=1, machines=2, rounds=True, faults={"stall": 1}),
+            "two hold the permit",
+        ),
+        (
+            "counted votes",
+            dict(
+                voters=3,
+                most=2,
+                machines=3,
+                rounds=True,
+                one_permit=False,
+                blind=True,
+                faults={"hold": 1, "mute": 1},
+            ),
+            "3 machines out",
+        ),
+        (
+            "no abstaining",
+            dict(
+                voters=3,
+                most=1,
+                machines=2,
+                rounds=True,
+                apart="n2",
+                blind=True,
+                work_s=9,
+                one_permit=False,
+                faults={"crash": 2},
+            ),
+            "2 machines out",
+        ),
+    ],
+)
 def test_the_checker_finds_each_planted_fault(planted, model, text):
     found = search(Model(register=PLANTED[planted], **model), deviations=2, depth=26, seconds=45.0)
     assert text in found.broken and 5 < len(found.trail) < 30
@@ -417,7 +500,13 @@
 
     def __init__(self):
         super().__init__()
-        self.model = Model(3, 1, 3, rounds=True, faults={"crash": 2, "stall": 3, "cut": 3, "mute": 3, "hold": 5, "double": 3, "slow": 3})
+        self.model = Model(
+            3,
+            1,
+            3,
+            rounds=True,
+            faults={"crash": 2, "stall": 3, "cut": 3, "mute": 3, "hold": 5, "double": 3, "slow": 3},
+        )
         self.state = self.model.start()
 
     @rule(rounds=some.integers(1, 4))
@@ -438,5 +527,10 @@
 
 
 TestPlans = Plans.TestCase
-TestPlans.settings = settings(max_examples=40, stateful_step_count=30, deadline=None, derandomize=True,
-                              suppress_health_check=list(HealthCheck))
+TestPlans.settings = settings(
+    max_examples=40,
+    stateful_step_count=30,
+    deadline=None,
+    derandomize=True,
+    suppress_health_check=list(HealthCheck),
+)
--- a/tests/test_maintenance_processes.py
+++ b/tests/test_maintenance_processes.py
@@ -15,7 +15,9 @@
 from helpers import Program, until
 from test_fleet_processes import PEERS, all_hold, lab  # noqa: F401  the fixture
 
-pytestmark = pytest.mark.xdist_group("process lab")  # its limiters have the same addresses in each lab: one at a time
+pytestmark = pytest.mark.xdist_group(
+    "process lab"
+)  # its limiters have the same addresses in each lab: one at a time
 
 PLAN = """version = %d
 voters = ["n0", "n1", "n2"]
@@ -40,8 +42,12 @@
 
 def said(lab, *events):
     """Lines of maintenance in all logs, as (limiter, line)."""
-    return [(one, line) for one in lab.limiters for line in one.lines() if line.get("what") == "maintenance"
-            and any(line["event"].startswith(event) for event in events)]
+    return [
+        (one, line)
+        for one in lab.limiters
+        for line in one.lines()
+        if line.get("what") == "maintenance" and any(line["event"].startswith(event) for event in events)
+    ]
 
 
 def done(lab):
@@ -65,7 +71,9 @@
         assert until(lambda: len(said(lab, "plan taken")) == 5, 10), said(lab, "plan")
         assert until(lambda: workers.outs, 15), said(lab, "")
         stopped = steward(lab)
-        threading.Thread(target=lab.stall, args=(stopped, 5.0), daemon=True).start()  # past its lease, with machines open
+        threading.Thread(
+            target=lab.stall, args=(stopped, 5.0), daemon=True
+        ).start()  # past its lease, with machines open
         assert until(lambda: steward(lab) is not stopped, 10), said(lab, "steward")
         assert until(lambda: done(lab), 15), said(lab, "")
         killed = steward(lab)
@@ -73,8 +81,11 @@
         assert until(lambda: done(lab) == set(MACHINES), 40), (done(lab), said(lab, ""))
         workers.stop()
         assert workers.most_out() == 2  # at once, and never more
-        assert until(lambda: [one for one in lab.seen if one.server == 0 and one.at > workers.outs[0][2]], 5)  # used again
+        assert until(
+            lambda: [one for one in lab.seen if one.server == 0 and one.at > workers.outs[0][2]], 5
+        )  # used again
         assert "m3  done" in read_status([one.log_path for one in lab.limiters])
+
     outcome = lab(script, 90.0, limiters=5, **LARGE)
     assert outcome.result.proxied > 0.9 * (outcome.result.calls - outcome.verdict.excused)
 
@@ -88,7 +99,9 @@
         assert until(lambda: len(said(lab, "plan taken")) == 2, 8), said(lab, "plan")
         time.sleep(6.0)
         assert not said(lab, "permitted", "steward") and not workers.outs
-        lab.give_plan(lab.limiters[1], plan(machines={"m0": [0], "m1": [2]}))  # another operator, the same version
+        lab.give_plan(
+            lab.limiters[1], plan(machines={"m0": [0], "m1": [2]})
+        )  # another operator, the same version
         time.sleep(1.0)
         lab.split([], False)
         # And now drop what one voter sends, one way. None of the three remembers anything yet: they need each other's answers, and
@@ -106,6 +119,7 @@
         assert until(lambda: done(lab) == set(MACHINES), 45), (done(lab), said(lab, "")[-6:])
         workers.stop()
         assert workers.most_out() == 1
+
     lab(script, 110.0, limiters=5, **LARGE)
 
 
@@ -118,10 +132,15 @@
         lab.give_plan(lab.limiters[0], plan(machines=machines))
         assert until(lambda: done(lab) == set(machines), 50), said(lab, "")[-6:]
         workers.stop()
-        assert workers.most_out() == 1 and [one[0] for one in workers.outs][0] == "m0"  # limiters' machines last
+        assert (
+            workers.most_out() == 1 and [one[0] for one in workers.outs][0] == "m0"
+        )  # limiters' machines last
         assert lab.limiters[3].starts == lab.limiters[4].starts == 2
+
     outcome = lab(script, 80.0, limiters=5, **LARGE)
-    assert outcome.result.lost == 0 and outcome.verdict.excused == 0  # its clients' connections ended between calls
+    assert (
+        outcome.result.lost == 0 and outcome.verdict.excused == 0
+    )  # its clients' connections ended between calls
 
 
 def test_all_limiters_restarted_in_mid_plan_remember_nothing_and_take_no_second_machine(lab):
@@ -143,11 +162,16 @@
         assert first[2] and second[1] >= first[2]  # the next went out only once the first was back
         workers.stop()
         assert workers.most_out() == 1
+
     lab(script, 80.0, limiters=5, **LARGE)
 
 
-@pytest.mark.parametrize("named, allowed, kept", [(False, True, False), (True, False, False), (True, True, True)])
-def test_run_knows_no_maintenance_but_where_a_plan_is_named_and_peers_are_allowed(tmp_path, named, allowed, kept):
+@pytest.mark.parametrize(
+    "named, allowed, kept", [(False, True, False), (True, False, False), (True, True, True)]
+)
+def test_run_knows_no_maintenance_but_where_a_plan_is_named_and_peers_are_allowed(
+    tmp_path, named, allowed, kept
+):
     """On the operators' platform peer messages are not allowed and no plan is named: `run` is as it was."""
     with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as probe:
         probe.bind(("127.0.0.1", 0))
@@ -156,15 +180,27 @@
     peers.write_text(PEERS % port)
     path.write_text(plan())
     start = {"membership": str(peers)} | ({"maintenance": str(path)} if named else {})
-    program = Program(tmp_path, start=start, settings={"limits": {"max_attempts": 3, "cancel": True, "peer_messages": allowed}})
+    program = Program(
+        tmp_path,
+        start=start,
+        settings={"limits": {"max_attempts": 3, "cancel": True, "peer_messages": allowed}},
+    )
     try:
+
         def taken():
-            return [json.loads(line) for line in program.log_path.read_text().splitlines() if '"plan taken"' in line]
+            return [
+                json.loads(line)
+                for line in program.log_path.read_text().splitlines()
+                if '"plan taken"' in line
+            ]
+
         assert bool(until(taken, 3.0 if kept else 0.5)) is kept
         if kept:
             path.write_text(plan() + "typo = 1\n")
             os.kill(program.process.pid, signal.SIGHUP)
-            assert until(lambda: "not reloaded" in program.log_path.read_text(), 3)  # one line, and the old plan goes on
+            assert until(
+                lambda: "not reloaded" in program.log_path.read_text(), 3
+            )  # one line, and the old plan goes on
         assert not program.faults()
     finally:
         program.close()
@@ -174,14 +210,20 @@
     from click.testing import CliRunner
 
     from brookhub.cli import main
+
     path = tmp_path / "plan.toml"
-    for text, word in ((plan().replace("version = 1", "version = 0"), "version"), (plan() + 'wrong = 1\n', "unknown key"),
-                       (plan(machines={"m0": [0, 0]}), "the server s-0 is there twice"),
-                       (plan(machines={"m0": []}), "servers, a limiter, or both"),
-                       (plan(machines={"m0": [0]}), "can never go out")):
+    for text, word in (
+        (plan().replace("version = 1", "version = 0"), "version"),
+        (plan() + "wrong = 1\n", "unknown key"),
+        (plan(machines={"m0": [0, 0]}), "the server s-0 is there twice"),
+        (plan(machines={"m0": []}), "servers, a limiter, or both"),
+        (plan(machines={"m0": [0]}), "can never go out"),
+    ):
         path.write_text(text)
         ended = CliRunner().invoke(main, ["maintenance", "check", str(path)])
-        assert ended.exit_code == 2 and word in ended.output and len(ended.output.strip().splitlines()) == 1, ended.output
+        assert (
+            ended.exit_code == 2 and word in ended.output and len(ended.output.strip().splitlines()) == 1
+        ), ended.output
     path.write_text(plan())
     assert "digest" in CliRunner().invoke(main, ["maintenance", "check", str(path)]).output
     assert "at least" in CliRunner().invoke(main, ["maintenance", "plan", str(path)]).output
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -19,8 +19,17 @@
 
 
 def message(**more):
-    return Message(**{"fleet": FLEET, "version": VERSION, "kind": PING, "source": "n1", "number": 7,
-                      "news": [("n2", SUSPECT, 3, "n1"), ("n3", LEFT, 0, "")], **more})
+    return Message(
+        **{
+            "fleet": FLEET,
+            "version": VERSION,
+            "kind": PING,
+            "source": "n1",
+            "number": 7,
+            "news": [("n2", SUSPECT, 3, "n1"), ("n3", LEFT, 0, "")],
+            **more,
+        }
+    )
 
 
 def test_a_message_comes_back_as_it_was_and_each_cut_of_it_is_dropped():
@@ -31,14 +40,23 @@
             decode(data[:at], FLEET)
 
 
-@pytest.mark.parametrize("data, reason", [
-    (encode(message(fleet="other")), "foreign"), (encode(message(version=2)), "version"),
-    (b"\x00" * (LARGEST + 1), "oversized"), (_encoder.encode(message(kind=9)), "unreadable"),
-    (_encoder.encode(message(news=[("n" * 33, 1, 0, "")])), "unreadable"),
-    (_encoder.encode(message(news=[("n2", 5, 0, "")])), "unreadable"),
-    (_encoder.encode(message(number=-1)), "unreadable"), (_encoder.encode(message(news=[("n2", 1, 2 ** 41, "")])), "unreadable"),
-    (_encoder.encode(message(news=[("a", 1, 0, "")] * (MOST_NEWS + 1))), "unreadable"),
-    (_encoder.encode({"fleet": FLEET}), "unreadable"), (b"\x91" * 600, "unreadable"), (b"", "unreadable")])
+@pytest.mark.parametrize(
+    "data, reason",
+    [
+        (encode(message(fleet="other")), "foreign"),
+        (encode(message(version=2)), "version"),
+        (b"\x00" * (LARGEST + 1), "oversized"),
+        (_encoder.encode(message(kind=9)), "unreadable"),
+        (_encoder.encode(message(news=[("n" * 33, 1, 0, "")])), "unreadable"),
+        (_encoder.encode(message(news=[("n2", 5, 0, "")])), "unreadable"),
+        (_encoder.encode(message(number=-1)), "unreadable"),
+        (_encoder.encode(message(news=[("n2", 1, 2**41, "")])), "unreadable"),
+        (_encoder.encode(message(news=[("a", 1, 0, "")] * (MOST_NEWS + 1))), "unreadable"),
+        (_encoder.encode({"fleet": FLEET}), "unreadable"),
+        (b"\x91" * 600, "unreadable"),
+        (b"", "unreadable"),
+    ],
+)
 def test_what_is_no_message_of_this_fleet_is_told_apart(data, reason):
     with pytest.raises(Unreadable) as met:
         decode(data, FLEET)
@@ -49,7 +67,9 @@
     chance = random.Random(5)
     good = bytearray(encode(message()))
     for _ in range(5000):
-        data = bytearray(good) if chance.random() < 0.5 else bytearray(chance.randbytes(chance.randrange(1300)))
+        data = (
+            bytearray(good) if chance.random() < 0.5 else bytearray(chance.randbytes(chance.randrange(1300)))
+        )
         if data:
             data[chance.randrange(len(data))] ^= 1 << chance.randrange(8)
         try:
@@ -91,7 +111,9 @@
     began = crew.engine.now
     crew.seats[gone].kill()
     crew.run(8)
-    assert len(crew.deaths[gone]) == count - 1 and max(crew.deaths[gone].values()) - began < (3.0 if count > 4 else 4.5)
+    assert len(crew.deaths[gone]) == count - 1 and max(crew.deaths[gone].values()) - began < (
+        3.0 if count > 4 else 4.5
+    )
     crew.seats[ended].core.leave()
     crew.run(0.01)
     crew.seats[ended].kill()
@@ -185,10 +207,13 @@
 def test_two_sides_of_a_split_find_each_other_within_five_seconds(count):
     crew = Crew(count, 1)
     crew.run(2)
-    side = set(crew.names[:count // 2])
+    side = set(crew.names[: count // 2])
     crew.net.apart = lambda a, b: (a in side) != (b in side)
     crew.run(20)
-    assert all(held == (side if name in side else set(crew.names) - side) - {name} for name, held in views(crew).items())
+    assert all(
+        held == (side if name in side else set(crew.names) - side) - {name}
+        for name, held in views(crew).items()
+    )
     assert {seat.core.numbers[2] for seat in crew.seats.values()} == {count}  # both sides are still there
     assert {seat.core.numbers[0] for seat in crew.seats.values()} == {len(side)}
     crew.net.apart = None
@@ -257,7 +282,10 @@
                 assert core.present <= set(counted)
                 assert (live, rank) == (1 + len(counted), sum(other < name for other in counted))
                 assert sure == 1 + sum(one.sure for one in core.members.values()) and live <= sure <= 12
-                assert all((one.state in (ALIVE, SUSPECT)) == (one.name in core.present) for one in core.members.values())
+                assert all(
+                    (one.state in (ALIVE, SUSPECT)) == (one.name in core.present)
+                    for one in core.members.values()
+                )
                 total += 1.0 / sure
         assert total <= 1.0 + 1e-9
     crew.net.apart, crew.net.loss = None, 0.0
@@ -287,9 +315,12 @@
     for count in (8, 40, 200):
         crew = Crew(count, 1)
         send, largest = crew.net.send, []
-        crew.net.send = lambda source, peer, data, send=send, largest=largest: (largest.append(len(data)), send(source, peer, data))
+        crew.net.send = lambda source, peer, data, send=send, largest=largest: (
+            largest.append(len(data)),
+            send(source, peer, data),
+        )
         crew.run(1)
-        side = set(crew.names[:count // 2])
+        side = set(crew.names[: count // 2])
         crew.net.apart = lambda a, b, side=side: (a in side) != (b in side)
         crew.run(5)
         crew.net.apart = None
@@ -306,7 +337,10 @@
         crew = Crew(10, seed)
         crew.net.loss = 0.2
         crew.run(10)
-        return [(name, dict(seat.core.counts), sorted(seat.core.present)) for name, seat in crew.seats.items()]
+        return [
+            (name, dict(seat.core.counts), sorted(seat.core.present)) for name, seat in crew.seats.items()
+        ]
+
     assert trail(1) == trail(1) != trail(2)
 
 
@@ -328,6 +362,8 @@
     crew.run(2)
     core = crew.seats["n0"].core
     core.relist(["n1", "n2", "n9"])
-    assert core.numbers == (4, 0, 4) and set(core.members) == {"n1", "n2", "n9"} and core.present == {"n1", "n2"}
+    assert (
+        core.numbers == (4, 0, 4) and set(core.members) == {"n1", "n2", "n9"} and core.present == {"n1", "n2"}
+    )
     crew.run(SHRINK + 1)
     assert core.numbers == (3, 0, 4)  # n9 was never heard: not there, and not known to have left
--- a/tests/test_processes.py
+++ b/tests/test_processes.py
@@ -22,20 +22,46 @@
 from brookhub.interface import State
 from helpers import until
 
-pytestmark = pytest.mark.xdist_group("process lab")  # its limiters have the same addresses in each lab: one at a time
-
-
-def experiment(limiters=4, servers=6, duration=4.0, faults=(), rate=40.0, membership=False, signals=False, subsets=False, service=0.02,
-               warm=2.0, **more):
+pytestmark = pytest.mark.xdist_group(
+    "process lab"
+)  # its limiters have the same addresses in each lab: one at a time
+
+
+def experiment(
+    limiters=4,
+    servers=6,
+    duration=4.0,
+    faults=(),
+    rate=40.0,
+    membership=False,
+    signals=False,
+    subsets=False,
+    service=0.02,
+    warm=2.0,
+    **more,
+):
     """A small fleet: two routes, one plan with room for all calls; servers that are new are warm after `warm` s."""
-    return Experiment.model_validate({
-        "name": "small", "duration_s": duration, "faults": list(faults), **more,
-        "fleet": {"limiters": limiters, "membership": {"on": membership, "period_s": 0.2, "signals": signals, "subsets": subsets},
-                  "servers": {"count": servers, "places": 4, "service_s": service, "warm_after_s": warm},
-                  "counter": {"wait_s": 0.2},
-                  "routes": [{"name": "look", "target_s": 0.5, "client_timeout_s": 1.0, "share": 3},
-                             {"name": "once", "target_s": 0.5, "client_timeout_s": 1.0, "repeat": "non_idempotent"}],
-                  "plans": [{"name": "wide", "rate": 200, "burst": 400, "customers": 4, "calls_per_s": rate / 4}]}})
+    return Experiment.model_validate(
+        {
+            "name": "small",
+            "duration_s": duration,
+            "faults": list(faults),
+            **more,
+            "fleet": {
+                "limiters": limiters,
+                "membership": {"on": membership, "period_s": 0.2, "signals": signals, "subsets": subsets},
+                "servers": {"count": servers, "places": 4, "service_s": service, "warm_after_s": warm},
+                "counter": {"wait_s": 0.2},
+                "routes": [
+                    {"name": "look", "target_s": 0.5, "client_timeout_s": 1.0, "share": 3},
+                    {"name": "once", "target_s": 0.5, "client_timeout_s": 1.0, "repeat": "non_idempotent"},
+                ],
+                "plans": [
+                    {"name": "wide", "rate": 200, "burst": 400, "customers": 4, "calls_per_s": rate / 4}
+                ],
+            },
+        }
+    )
 
 
 # the judge, on traffic of limiters that do wrong
@@ -70,17 +96,32 @@
             conn.sendall(b"$2\r\nok\r\n" * (2 if self.wrong == "twice" else 1))
 
 
-@pytest.mark.parametrize("wrong, rule, text", [
-    (None, None, ""), ("twice", 1, "answered 2 times"), ("lost", 1, "lost by n0"), ("late", 1, "after its client timeout"),
-    ("after the grace", 3, "drained"), ("two effects", 2, "may have run it")])
+@pytest.mark.parametrize(
+    "wrong, rule, text",
+    [
+        (None, None, ""),
+        ("twice", 1, "answered 2 times"),
+        ("lost", 1, "lost by n0"),
+        ("late", 1, "after its client timeout"),
+        ("after the grace", 3, "drained"),
+        ("two effects", 2, "may have run it"),
+    ],
+)
 def test_the_judge_catches_what_a_limiter_does_wrong_and_nothing_else(wrong, rule, text):
     timers, seen = Timers(), []
-    servers = [ModelServer(ServerModel(n, 0, 0, 50, 0, 0.002, 1.0, 0.0, 3.0, 1.0), timers, random.Random(n), seen)
-               for n in range(2)]
+    servers = [
+        ModelServer(ServerModel(n, 0, 0, 50, 0, 0.002, 1.0, 0.0, 3.0, 1.0), timers, random.Random(n), seen)
+        for n in range(2)
+    ]
     rogue = Rogue(wrong, servers)
     spec = experiment(limiters=1, duration=1.0, rate=40, load={"give_up_share": 0.0})
-    spec = spec if wrong != "after the grace" else spec.model_copy(update={"fleet": spec.fleet.model_copy(
-        update={"grace_s": 0.1, "list_delay_s": 0.05})})
+    spec = (
+        spec
+        if wrong != "after the grace"
+        else spec.model_copy(
+            update={"fleet": spec.fleet.model_copy(update={"grace_s": 0.1, "list_delay_s": 0.05})}
+        )
+    )
     load = Load(spec, [rogue.at], seed=1)
     began = time.monotonic()
     load.run(1.0)
@@ -97,8 +138,10 @@
     """Seen once in a restart of all limiters: the client's own repeat was held against the limiters as a second effect."""
     spec = experiment()
     call = Asked(1, 0, 1, 2, 10.0, 11.0, answers=[(10.5, "proxied")], end="answered", again=10.3, before=0)
-    seen = [Seen(at, server, "127.0.10.1", 1, 0, "once", b"", False, None, ran=True, how="ok", ended=at + 0.02)
-            for at, server in ((10.1, 3), (10.4, 4))]
+    seen = [
+        Seen(at, server, "127.0.10.1", 1, 0, "once", b"", False, None, ran=True, how="ok", ended=at + 0.02)
+        for at, server in ((10.1, 3), (10.4, 4))
+    ]
     outages = [Outage(0, 10.2, 11.5)] if killed else []
     verdict = judge(spec, [call], seen, outages, 0, {3: (0, 0), 4: (1, 0)}, 0.0)
     assert bool(verdict.counts()) == breaks, verdict.first()
@@ -119,14 +162,21 @@
 
 
 def test_four_processes_serve_with_no_rule_broken_through_kills_stalls_and_hurt_links(tmp_path):
-    outcome = play(tmp_path, experiment(duration=6.0, faults=[
-        {"at_s": 0.5, "action": "restart_limiters", "share": 0.25},
-        {"at_s": 1.0, "action": "cut_links", "share": 0.2, "for_s": 1.0, "way": "back"},
-        {"at_s": 2.5, "action": "reset_links", "share": 0.1, "for_s": 0.5},
-        {"at_s": 3.0, "action": "replace_servers", "share": 0.3, "for_s": 1.0},
-        {"at_s": 3.5, "action": "stall_limiters", "share": 0.25, "for_s": 1.0},
-        {"at_s": 4.0, "action": "counter_down", "for_s": 0.5},
-        {"at_s": 4.6, "action": "lose_answers", "share": 0.1, "for_s": 1.0}]))
+    outcome = play(
+        tmp_path,
+        experiment(
+            duration=6.0,
+            faults=[
+                {"at_s": 0.5, "action": "restart_limiters", "share": 0.25},
+                {"at_s": 1.0, "action": "cut_links", "share": 0.2, "for_s": 1.0, "way": "back"},
+                {"at_s": 2.5, "action": "reset_links", "share": 0.1, "for_s": 0.5},
+                {"at_s": 3.0, "action": "replace_servers", "share": 0.3, "for_s": 1.0},
+                {"at_s": 3.5, "action": "stall_limiters", "share": 0.25, "for_s": 1.0},
+                {"at_s": 4.0, "action": "counter_down", "for_s": 0.5},
+                {"at_s": 4.6, "action": "lose_answers", "share": 0.1, "for_s": 1.0},
+            ],
+        ),
+    )
     result = outcome.result
     assert not result.broken, result.first_break
     assert result.calls > 150 and result.proxied > 0.8 * (result.calls - outcome.verdict.excused)
@@ -134,8 +184,17 @@
 
 
 def test_a_planned_end_of_every_limiter_in_turn_loses_no_call(tmp_path):
-    outcome = play(tmp_path, experiment(limiters=3, duration=4.0, faults=[
-        {"at_s": 0.5, "action": "term_limiters", "share": 0.3}, {"at_s": 2.0, "action": "term_limiters", "share": 0.3}]))
+    outcome = play(
+        tmp_path,
+        experiment(
+            limiters=3,
+            duration=4.0,
+            faults=[
+                {"at_s": 0.5, "action": "term_limiters", "share": 0.3},
+                {"at_s": 2.0, "action": "term_limiters", "share": 0.3},
+            ],
+        ),
+    )
     assert not outcome.result.broken, outcome.result.first_break
     assert outcome.result.lost == 0 and outcome.verdict.excused == 0
 
@@ -160,7 +219,9 @@
         return sock
 
     held = []
-    for n in range(3):  # one after another: each has a thread of its own, and the first two are to have the places
+    for n in range(
+        3
+    ):  # one after another: each has a thread of its own, and the first two are to have the places
         held.append(ask(n))
         assert until(lambda: len(seen) == len(held))
     with ask(3) as fourth:  # two places, one in the queue, the next is turned away
@@ -169,7 +230,10 @@
     assert until(lambda: sum(one.ran for one in seen) == 3 and seen[0].how == "abandoned")
     for one in held:
         one.close()
-    model.mode, model.up_since = "ok", time.monotonic()  # cold: 5 calls/s of capacity at first, falls beyond 15 a second
+    model.mode, model.up_since = (
+        "ok",
+        time.monotonic(),
+    )  # cold: 5 calls/s of capacity at first, falls beyond 15 a second
 
     def push(n):
         with contextlib.suppress(OSError):  # once it fell it refuses
--- a/tests/test_program.py
+++ b/tests/test_program.py
@@ -14,7 +14,17 @@
 
 import pytest
 
-from helpers import (Client, CounterStandIn, DiscoveryStandIn, ServerStandIn, api_call, command, host, read_value, until)
+from helpers import (
+    Client,
+    CounterStandIn,
+    DiscoveryStandIn,
+    ServerStandIn,
+    api_call,
+    command,
+    host,
+    read_value,
+    until,
+)
 
 
 def test_serves_and_passes_words_and_values_unchanged(started):
@@ -27,10 +37,20 @@
         assert client.ask(api_call(2, "once", body=body)) == body
         assert client.ask(command(b"ping")) == b"+PONG"
     first, second = program.servers[0].asked
-    assert first[:3] == [b"CALL.GET", b"%016x" % 7, b"%016x" % 1] and second[0] == b"CALL.POST" and second[4] == body
+    assert (
+        first[:3] == [b"CALL.GET", b"%016x" % 7, b"%016x" % 1]
+        and second[0] == b"CALL.POST"
+        and second[4] == body
+    )
     fields = first[3].split(b",")
-    assert [one for one in fields if one[:2] != b"d="] == [b"c=look", b"t=wide", b"k=5c0f6e1a2b3d4c59", b"units=1", b"spread=1",
-                                                          b"first=0"]
+    assert [one for one in fields if one[:2] != b"d="] == [
+        b"c=look",
+        b"t=wide",
+        b"k=5c0f6e1a2b3d4c59",
+        b"units=1",
+        b"spread=1",
+        b"first=0",
+    ]
     assert 0 < int(next(one for one in fields if one[:2] == b"d=")[2:]) <= 2000
     assert program.servers[0].dialled == 1  # kept open and used again
     assert until(lambda: ("client", "left") in program.ended())
@@ -40,10 +60,14 @@
     slow, quick = ServerStandIn([0.05] * 9), ServerStandIn([0.001] * 9)
     program = started(servers=[slow, quick])
     with Client(program) as client:
-        client.sock.sendall(b"".join(api_call(n) for n in range(6)) + command(b"PING") + command(b"NONE") + api_call(6))
+        client.sock.sendall(
+            b"".join(api_call(n) for n in range(6)) + command(b"PING") + command(b"NONE") + api_call(6)
+        )
         answers = [read_value(client.lines) for _ in range(9)]
     own = [answer == b"%016x" % min(n, 6) for n, answer in enumerate(answers)]
-    assert all(own[n] or answers[n].startswith((b"ok", b"-BUSY")) for n in (*range(6), 8))  # the decisions refuse what would wait
+    assert all(
+        own[n] or answers[n].startswith((b"ok", b"-BUSY")) for n in (*range(6), 8)
+    )  # the decisions refuse what would wait
     assert sum(own[:6]) >= 2 and answers[6] == b"+PONG" and answers[7].startswith(b"-ERR")
 
 
@@ -55,13 +79,22 @@
     assert program.counter.asked > 0
 
 
-@pytest.mark.parametrize("how, route, wanted, tries", [
-    (b"-ERR failed\r\n", "look", b"ok", 2), (b"-ERR failed\r\n", "once", b"-ERR failed", 1),
-    (b"-BUSY\r\n", "once", b"ok", 2),  # turned away: it never ran
-    ("close", "look", b"ok", 2), ("close", "once", b"-ERR failed", 1),  # after the last byte: it may have run
-    ("half", "look", b"ok", 2), ("half", "once", b"-ERR failed", 1),
-    (b"*3\r\n$-1\r\n$-1\r\n$-1\r\n", "once", b"-ERR failed", 1), (b"what?\r\n", "look", b"ok", 2),
-    (b"what?\r\n", "once", b"-ERR failed", 1), (b"$2\r\nok\r\n", "once", b"-ERR failed", 1)])
+@pytest.mark.parametrize(
+    "how, route, wanted, tries",
+    [
+        (b"-ERR failed\r\n", "look", b"ok", 2),
+        (b"-ERR failed\r\n", "once", b"-ERR failed", 1),
+        (b"-BUSY\r\n", "once", b"ok", 2),  # turned away: it never ran
+        ("close", "look", b"ok", 2),
+        ("close", "once", b"-ERR failed", 1),  # after the last byte: it may have run
+        ("half", "look", b"ok", 2),
+        ("half", "once", b"-ERR failed", 1),
+        (b"*3\r\n$-1\r\n$-1\r\n$-1\r\n", "once", b"-ERR failed", 1),
+        (b"what?\r\n", "look", b"ok", 2),
+        (b"what?\r\n", "once", b"-ERR failed", 1),
+        (b"$2\r\nok\r\n", "once", b"-ERR failed", 1),
+    ],
+)
 def test_what_became_of_a_try_decides_whether_there_is_another(started, how, route, wanted, tries):
     bad, good = ServerStandIn([how]), ServerStandIn()
     program, answers = started(servers=[bad, good]), []
@@ -97,7 +130,9 @@
     with Client(program) as client:
         assert client.ask(api_call(1, "once")) == b"%016x" % 1
         time.sleep(0.02)
-        assert client.ask(api_call(2, "once")) == b"-ERR failed"  # written whole on a used connection: never again
+        assert (
+            client.ask(api_call(2, "once")) == b"-ERR failed"
+        )  # written whole on a used connection: never again
     assert [words[2] for words in program.servers[0].asked] == [b"%016x" % 1, b"%016x" % 2]
     assert program.servers[0].dialled == 1
 
@@ -105,14 +140,23 @@
 def test_a_command_may_come_byte_by_byte(started):
     with Client(started()) as client:
         for at in range(len(api_call(1))):
-            client.sock.sendall(api_call(1)[at:at + 1])
+            client.sock.sendall(api_call(1)[at : at + 1])
             time.sleep(0.001)
         assert read_value(client.lines) == b"ok"
 
 
 def test_idle_connections_are_left_before_the_server_does(started):
-    program = started(settings={"limits": {"max_attempts": 3, "cancel": True, "open_cap": 100, "conn_idle_s": 0.8,
-                                           "connect_timeout_s": 0.25}})
+    program = started(
+        settings={
+            "limits": {
+                "max_attempts": 3,
+                "cancel": True,
+                "open_cap": 100,
+                "conn_idle_s": 0.8,
+                "connect_timeout_s": 0.25,
+            }
+        }
+    )
     with Client(program) as client:
         assert client.ask(api_call(1)) == b"ok"
     assert until(lambda: ("server", "idle") in program.ended()) and not program.servers[0].open
@@ -136,10 +180,20 @@
     assert until(lambda: not program.servers[0].open, 1.5)
 
 
-@pytest.mark.parametrize("data, reason", [(b"GET / HTTP/1.1\r\n\r\n", "malformed"), (b"*1\r\n:5\r\n", "malformed"),
-                                          (b"*4\r\n$8\r\nCALL.GET\r\n$65537\r\n", "oversized"), (b"*17\r\n", "oversized"),
-                                          (b"+PING\r\n", "malformed"), (b"\0" * 2000, "malformed")])
-def test_malformed_and_oversized_commands_end_their_connection_at_once_and_what_was_taken_has_its_answer(started, data, reason):
+@pytest.mark.parametrize(
+    "data, reason",
+    [
+        (b"GET / HTTP/1.1\r\n\r\n", "malformed"),
+        (b"*1\r\n:5\r\n", "malformed"),
+        (b"*4\r\n$8\r\nCALL.GET\r\n$65537\r\n", "oversized"),
+        (b"*17\r\n", "oversized"),
+        (b"+PING\r\n", "malformed"),
+        (b"\0" * 2000, "malformed"),
+    ],
+)
+def test_malformed_and_oversized_commands_end_their_connection_at_once_and_what_was_taken_has_its_answer(
+    started, data, reason
+):
     program = started()
     with Client(program) as client:
         client.sock.sendall(api_call(1) + data + api_call(2))
@@ -152,33 +206,77 @@
 
 def test_commands_that_ask_for_nothing_get_an_error_and_the_connection_stays(started):
     with Client(started()) as client:
-        for data in (command(b"FLUSHALL"), command(b"CALL.GET", b"7"), api_call(1, route="none"), api_call(1, plan="none"),
-                     command(b"CALL.GET", b"x", b"1", b"c=look,t=wide,d=9"), api_call(1, route="once").replace(b"POST", b"GET."),
-                     command(b"")):
+        for data in (
+            command(b"FLUSHALL"),
+            command(b"CALL.GET", b"7"),
+            api_call(1, route="none"),
+            api_call(1, plan="none"),
+            command(b"CALL.GET", b"x", b"1", b"c=look,t=wide,d=9"),
+            api_call(1, route="once").replace(b"POST", b"GET."),
+            command(b""),
+        ):
             assert client.ask(data).startswith(b"-ERR ")
         assert client.ask(api_call(2)) == b"ok"
 
 
-@pytest.mark.parametrize("fields", [
-    "units=0,spread=1,first=0", "units=-1,spread=1,first=0", "units=nan,spread=1,first=0", "units=1e1,spread=1,first=0", "spread=1,first=0",
-    "units=2,spread=1,first=0", "units=1,spread=0,first=0", "units=1,spread=2,first=0", "units=1,spread=70000,first=2.5", "units=1,spread=1,first=1",
-    "units=1,spread=1", "units=1,spread=1,first=0,units=1", "units=1,spread=1,first=0,d=soon", "units=1,spread=1,first=0,t=wide", "nonsense", ""])
+@pytest.mark.parametrize(
+    "fields",
+    [
+        "units=0,spread=1,first=0",
+        "units=-1,spread=1,first=0",
+        "units=nan,spread=1,first=0",
+        "units=1e1,spread=1,first=0",
+        "spread=1,first=0",
+        "units=2,spread=1,first=0",
+        "units=1,spread=0,first=0",
+        "units=1,spread=2,first=0",
+        "units=1,spread=70000,first=2.5",
+        "units=1,spread=1,first=1",
+        "units=1,spread=1",
+        "units=1,spread=1,first=0,units=1",
+        "units=1,spread=1,first=0,d=soon",
+        "units=1,spread=1,first=0,t=wide",
+        "nonsense",
+        "",
+    ],
+)
 def test_what_is_out_of_range_is_never_served_or_counted_also_under_a_usual_customer_s_name(started, fields):
     program = started()
     with Client(program) as client:
         words = [b"CALL.GET", b"%016x" % 7, b"%016x" % 1, f"c=look,t=narrow,d=900,{fields}".encode()]
         for _ in range(5):
             assert client.ask(command(*words)).startswith(b"-ERR ")
-        assert [client.ask(api_call(n, plan="narrow")) for n in (1, 2)] == [b"ok", b"ok"]  # its whole store is there
+        assert [client.ask(api_call(n, plan="narrow")) for n in (1, 2)] == [
+            b"ok",
+            b"ok",
+        ]  # its whole store is there
     assert len(program.servers[0].asked) == 2
 
 
-@pytest.mark.parametrize("words", [[b"CALL.GET", b"%016x" % 2 ** 33, b"%016x" % 1], [b"CALL.GET", b"7", b"%016x" % 1], [b"CALL.GET", b"%016x" % 7, b""],
-                                   [b"CALL.GET", b"%016x" % 7, b"-" * 16], [b"call.get", b"%016x" % 7, b"%016x" % 1]])
+@pytest.mark.parametrize(
+    "words",
+    [
+        [b"CALL.GET", b"%016x" % 2**33, b"%016x" % 1],
+        [b"CALL.GET", b"7", b"%016x" % 1],
+        [b"CALL.GET", b"%016x" % 7, b""],
+        [b"CALL.GET", b"%016x" % 7, b"-" * 16],
+        [b"call.get", b"%016x" % 7, b"%016x" % 1],
+    ],
+)
 def test_who_asks_and_under_which_id_is_read_strictly(started, words):
     with Client(started()) as client:
-        assert client.ask(command(*words, b"c=look,t=wide,d=900,units=1,spread=1,first=0")).startswith(b"-ERR ")
-        assert client.ask(command(b"CALL.POST", b"%016x" % 7, b"%016x" % 1, b"c=look,t=wide,d=900,units=1,spread=1,first=0", b"x")).startswith(b"-ERR ")
+        assert client.ask(command(*words, b"c=look,t=wide,d=900,units=1,spread=1,first=0")).startswith(
+            b"-ERR "
+        )
+        assert client.ask(
+            command(
+                b"CALL.POST",
+                b"%016x" % 7,
+                b"%016x" % 1,
+                b"c=look,t=wide,d=900,units=1,spread=1,first=0",
+                b"x",
+            )
+        ).startswith(b"-ERR ")
 
 
 def test_an_id_in_use_by_another_does_not_touch_that_call(started):
@@ -200,13 +298,20 @@
         once.sock.sendall(api_call(3)[:70])  # and then silence
         assert silent.lines.read() == half.lines.read() == b"" and 1.5 < time.monotonic() - began < 2.9
         assert once.lines.read() == b"" and 3.5 < time.monotonic() - began < 5.5
-    assert until(lambda: ("client", "idle") in program.ended()) and program.ended().count(("client", "mute")) == 2
+    assert (
+        until(lambda: ("client", "idle") in program.ended())
+        and program.ended().count(("client", "mute")) == 2
+    )
 
 
 def test_a_value_of_sixty_megabytes_and_a_line_without_end_are_refused_at_once_and_not_read(started):
     program = started()
     before = program.status("VmRSS")
-    for data in (command(b"CALL.POST", b"%016x" % 7, b"%016x" % 1, b"c=once,t=wide,d=9,units=1,spread=1,first=0")[:-2] + b"\r\n$60000000\r\n", b"*1\r\n"):
+    for data in (
+        command(b"CALL.POST", b"%016x" % 7, b"%016x" % 1, b"c=once,t=wide,d=9,units=1,spread=1,first=0")[:-2]
+        + b"\r\n$60000000\r\n",
+        b"*1\r\n",
+    ):
         data = data.replace(b"*4", b"*5")
         with Client(program) as client:
             began, sent = time.monotonic(), 0
@@ -226,7 +331,7 @@
         for _ in range(chance.randrange(6)):
             data[chance.randrange(len(data))] = chance.randrange(256)
         with contextlib.suppress(OSError), program.dial() as sock:
-            sock.sendall(data[:chance.randrange(len(data))])
+            sock.sendall(data[: chance.randrange(len(data))])
             if chance.random() < 0.3:
                 sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
     with Client(program) as client:
@@ -243,9 +348,15 @@
             assert client.ask(api_call(n, customer=n)) in (b"ok", b"-BUSY") or mode
         program.counter.mode = "ok"
         program.counter.break_all()
-        assert until(lambda: client.ask(api_call(99, customer=98)) == b"ok" and program.counter.totals.get(0) is None)
+        assert until(
+            lambda: client.ask(api_call(99, customer=98)) == b"ok" and program.counter.totals.get(0) is None
+        )
         before = program.counter.asked
-        assert until(lambda: client.ask(api_call(99, customer=random.randrange(1000))) and program.counter.asked > before)
+        assert until(
+            lambda: (
+                client.ask(api_call(99, customer=random.randrange(1000))) and program.counter.asked > before
+            )
+        )
 
 
 def test_servers_follow_the_watch_through_changes_silence_nonsense_and_breaks(started):
@@ -256,7 +367,9 @@
     def all_go_to(server):
         count = len(server.asked)
         with Client(program) as client:
-            return [client.ask(api_call(n)) for n in range(5)] == [b"ok"] * 5 and len(server.asked) == count + 5
+            return [client.ask(api_call(n)) for n in range(5)] == [b"ok"] * 5 and len(
+                server.asked
+            ) == count + 5
 
     try:
         assert all_go_to(one) and until(lambda: told.asked)
@@ -284,8 +397,10 @@
 
 def test_a_storm_of_connections_slow_readers_and_a_silent_server_leaves_nothing_behind(started):
     big = b"*3\r\n$60000\r\n%b\r\n$-1\r\n$-1\r\n" % (b"x" * 60000)
-    program = started(servers=[ServerStandIn([big] * 400), ServerStandIn(["silent"] * 20)],
-                      limits={"memory_mb": 192, "sockets": 200})
+    program = started(
+        servers=[ServerStandIn([big] * 400), ServerStandIn(["silent"] * 20)],
+        limits={"memory_mb": 192, "sockets": 200},
+    )
     before = program.descriptors()
     held, most = [], 200 - 200 // 4 - 24 - 2
     for n in range(300):  # more than it has descriptors for: the longest idle make room
@@ -309,9 +424,15 @@
     assert until(lambda: program.descriptors() <= before + 8 and program.status("Threads") < 20, 15)
 
 
-def test_values_larger_than_a_ring_are_passed_on_whole_also_to_slow_readers_and_too_large_ones_are_not(started):
+def test_values_larger_than_a_ring_are_passed_on_whole_also_to_slow_readers_and_too_large_ones_are_not(
+    started,
+):
     sizes, data = [17_000, 40_000, 65_536, 65_537, 70_000, 400_000, 2_900_000], os.urandom(2_900_000)
-    program = started(servers=[ServerStandIn([b"*3\r\n$%d\r\n%b\r\n$6\r\ncost=1\r\n$-1\r\n" % (n, data[:n]) for n in sizes])])
+    program = started(
+        servers=[
+            ServerStandIn([b"*3\r\n$%d\r\n%b\r\n$6\r\ncost=1\r\n$-1\r\n" % (n, data[:n]) for n in sizes])
+        ]
+    )
     for size in sizes:
         with Client(program) as client:
             client.sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 65536)
@@ -366,7 +487,10 @@
         assert read_value(waiting.lines) == b"%016x" % 1 and waiting.lines.read() == b""
     assert program.process.wait(5) == 0
     reasons = program.ended()
-    assert reasons.count(("client", "restart")) in (3, 4)  # the dial that wakes the program's own accept may be one more
+    assert reasons.count(("client", "restart")) in (
+        3,
+        4,
+    )  # the dial that wakes the program's own accept may be one more
 
 
 def test_sigterm_ends_in_time_with_an_answer_though_a_server_is_silent(started):
@@ -414,8 +538,13 @@
         for one in talkers:
             one.join()
     assert len(answers) > 50 and all(answer != b"-ERR failed" for answer in answers)
-    assert program.log_path.read_text().count('"not reloaded"') == 1 and program.log_path.read_text().count('"reloaded"') == 3
-    assert program.descriptors() - len(program.servers[0].open) <= before + 2 and program.process.poll() is None
+    assert (
+        program.log_path.read_text().count('"not reloaded"') == 1
+        and program.log_path.read_text().count('"reloaded"') == 3
+    )
+    assert (
+        program.descriptors() - len(program.servers[0].open) <= before + 2 and program.process.poll() is None
+    )
     program.process.send_signal(signal.SIGTERM)
     assert program.process.wait(5) == 0
 
@@ -427,15 +556,22 @@
         program.process.kill()
         program.process.wait()
         assert client.lines.read() == b""
-    program.process = subprocess.Popen([sys.executable, "-m", "brookhub"], stderr=subprocess.DEVNULL,
-                                       env={**os.environ, "NODE_CONFIG": str(tmp_path / "config.json")})
+    program.process = subprocess.Popen(
+        [sys.executable, "-m", "brookhub"],
+        stderr=subprocess.DEVNULL,
+        env={**os.environ, "NODE_CONFIG": str(tmp_path / "config.json")},
+    )
     assert until(program.ready)
     with Client(program) as client:
         assert client.ask(api_call(2)) == b"ok"
 
 
 def test_many_clients_at_once_each_get_their_own_answers(started):
-    program, wrong, served = started(servers=[ServerStandIn([0.001] * 500), ServerStandIn([0.01] * 500)]), [], []
+    program, wrong, served = (
+        started(servers=[ServerStandIn([0.001] * 500), ServerStandIn([0.01] * 500)]),
+        [],
+        [],
+    )
 
     def talk(number):
         with Client(program) as client:
@@ -452,30 +588,56 @@
     assert wrong == [] and len(served) > 100
 
 
-@pytest.mark.parametrize("text, said", [
-    (None, "NODE_CONFIG is not set"), ("missing", "No such file"), ("{", "not JSON"), ("[]", "not a JSON object"), ("{}", "listen"),
-    ('{"listen":"here"}', "HOST:PORT"), ('{"listen":"127.0.0.1:1","discovery":"127.0.0.1:2"}', "settings are missing"),
-    ('{"listen":"127.0.0.1:1","discovery":"127.0.0.1:2","settings":{"classes":7}}', "classes"),
-    ('{"listen":"127.0.0.1:1","discovery":"127.0.0.1:2","settings":{"limits":[]}}', "limits"),
-    ('{"listen":"127.0.0.1:1","discovery":"127.0.0.1:2","settings":{"classes":[{"name":"look"}]}}', "look must be above 0"),
-    ('{"listen":"127.0.0.1:1","discovery":"127.0.0.1:2","settings":{"zone":1e999}}', "zone"),
-    ('{"listen":"127.0.0.1:1","discovery":"127.0.0.1:2","seed":"xyz","settings":{"limits":{"max_attempts":1}}}', "seed"),
-    ('{"listen":"127.0.0.1:1","discovery":"127.0.0.1:2","known":{},"settings":{"limits":{"max_attempts":1}}}', "known"),
-    ('{"listen":"192.0.2.1:1","discovery":"127.0.0.1:2","settings":{"limits":{"max_attempts":1}}}', "can't listen")])
+@pytest.mark.parametrize(
+    "text, said",
+    [
+        (None, "NODE_CONFIG is not set"),
+        ("missing", "No such file"),
+        ("{", "not JSON"),
+        ("[]", "not a JSON object"),
+        ("{}", "listen"),
+        ('{"listen":"here"}', "HOST:PORT"),
+        ('{"listen":"127.0.0.1:1","discovery":"127.0.0.1:2"}', "settings are missing"),
+        ('{"listen":"127.0.0.1:1","discovery":"127.0.0.1:2","settings":{"classes":7}}', "classes"),
+        ('{"listen":"127.0.0.1:1","discovery":"127.0.0.1:2","settings":{"limits":[]}}', "limits"),
+        (
+            '{"listen":"127.0.0.1:1","discovery":"127.0.0.1:2","settings":{"classes":[{"name":"look"}]}}',
+            "look must be above 0",
+        ),
+        ('{"listen":"127.0.0.1:1","discovery":"127.0.0.1:2","settings":{"zone":1e999}}', "zone"),
+        (
+            '{"listen":"127.0.0.1:1","discovery":"127.0.0.1:2","seed":"xyz","settings":{"limits":{"max_attempts":1}}}',
+            "seed",
+        ),
+        (
+            '{"listen":"127.0.0.1:1","discovery":"127.0.0.1:2","known":{},"settings":{"limits":{"max_attempts":1}}}',
+            "known",
+        ),
+        (
+            '{"listen":"192.0.2.1:1","discovery":"127.0.0.1:2","settings":{"limits":{"max_attempts":1}}}',
+            "can't listen",
+        ),
+    ],
+)
 def test_a_broken_start_file_is_told_in_one_plain_line(tmp_path, text, said):
     environment = {name: value for name, value in os.environ.items() if not name.startswith("NODE_")}
     if text is not None:
         environment["NODE_CONFIG"] = str(tmp_path / "start.json")
     if text not in (None, "missing"):
         (tmp_path / "start.json").write_text(text)
-    done = subprocess.run([sys.executable, "-m", "brookhub"], env=environment, capture_output=True, text=True, timeout=20)
+    done = subprocess.run(
+        [sys.executable, "-m", "brookhub"], env=environment, capture_output=True, text=True, timeout=20
+    )
     lines = done.stderr.splitlines()
     assert done.returncode == 2 and len(lines) == 1 and said in lines[0] and done.stdout == ""
 
 
 def test_the_stand_in_for_discovery_speaks_as_discovery_does():
     told = DiscoveryStandIn([])
-    with socket.create_connection(("127.0.0.1", int(told.address.split(":")[1]))) as sock, sock.makefile("rb") as lines:
+    with (
+        socket.create_connection(("127.0.0.1", int(told.address.split(":")[1]))) as sock,
+        sock.makefile("rb") as lines,
+    ):
         sock.sendall(b"GET /v1/servers?stream=1&index=0 HTTP/1.1\r\nHost: x\r\n\r\n")
         assert lines.readline() == b"HTTP/1.1 200 OK\r\n"
     told.close()
--- a/tests/test_recovery.py
+++ b/tests/test_recovery.py
@@ -46,7 +46,9 @@
 
     def count(self, index, name, amount=1.0, lives=30.0):
         heard = []
-        self.seats[index].count(name, amount, lives, lambda outcome, total, took: heard.append((outcome, total)))
+        self.seats[index].count(
+            name, amount, lives, lambda outcome, total, took: heard.append((outcome, total))
+        )
         return heard
 
     def total(self, name, keeper=0):
@@ -142,7 +144,11 @@
     settled(world)
     changes = len({facts["epoch"] for facts in world.said("counter changed")})
     world.run(2 * ERA)
-    assert len({facts["epoch"] for facts in world.said("counter changed")}) == changes == (1 if what == "lose" else 2)
+    assert (
+        len({facts["epoch"] for facts in world.said("counter changed")})
+        == changes
+        == (1 if what == "lose" else 2)
+    )
 
 
 def test_the_first_is_carried_into_an_era_by_the_others_where_whoever_has_the_turn_is_gone():
@@ -166,6 +172,7 @@
         for _ in range(times):
             world.count(chance.randrange(5), chance.choice(names), chance.choice([1.0, 2.0]))
             world.run(0.004)
+
     spend(300)
     old = world.keepers[0]
     if hurt == "wipe":
@@ -290,7 +297,9 @@
     world.seats[1].beat = world.seats[1].stroke = lambda: None  # it is gone
     world.keepers[0].counts.clear()
     world.run(4.5 * BEAT)
-    assert world.keepers[0].counts.get(world.seats[0].epochs.name(4), [0.0])[0] == 0.0  # its units are lost, unless they were kept
+    assert (
+        world.keepers[0].counts.get(world.seats[0].epochs.name(4), [0.0])[0] == 0.0
+    )  # its units are lost, unless they were kept
     world.seats[1] = world.launch(1, 3, scan(kept, world.now, 1e9 + 5.0).ledger)
     world.run(BEAT)
     assert world.total(4) == 6.0
@@ -302,12 +311,25 @@
 def test_names_of_epochs_registers_and_rolls_never_meet_and_fit_the_wire():
     one = Epochs(0, 3, 1.0)
     one.enter(99_999 * 20, 50.0)
-    names = [one.name((2 ** 33 - 1) << 31 | 2 ** 31 - 1), one.name(0), one.register(1.8e9), one.register(1.8e9, 1), one.roll(1.8e9),
-             one.roll(1.8e9, 1), one.claim(1.8e9, 0), one.claim(1.8e9, 99_999)]
+    names = [
+        one.name((2**33 - 1) << 31 | 2**31 - 1),
+        one.name(0),
+        one.register(1.8e9),
+        one.register(1.8e9, 1),
+        one.roll(1.8e9),
+        one.roll(1.8e9, 1),
+        one.claim(1.8e9, 0),
+        one.claim(1.8e9, 99_999),
+    ]
     assert len(set(names)) == len(names) and all(len(str(name)) <= 64 for name in names)
     before = one.name(5)
     one.enter(7, 60.0)
-    assert one.name(5) != before and one.read(99_999 * 20) == "left" and one.read(7) == "same" and one.read(0) == "empty"
+    assert (
+        one.name(5) != before
+        and one.read(99_999 * 20) == "left"
+        and one.read(7) == "same"
+        and one.read(0) == "empty"
+    )
 
 
 # a fleet of 200 in the emulator, real decisions
@@ -316,20 +338,38 @@
 @pytest.mark.parametrize("kind, for_s", [("wipe", 0.0), ("lose", 0.0), ("swap", 4.0), ("split", 4.0)])
 def test_two_hundred_limiters_keep_within_the_bound_and_agree_again(kind, for_s):
     """Six customers that ask for half as much again as they may; counts agree once all have looked, and added."""
-    row = lab.play({"kind": kind, "way": "on", "limiters": 200, "for_s": for_s, "seed": 5, "few": 10, "tokened": True})
+    row = lab.play(
+        {"kind": kind, "way": "on", "limiters": 200, "for_s": for_s, "seed": 5, "few": 10, "tokened": True}
+    )
     assert not row["broken"] and row["of_bound"] <= 1.0 and row["ceiling_over"] == 0.0
     assert row["agreed_s"] is not None and row["agreed_s"] <= 6.0
     assert 2 <= row["epochs"] <= 5 and row["served"] > 0.5
-    assert row["twice"] == 0 and (kind != "split" or row["both_sides"] > 3)  # refused calls come again with their token, anywhere
+    assert row["twice"] == 0 and (
+        kind != "split" or row["both_sides"] > 3
+    )  # refused calls come again with their token, anywhere
 
 
 def test_a_hard_ceiling_of_a_soft_plan_holds_on_both_sides_of_a_split():
     """A customer who borrows beyond its quota and asks for two and a half times its ceiling: what holds it is the ceiling alone, which
     two counters each grant whole. (Hard plans come to their quota before their ceiling, and show nothing.)"""
-    rows = {way: lab.play({"kind": "split", "way": way, "limiters": 200, "for_s": 4.0, "seed": 5, "few": 10, "plans": "national"})
-            for way in ("off", "on")}
+    rows = {
+        way: lab.play(
+            {
+                "kind": "split",
+                "way": way,
+                "limiters": 200,
+                "for_s": 4.0,
+                "seed": 5,
+                "few": 10,
+                "plans": "national",
+            }
+        )
+        for way in ("off", "on")
+    }
     assert rows["off"]["ceiling_over"] > 0.3 and rows["off"]["of_ceiling"] > 1.0
-    assert rows["on"]["ceiling_over"] == 0.0 and rows["on"]["of_bound"] <= 1.0 and rows["on"]["of_ceiling"] > 0.7
+    assert (
+        rows["on"]["ceiling_over"] == 0.0 and rows["on"]["of_bound"] <= 1.0 and rows["on"]["of_ceiling"] > 0.7
+    )
     assert not rows["on"]["broken"]
 
 
@@ -345,7 +385,10 @@
 
 def written(count=20, seed=1):
     chance = random.Random(seed)
-    return [Record(str((n + 1) << 71 | n), chance.choice([1.0, 2.5, -1.0]), 30.0, 1000.0 + n) for n in range(count)]
+    return [
+        Record(str((n + 1) << 71 | n), chance.choice([1.0, 2.5, -1.0]), 30.0, 1000.0 + n)
+        for n in range(count)
+    ]
 
 
 def sums(records):
@@ -374,9 +417,11 @@
         for place in range(len(parts[number])):
             spoilt = bytearray(parts[number])
             spoilt[place] ^= 1 << chance.randrange(8)
-            data = b"".join(parts[:number]) + bytes(spoilt) + b"".join(parts[number + 1:])
+            data = b"".join(parts[:number]) + bytes(spoilt) + b"".join(parts[number + 1 :])
             found = scan(data, 0.0, 0.0)
-            assert {name: one.own for name, one in found.ledger.entries.items()} == sums(records[:number] + records[number + 1:])
+            assert {name: one.own for name, one in found.ledger.entries.items()} == sums(
+                records[:number] + records[number + 1 :]
+            )
             assert found.skipped
 
 
@@ -386,7 +431,9 @@
     ledger.entry(4, 2.0, 0.0).own = 1.0
     data = snapshot(ledger, 1.0, 500.0) + append(Record("3", 2.0, 10.0, 509.0))
     found = scan(data, 0.0, 503.0)
-    assert {name: one.own for name, one in found.ledger.entries.items()} == {3: 6.0} and found.ledger.entries[3].dies == 6.0
+    assert {name: one.own for name, one in found.ledger.entries.items()} == {3: 6.0} and found.ledger.entries[
+        3
+    ].dies == 6.0
     with pytest.raises(Unusable):
         scan(b"not a ledger at all", 0.0, 0.0)
     assert scan(b"", 0.0, 0.0).records == 0
--- a/tests/test_recovery_processes.py
+++ b/tests/test_recovery_processes.py
@@ -12,21 +12,50 @@
 from brookhub.recovery import scan
 from helpers import play_script, until
 
-pytestmark = pytest.mark.xdist_group("process lab")  # its limiters have the same addresses in each lab: one at a time
-
-ROUTES = [{"name": "look", "target_s": 0.5, "client_timeout_s": 1.0, "share": 3},
-          {"name": "once", "target_s": 0.5, "client_timeout_s": 1.0, "repeat": "non_idempotent"},
-          {"name": "kept", "target_s": 0.5, "client_timeout_s": 1.0, "repeat": "tokened", "group": "zone", "window_s": 30.0, "share": 2}]
+pytestmark = pytest.mark.xdist_group(
+    "process lab"
+)  # its limiters have the same addresses in each lab: one at a time
+
+ROUTES = [
+    {"name": "look", "target_s": 0.5, "client_timeout_s": 1.0, "share": 3},
+    {"name": "once", "target_s": 0.5, "client_timeout_s": 1.0, "repeat": "non_idempotent"},
+    {
+        "name": "kept",
+        "target_s": 0.5,
+        "client_timeout_s": 1.0,
+        "repeat": "tokened",
+        "group": "zone",
+        "window_s": 30.0,
+        "share": 2,
+    },
+]
 BEAT = 0.5
 
 
 def spec(limiters, rate=30.0, recovery=True, **counter):
     """Three customers that ask for twice their quota all the time; refused ones come again, anywhere."""
-    return Experiment.model_validate({
-        "name": "recovery", "duration_s": 60.0, "load": {"repeat_share": 0.5},
-        "fleet": {"limiters": limiters, "servers": {"count": 6, "places": 16, "service_s": 0.01, "warm_after_s": 1.0},
-                  "counter": {"wait_s": 0.2, "recovery": recovery, "beat_s": BEAT} | counter, "routes": ROUTES,
-                  "plans": [{"name": "tight", "rate": rate, "burst": 2 * rate, "customers": 3, "calls_per_s": 2 * rate}]}})
+    return Experiment.model_validate(
+        {
+            "name": "recovery",
+            "duration_s": 60.0,
+            "load": {"repeat_share": 0.5},
+            "fleet": {
+                "limiters": limiters,
+                "servers": {"count": 6, "places": 16, "service_s": 0.01, "warm_after_s": 1.0},
+                "counter": {"wait_s": 0.2, "recovery": recovery, "beat_s": BEAT} | counter,
+                "routes": ROUTES,
+                "plans": [
+                    {
+                        "name": "tight",
+                        "rate": rate,
+                        "burst": 2 * rate,
+                        "customers": 3,
+                        "calls_per_s": 2 * rate,
+                    }
+                ],
+            },
+        }
+    )
 
 
 def said(lab, *events):
@@ -35,13 +64,17 @@
 
 def sure(lab, changes):
     """All of them are sure, and each has changed its epoch so many times."""
+
     def look():
         for one in lab.limiters:
             lines = [line["event"] for line in one.lines() if line.get("what") == "recovery"]
-            states = [event for event in lines if event in ("counter changed", "counter split", "counter sure")]
+            states = [
+                event for event in lines if event in ("counter changed", "counter split", "counter sure")
+            ]
             if lines.count("counter changed") < changes or states[-1:] != ["counter sure"]:
                 return False
         return True
+
     return look
 
 
@@ -55,10 +88,14 @@
         made.append(lab)
         outcome = play_script(lab, script)
         debts, plan = {}, experiment.fleet.plans[0]
-        for at, customer in sorted((one.answers[0][0], one.customer) for one in lab.load.asked
-                                   if one.answers and one.answers[0][1] == "proxied"):
+        for at, customer in sorted(
+            (one.answers[0][0], one.customer)
+            for one in lab.load.asked
+            if one.answers and one.answers[0][1] == "proxied"
+        ):
             debts.setdefault(customer, Debt(plan.rate, plan.burst)).take(at, 1.0)
         return lab, outcome, {customer: debt.worst for customer, debt in debts.items()}
+
     yield begin
     for one in made:
         one.close()
@@ -67,7 +104,9 @@
 def within(over, experiment, kind):
     fleet = experiment.fleet
     plan = fleet.plans[0]
-    most = bound(plan.rate, plan.burst, kind, plan.calls_per_s * 1.5, fleet.counter.beat_s, fleet.counter.wait_s)
+    most = bound(
+        plan.rate, plan.burst, kind, plan.calls_per_s * 1.5, fleet.counter.beat_s, fleet.counter.wait_s
+    )
     assert over and max(over.values()) <= most, (over, most)
 
 
@@ -80,6 +119,7 @@
         lab.counter.wipe()
         assert until(sure(lab, 1), 8), said(lab, "counter changed", "counter sure")
         time.sleep(2.0)
+
     lab, outcome, over = play(experiment, script)
     within(over, experiment, "wipe")
     assert len({line["epoch"] for line in said(lab, "counter changed")}) == 1
@@ -99,6 +139,7 @@
         assert until(sure(lab, 2), 8), said(lab, "counter changed", "counter sure")
         assert any(line["why"] == "one that was left came back" for line in said(lab, "counter changed"))
         time.sleep(1.5)
+
     within(play(experiment, script)[2], experiment, "swap")
 
 
@@ -110,23 +151,30 @@
         time.sleep(2.0)
         far = {one.address for one in lab.limiters[:2]}
         lab.counter.split(lambda limiter: int(limiter in far))
-        assert until(lambda: {line["part"] for line in said(lab, "counter split")} >= {0.333, 0.667}, 8), said(lab, "counter split")
+        assert until(lambda: {line["part"] for line in said(lab, "counter split")} >= {0.333, 0.667}, 8), (
+            said(lab, "counter split")
+        )
         time.sleep(3.0)
         lab.counter.heal()
         assert until(sure(lab, 1), 10), said(lab, "counter changed", "counter sure")
         time.sleep(1.5)
+
     lab, outcome, over = play(experiment, script)
     within(over, experiment, "split")
     asked: dict[int, list] = {}  # by token: refused calls come again with it, through any limiter
     for one in lab.load.asked:
         if one.route == 2:
             asked.setdefault(one.token, []).append(one)
-    assert sum(len({one.limiter < 2 for one in them}) == 2 for them in asked.values()) > 5  # on both sides of the split
+    assert (
+        sum(len({one.limiter < 2 for one in them}) == 2 for them in asked.values()) > 5
+    )  # on both sides of the split
     ran: dict[bytes, set] = {}
     for one in lab.seen:
         if one.key and one.ran:
             ran.setdefault(one.key, set()).add(one.call)
-    assert ran and all(len(calls) == 1 for calls in ran.values())  # a refused call had no effect, whichever side refused it
+    assert ran and all(
+        len(calls) == 1 for calls in ran.values()
+    )  # a refused call had no effect, whichever side refused it
 
 
 def test_a_ledger_on_disk_outlives_a_kill_and_a_wipe_meanwhile(play, tmp_path):
@@ -147,9 +195,13 @@
         assert until(lambda: len({one["node"] for one in said(lab, "counter changed")}) >= 3, 8)
         time.sleep(2.0)
         known = [line for line in killed.lines() if line["event"] == "counter known"][-1]
-        assert known["names"] and len({one["epoch"] for one in said(lab, "counter changed")} | {known["epoch"]}) == 1
+        assert (
+            known["names"]
+            and len({one["epoch"] for one in said(lab, "counter changed")} | {known["epoch"]}) == 1
+        )
         held = scan((tmp_path / "n1.ledger").read_bytes(), 0.0, time.time())
         assert held.ledger.entries and not held.skipped
+
     lab, _, over = play(experiment, script)
     within(over, experiment, "wipe")
 
@@ -160,13 +212,17 @@
 
     def script(lab):
         time.sleep(4.0)
+
     lab, _, _ = play(experiment, script)
     names = [int(name) for name in lab.counter.totals]
-    assert names and max(names) < 2 ** 64
+    assert names and max(names) < 2**64
     assert not [line for one in lab.limiters for line in one.lines() if line.get("what") == "recovery"]
 
 
-@pytest.mark.parametrize("text, key", [("beat_s = 0.0\n", "beat_s"), ("missing_most = 1.0\n", "missing_most"), ("bet_s = 1.0\n", "bet_s")])
+@pytest.mark.parametrize(
+    "text, key",
+    [("beat_s = 0.0\n", "beat_s"), ("missing_most = 1.0\n", "missing_most"), ("bet_s = 1.0\n", "bet_s")],
+)
 def test_a_file_that_cannot_be_used_is_told_with_its_key(text, key):
     with pytest.raises(ConfigError) as refused:
         loads(text, RecoveryFile, "recovery.toml")
@@ -175,5 +231,6 @@
 
 def test_the_example_file_is_one_that_can_be_used():
     from pathlib import Path
+
     text = (Path(__file__).parent.parent / "deploy" / "recovery.example.toml").read_text()
     assert loads(text, RecoveryFile, "recovery.example.toml").beat_s == 1.0
--- a/tests/test_routing.py
+++ b/tests/test_routing.py
@@ -10,7 +10,11 @@
 
 from brookhub.interface import ApiCall, Customer, Outcome, Plan, Route, Server, State
 from brookhub.protocol import calls, hosts, resp
-from brookhub.routing import counter as counter_module, discovery as discovery_module, servers as servers_module
+from brookhub.routing import (
+    counter as counter_module,
+    discovery as discovery_module,
+    servers as servers_module,
+)
 from brookhub.routing.clients import Client as ClientConnection, Clients
 from brookhub.routing.connections import Dialling
 from brookhub.routing.counter import Counter
@@ -26,7 +30,14 @@
     """In a stream's place: what was put, how much of it is written, and whether it was ended."""
 
     def __init__(self):
-        self.said, self.told, self.tried, self.reason, self.full, self.inbound = [], 0, 0, None, False, Ring(resp.ROOM)
+        self.said, self.told, self.tried, self.reason, self.full, self.inbound = (
+            [],
+            0,
+            0,
+            None,
+            False,
+            Ring(resp.ROOM),
+        )
         self.coming = b""
 
     def put_part(self, data):
@@ -110,7 +121,9 @@
     words = words_of(1)
     made = ApiCall(1, Customer(7, Plan("wide")), Route("look", 1.0, 2.0), port.now + patience)
     made.wording, made.rq, made.said = calls.Wording(words), object(), []
-    made.slot = SimpleNamespace(answer=lambda *said: (made.said.append(b"".join(said)), setattr(made, "rq", None)))
+    made.slot = SimpleNamespace(
+        answer=lambda *said: (made.said.append(b"".join(said)), setattr(made, "rq", None))
+    )
     return made
 
 
@@ -146,7 +159,7 @@
 
 def test_a_try_goes_out_with_the_time_left_and_its_connection_serves_the_next(port):
     where, first, second = server(port), call(port), call(port)
-    one, = tries(port, (first, where))
+    (one,) = tries(port, (first, where))
     port.now += 0.5
     stream = come_up(port, port.dialled[0])
     assert b"d=1500" in stream.said[0] and stream.may_be_whole()
@@ -207,24 +220,40 @@
     assert len(port.dialled) == 2 and len(stream.said) == 2
 
 
-@pytest.mark.parametrize("spoilt", [b"\x82\xfe noise\r\n", b"*1000000000\r\n", b"$3000000000\r\n" + b"x" * 5000, b"*3\r\n$-7\r\n",
-                                    b"*3\r\n*3\r\n*3\r\n", b":5\r\n", b"x" * 2000, b"*3\r\n$1\r\nvv\r\n$-1\r\n", b"$1\r\nv\r\n"])
+@pytest.mark.parametrize(
+    "spoilt",
+    [
+        b"\x82\xfe noise\r\n",
+        b"*1000000000\r\n",
+        b"$3000000000\r\n" + b"x" * 5000,
+        b"*3\r\n$-7\r\n",
+        b"*3\r\n*3\r\n*3\r\n",
+        b":5\r\n",
+        b"x" * 2000,
+        b"*3\r\n$1\r\nvv\r\n$-1\r\n",
+        b"$1\r\nv\r\n",
+    ],
+)
 def test_a_spoilt_answer_is_a_failed_try_that_may_have_run_and_ends_its_connection(port, spoilt):
     where = server(port)
-    for pieces in ([spoilt], [spoilt[at:at + 1] for at in range(len(spoilt))]):
+    for pieces in ([spoilt], [spoilt[at : at + 1] for at in range(len(spoilt))]):
         one = call(port)
         tries(port, (one, where))
         link = port.dialled[-1]
         stream = come_up(port, link)
         for piece in pieces:
             hear(port, link, piece)
-        assert outcomes(port)[-1] is Outcome.ERROR and stream.reason in ("nonsense", "oversized") and one.said == []
+        assert (
+            outcomes(port)[-1] is Outcome.ERROR
+            and stream.reason in ("nonsense", "oversized")
+            and one.said == []
+        )
         assert len(stream.inbound) <= resp.ROOM and link not in port.servers.idle
 
 
 def test_a_try_given_up_closes_its_connection_before_the_next_is_written(port):
     where, other, one = server(port), server(port, 2), call(port)
-    first, = tries(port, (one, where))
+    (first,) = tries(port, (one, where))
     stream, order = come_up(port, port.dialled[0]), []
     stream.end = lambda reason: order.append("closed")
 
@@ -282,7 +311,13 @@
         elif step == 3 and port.servers.out:
             link = chance.choice(list(port.servers.out.values()))
             if link.stream:
-                hear(port, link, chance.choice([VALUE, b"-BUSY\r\n", b"-ERR failed\r\n", b"$-1\r\n", b"?\r\n", VALUE[:9], VALUE * 2]))
+                hear(
+                    port,
+                    link,
+                    chance.choice(
+                        [VALUE, b"-BUSY\r\n", b"-ERR failed\r\n", b"$-1\r\n", b"?\r\n", VALUE[:9], VALUE * 2]
+                    ),
+                )
         elif step == 4 and port.servers.out:
             one, link = chance.choice(list(port.servers.out.items()))
             if link.stream:
@@ -305,13 +340,18 @@
         assert all(link.one is None and not link.ended for link in port.servers.idle)
         assert all(len(one.said) <= 1 for one in all_calls)
         assert all(link in link.pool.idle for link in port.servers.idle)
-    assert len(port.gateway.ends) > 100 and set(outcomes(port)) >= set(Outcome) - {Outcome.CANCELLED, Outcome.NOTED}  # noted: counts alone
+    assert len(port.gateway.ends) > 100 and set(outcomes(port)) >= set(Outcome) - {
+        Outcome.CANCELLED,
+        Outcome.NOTED,
+    }  # noted: counts alone
 
 
 def test_a_fault_costs_its_call_an_error_and_those_behind_it_nothing(port):
     heard, port.faults = [], lambda met: heard.append(str(met))
     routes, plans = [Route("look", 1.0, 2.0)], [Plan("wide")]
-    clients = Clients(port, lambda *_: None, routes, plans, 1, 1.0, lambda: True, 9, 1, 9, 9999, 9999, 9.0, 1.0, 2.0, 4.0)
+    clients = Clients(
+        port, lambda *_: None, routes, plans, 1, 1.0, lambda: True, 9, 1, 9, 9999, 9999, 9.0, 1.0, 2.0, 4.0
+    )
     client = ClientConnection(clients, None)
     client.stream = Remembering()
 
@@ -332,7 +372,9 @@
 
 
 def test_who_has_asked_again_is_not_closed_as_idle_and_nobody_is_once_the_end_is_near(port):
-    clients = Clients(port, lambda *_: None, [], [], 1, 1.0, lambda: True, 3, 9, 9, 9999, 9999, 9.0, 1.0, 2.0, 4.0)
+    clients = Clients(
+        port, lambda *_: None, [], [], 1, 1.0, lambda: True, 3, 9, 9, 9999, 9999, 9.0, 1.0, 2.0, 4.0
+    )
     clients.start = lambda client: None
 
     def met(asked):
@@ -373,7 +415,14 @@
 
 def ask(port, counter, name=1):
     heard = []
-    at(port, counter.count, name, 1.0, 4.0, lambda outcome, total, took: heard.append((outcome, total, round(took, 3))))
+    at(
+        port,
+        counter.count,
+        name,
+        1.0,
+        4.0,
+        lambda outcome, total, took: heard.append((outcome, total, round(took, 3))),
+    )
     return heard
 
 
@@ -498,9 +547,16 @@
 
 
 def news(seq, whole, *items):
-    return hosts.News({"seq": seq, "whole": whole, "hosts": [
-        {"host": name, "dial": f"127.0.0.1:{n + 1}", "site": "b", "health": health, "born_ms": born}
-        for n, (name, health, born) in enumerate(items)]})
+    return hosts.News(
+        {
+            "seq": seq,
+            "whole": whole,
+            "hosts": [
+                {"host": name, "dial": f"127.0.0.1:{n + 1}", "site": "b", "health": health, "born_ms": born}
+                for n, (name, health, born) in enumerate(items)
+            ],
+        }
+    )
 
 
 def test_lists_and_changes_reach_the_decisions_in_their_order_and_once(port):
@@ -523,7 +579,9 @@
     at(port, watch.heard, news(5, True, ("x", "Ready", 0), ("y", "Ready", 0)))
     x, y = (watch.roster.servers[watch.ident(name)] for name in "xy")
     at(port, watch.hold, {"x"})
-    assert (x.state, y.state) == (State.DRAINING, State.READY) and port.gateway.lists[-1] == [(x.id, State.DRAINING)]
+    assert (x.state, y.state) == (State.DRAINING, State.READY) and port.gateway.lists[-1] == [
+        (x.id, State.DRAINING)
+    ]
     assert watch.lists("x")  # as discovery has it
     at(port, watch.heard, news(6, False, ("x", "Ready", 0)))  # told again: it is held back all the same
     assert x.state is State.DRAINING
@@ -541,15 +599,17 @@
 def test_a_server_that_takes_over_an_address_inherits_nothing_and_nothing_is_kept_of_what_is_gone(port):
     watch = Discovery(port, dialling, ["a", "b"], [], 0.0, 4.5)
     at(port, watch.heard, news(1, True, ("old", "Ready", 0)))
-    old, = watch.roster.servers.values()
+    (old,) = watch.roster.servers.values()
     tries(port, (call(port), old))
     stream = come_up(port, port.dialled[0])
     hear(port, port.dialled[0], VALUE)
     at(port, watch.heard, news(2, False, ("new", "Ready", 5000)))  # at the address that the old one had
-    new, = watch.roster.servers.values()
+    (new,) = watch.roster.servers.values()
     assert new is not old and old.state is State.GONE and stream.reason == "unlisted"
     assert port.gateway.lists[-1] == [(new.id, State.READY), (old.id, State.GONE)]
-    at(port, watch.heard, news(3, False, ("old", "Terminating", 0)))  # late news of the old one takes nothing away
+    at(
+        port, watch.heard, news(3, False, ("old", "Terminating", 0))
+    )  # late news of the old one takes nothing away
     at(port, watch.heard, news(4, False, ("old", "Gone", 0)))
     assert new.state is State.READY and list(watch.roster.servers.values()) == [new]
     for n in range(200):
@@ -575,13 +635,17 @@
         time.sleep(0.003)
     time.sleep(0.5)
     assert len(heard) == 180 and len(faults) == 60
-    assert all(now >= due for due, now in heard) and sorted(now for _, now in heard) == [now for _, now in heard]
+    assert all(now >= due for due, now in heard) and sorted(now for _, now in heard) == [
+        now for _, now in heard
+    ]
 
 
 def test_who_waits_to_be_accepted_when_the_listener_closes_is_still_taken():
     heard, listener = [], Listener(("127.0.0.1", 0))
     address = listener.sock.getsockname()
-    threading.Thread(target=listener.run, args=(lambda sock: (time.sleep(0.02), heard.append(sock)),), daemon=True).start()
+    threading.Thread(
+        target=listener.run, args=(lambda sock: (time.sleep(0.02), heard.append(sock)),), daemon=True
+    ).start()
     waiting = [socket.create_connection(address) for _ in range(10)]
     listener.close(1.0)
     assert len(heard) >= 10 and listener.ended.is_set()
@@ -593,6 +657,7 @@
 
 def test_nothing_under_the_lock_writes():
     """A stream's `put` copies and returns, also while its peer takes nothing at all."""
+
     class Stuck:
         def send(self, data, flags):
             raise BlockingIOError
@@ -613,6 +678,7 @@
     # answers some seven calls a second in turn, had a line of its full 2 s and turned all of them away (700 of 740).
     from random import Random
     from brookhub.program.run import list_pauses
+
     terms = {"asks_for_servers": True, "gateways": 40, "ask_within": 10.0}
     first, longest = list_pauses(terms)
     served, waits, capacity, wait = [], [], 1 / 0.15, 2.0
@@ -636,9 +702,11 @@
 
 def test_pauses_between_two_dials_differ_by_chance_and_heed_who_turned_away():
     from random import Random
+
     for asked, least, most in ((0.0, 0.05, 0.15), (7.0, 7.0, 14.0)):
         waited = []
         for index in range(8):
+
             def ended(*what):
                 dialling.asked = asked
 
@@ -646,7 +714,9 @@
                 waited.append(seconds)
                 dialling.over.set()
 
-            dialling = Dialling("peer", ("127.0.0.1", 1), 0.1, (0.05, 1.0), Random(index).random, ended, lambda met: None)
+            dialling = Dialling(
+                "peer", ("127.0.0.1", 1), 0.1, (0.05, 1.0), Random(index).random, ended, lambda met: None
+            )
             dialling.over.wait = wait
             dialling.run(lambda sock: ("closed", 0))
         assert len({round(one, 6) for one in waited}) == 8 and all(least <= one <= most for one in waited)
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -9,10 +9,19 @@
 
 from helpers import World
 
-ROUTES = [Route("read", 1.0, 3.0), Route("marked", 1.5, 4.0, Repeat.TOKENED, Group.ZONE, 2.0),
-          Route("marked-all", 1.5, 4.0, Repeat.TOKENED, Group.ALL, 1.0), Route("once", 1.0, 3.0, Repeat.NON_IDEMPOTENT)]
-PLANS = [Plan("hard", 4.0, 8.0, beyond_cost=1.0), Plan("soft", 2.0, 4.0, beyond_value=0.3),
-         Plan("capped", 6.0, 12.0, open_cap=4), Plan("ceiled", 6.0, 12.0, ceiling_rate=8.0, ceiling_burst=16.0), Plan("unlimited")]
+ROUTES = [
+    Route("read", 1.0, 3.0),
+    Route("marked", 1.5, 4.0, Repeat.TOKENED, Group.ZONE, 2.0),
+    Route("marked-all", 1.5, 4.0, Repeat.TOKENED, Group.ALL, 1.0),
+    Route("once", 1.0, 3.0, Repeat.NON_IDEMPOTENT),
+]
+PLANS = [
+    Plan("hard", 4.0, 8.0, beyond_cost=1.0),
+    Plan("soft", 2.0, 4.0, beyond_value=0.3),
+    Plan("capped", 6.0, 12.0, open_cap=4),
+    Plan("ceiled", 6.0, 12.0, ceiling_rate=8.0, ceiling_burst=16.0),
+    Plan("unlimited"),
+]
 
 
 def loans_of(world):
@@ -23,20 +32,39 @@
 def test_rules_hold_at_every_step_of_a_random_run(seed):
     chance = random.Random(seed)
     spread = (1, 2, 100)[seed % 3]  # more gateways than units in a share, too, and no counter at all
-    world = World(seed, servers=6, routes=ROUTES, plans=PLANS, largest=3.0, trued_up=seed % 2 == 0, gateways=spread,
-                  slot=seed % spread, counter_wait=0.05 if seed % 5 else 0.0)
+    world = World(
+        seed,
+        servers=6,
+        routes=ROUTES,
+        plans=PLANS,
+        largest=3.0,
+        trued_up=seed % 2 == 0,
+        gateways=spread,
+        slot=seed % spread,
+        counter_wait=0.05 if seed % 5 else 0.0,
+    )
     start, gateway, loans = world.now, world.gateway, loans_of(world)
     payers = [world.customer(index, index % 4) for index in range(12)] + [world.customer(99, 4)]
     calls, told, drawn = [], world.gateway.servers_told, {}
     for _ in range(600):
         step = chance.random()
         if step < 0.4:
-            calls.append(world.call(chance.choice(payers), chance.randrange(4), chance.choice([1.0, 2.0, 3.0]),
-                                    gateways=spread, patience=chance.choice([None, 1.0])))
+            calls.append(
+                world.call(
+                    chance.choice(payers),
+                    chance.randrange(4),
+                    chance.choice([1.0, 2.0, 3.0]),
+                    gateways=spread,
+                    patience=chance.choice([None, 1.0]),
+                )
+            )
         elif step < 0.75 and world.out:
-            end = chance.choices([Outcome.OK, Outcome.ERROR, Outcome.FULL, Outcome.RESET, Outcome.UNCONNECTED],
-                                 [8, 2, 1, 1, 1])[0]
-            world.end(chance.choice(world.out), end, charged=chance.choice([1.0, 2.0]) if gateway.trued_up else 0.0)
+            end = chance.choices(
+                [Outcome.OK, Outcome.ERROR, Outcome.FULL, Outcome.RESET, Outcome.UNCONNECTED], [8, 2, 1, 1, 1]
+            )[0]
+            world.end(
+                chance.choice(world.out), end, charged=chance.choice([1.0, 2.0]) if gateway.trued_up else 0.0
+            )
         elif step < 0.78:
             server = chance.choice(world.servers)
             server.state = chance.choice(list(State))
@@ -53,9 +81,16 @@
         world.run(chance.choice([0.0, 0.005, 0.05, 0.2]))
         # Ceiling: this gateway's part, which began empty, and no more.
         for payer in payers[3::4]:
-            units = sum(one.call.units for one in world.sent if one.number == 0 and one.call.customer is payer)
-            own, seconds = 0.5 if spread > 1 and seed % 5 else 1.0, world.now - start  # half is held by the count
-            most = (min(16.0, 8.0 * seconds) / spread + 8.0 / spread * seconds) * own + (4.0 * (seconds / 2 + 2) if own < 1 else 0.0)
+            units = sum(
+                one.call.units for one in world.sent if one.number == 0 and one.call.customer is payer
+            )
+            own, seconds = (
+                0.5 if spread > 1 and seed % 5 else 1.0,
+                world.now - start,
+            )  # half is held by the count
+            most = (min(16.0, 8.0 * seconds) / spread + 8.0 / spread * seconds) * own + (
+                4.0 * (seconds / 2 + 2) if own < 1 else 0.0
+            )
             assert units <= most + 1e-6
         # Loans: never more than a guarantee, never without an owner, all whole, inside the horizon.
         for account in gateway.accounts:
@@ -123,7 +158,11 @@
     calls = [world.call(borrower) for _ in range(4)]
     world.run(0.05)
     assert next(iter(world.gateway.accounts)).lent > 0
-    assert sum(one.timeout == 1.0 for one in world.sent) == sum(bool(call.rq and call.rq.loan) for call in calls) > 0
+    assert (
+        sum(one.timeout == 1.0 for one in world.sent)
+        == sum(bool(call.rq and call.rq.loan) for call in calls)
+        > 0
+    )
     lent = next(iter(world.gateway.accounts)).lent
     refused = world.call(lender, units=99.0)
     assert world.answers[refused][0] == "rate-limited"
@@ -142,7 +181,10 @@
         world.run(0.02)
         for one in list(world.out):
             world.end(one, Outcome.OK)
-        own, seconds = 0.5, world.now - start  # the other half is held by the window's count: 4 units each 2 s
+        own, seconds = (
+            0.5,
+            world.now - start,
+        )  # the other half is held by the window's count: 4 units each 2 s
         assert len(world.sent) <= (min(8.0, 4.0 * seconds) + 4.0 * seconds) * own + 4.0 * (seconds / 2 + 2)
     assert len(world.sent) > 8
 
@@ -358,7 +400,9 @@
             world.run(0.05)
             for one in [one for one in world.out if world.now - one.sent > 0.1]:
                 world.end(one, Outcome.OK)
-        sent += [one.sent - cold.up_since for one in world.sent if one.server is cold and one.sent >= cold.up_since]
+        sent += [
+            one.sent - cold.up_since for one in world.sent if one.server is cold and one.sent >= cold.up_since
+        ]
     # All send what 20 calls a second at 11 warm servers make; the cold one starts at a fifth and warms in 10 s.
     for start in (0.0, 0.5, 1.0, 1.5):
         assert sum(start <= at < start + 1.0 for at in sent) <= 2.0 * 0.4 * 60 * 50 / 11
@@ -380,7 +424,9 @@
         units = sum(one.call.units for one in world.sent if one.call.customer is usual)
         seconds = world.now - 100.0  # half of an Nth, and 4 units of each window's count
         assert units <= 4.0 + 2.0 * seconds + 4.0 * (seconds / 2 + 2) + 1e-6
-    assert max(sizes) < 450 and sizes[-1] <= sizes[1500] + 20  # two horizons and the stores' refill, then it ends
+    assert (
+        max(sizes) < 450 and sizes[-1] <= sizes[1500] + 20
+    )  # two horizons and the stores' refill, then it ends
     assert len(world.alarms) < 2000
     most = world.customer(9999)
     assert world.gateway.accounts.keys() >= {usual.account} and most.account is None
@@ -406,14 +452,22 @@
     met = world.customer(2)
     later = [world.call(met) for _ in range(8)]
     world.run(0.2)
-    assert sum(bool(call.tries) for call in later) == int(8 * UNHEARD / 2)  # this gateway's half of the burst, and more
+    assert sum(bool(call.tries) for call in later) == int(
+        8 * UNHEARD / 2
+    )  # this gateway's half of the burst, and more
 
 
 def test_a_broken_connection_to_the_counter_is_no_crowd_and_a_late_answer_is():
     world = World(servers=8)
     quota, payer = world.gateway.quota, world.customer()
-    for outcome, took, slower in ((Outcome.UNCONNECTED, 0.0, False), (Outcome.TIMEOUT, 0.01, False), (Outcome.FULL, 0.001, True),
-                                  (Outcome.OK, 0.04, True), (Outcome.TIMEOUT, 0.05, True), (Outcome.OK, 0.001, False)):
+    for outcome, took, slower in (
+        (Outcome.UNCONNECTED, 0.0, False),
+        (Outcome.TIMEOUT, 0.01, False),
+        (Outcome.FULL, 0.001, True),
+        (Outcome.OK, 0.04, True),
+        (Outcome.TIMEOUT, 0.05, True),
+        (Outcome.OK, 0.001, False),
+    ):
         world.count = lambda name, amount, lives, told: told(outcome, 1.0, took)
         world.run(1.0)
         before = quota.pace.rate = 2.0  # what was used: from more than that a late answer goes back at once
@@ -445,7 +499,10 @@
 
 @pytest.mark.parametrize("seed", range(4))
 def test_a_server_that_the_fleet_leaves_alone_gets_nothing_and_by_turn_one_try_that_may_run_again(seed):
-    world, word = World(seed=seed, routes=[Route("read", 1.0, 4.0), Route("once", 1.0, 4.0, Repeat.NON_IDEMPOTENT)]), Word()
+    world, word = (
+        World(seed=seed, routes=[Route("read", 1.0, 4.0), Route("once", 1.0, 4.0, Repeat.NON_IDEMPOTENT)]),
+        Word(),
+    )
     world.gateway.choices_told(word)
     assert set(word.servers) == {0, 1, 2}
     word.shunned = {0, 1}
@@ -470,7 +527,7 @@
     word.dues = {1}
     world.end(first, Outcome.ERROR)
     world.run(0.1)
-    assert [one.server.id for one in world.sent[before + 1:]] in ([], [2])  # a further try is no such call
+    assert [one.server.id for one in world.sent[before + 1 :]] in ([], [2])  # a further try is no such call
     assert (0, Outcome.ERROR) in word.sawn and (2, Outcome.OK) in word.sawn
 
 
--- a/tests/test_signals.py
+++ b/tests/test_signals.py
@@ -6,7 +6,20 @@
 
 from brookhub.choices import ByCounter, Signals, Turns, Unusable, unpack
 from brookhub.choices.carriers import ASKS, MOST_WORDS, QUIET, pack
-from brookhub.choices.signals import AWAY, BEAT, DOUBTED, DOUBTED_LEAST, FADE, HOLD_MOST, SICK, SKEW, SLOW_OVER, TRY_AT, TRY_FOR, WELL
+from brookhub.choices.signals import (
+    AWAY,
+    BEAT,
+    DOUBTED,
+    DOUBTED_LEAST,
+    FADE,
+    HOLD_MOST,
+    SICK,
+    SKEW,
+    SLOW_OVER,
+    TRY_AT,
+    TRY_FOR,
+    WELL,
+)
 from brookhub.choices.turns import GRACE
 from brookhub.interface import Outcome
 
@@ -27,7 +40,9 @@
 
     def run(self, seconds):
         until = self.now + seconds
-        while due := min((one for one in self.alarms if one[0] <= until and one[2] not in self.stopped), default=None):
+        while due := min(
+            (one for one in self.alarms if one[0] <= until and one[2] not in self.stopped), default=None
+        ):
             self.alarms.remove(due)
             self.now = max(self.now, due[0])
             due[3]()
@@ -59,8 +74,14 @@
             for peer, one in self.crowd.all.items():
                 if peer != self.name and not self.crowd.apart(self.name, peer):
                     self.crowd.order += 1
-                    self.crowd.alarms.append((self.crowd.now + 0.001, self.crowd.order, peer,
-                                              lambda one=one, data=data: one.heard(self.name, unpack(data))))
+                    self.crowd.alarms.append(
+                        (
+                            self.crowd.now + 0.001,
+                            self.crowd.order,
+                            peer,
+                            lambda one=one, data=data: one.heard(self.name, unpack(data)),
+                        )
+                    )
 
 
 def test_one_witness_is_not_enough_two_are_and_the_word_fades():
@@ -88,7 +109,9 @@
         for one in crowd.all.values():
             one.saw(chance.randrange(6, 24), SLOW if common and chance.random() < 0.08 else OK)
         crowd.run(0.05)
-        assert step < 40 or not any(crowd.shun(server) for server in range(24))  # 2 s in which to learn what is usual
+        assert step < 40 or not any(
+            crowd.shun(server) for server in range(24)
+        )  # 2 s in which to learn what is usual
     for name in ("n1", "n2"):  # one that is silent
         crowd.all[name].saw(5, SLOW)
     crowd.run(0.1)
@@ -126,7 +149,9 @@
     assert not any(one.due(5) for one in crowd.all.values())  # what is out now ends first
     crowd.run(FADE / 2)
     holder = crowd.holder(5)
-    assert [name for name, one in crowd.all.items() if one.due(5)] == [holder] and crowd.shun(5) == set(crowd.all)
+    assert [name for name, one in crowd.all.items() if one.due(5)] == [holder] and crowd.shun(5) == set(
+        crowd.all
+    )
     crowd.all[holder].tried(5)
     assert not crowd.all[holder].due(5)  # one try at a time
     crowd.all[holder].saw(5, BAD)
@@ -272,11 +297,11 @@
 
 
 def test_words_travel_in_datagrams_that_fit_and_anything_else_is_refused():
-    words = [(2 ** 62, SICK)] * 150
+    words = [(2**62, SICK)] * 150
     parts = pack(words)
     assert len(parts) == 3 and all(len(part) <= 1000 for part in parts)
     assert [word for part in parts for word in unpack(part)] == words
-    whole = pack([(1, SICK), (2 ** 40, WELL)])[0]
+    whole = pack([(1, SICK), (2**40, WELL)])[0]
     for cut in range(len(whole)):
         with pytest.raises(Unusable):
             unpack(whole[:cut])
@@ -286,7 +311,9 @@
             got = unpack(chance.randbytes(chance.randrange(40)))
         except Unusable:
             continue
-        assert len(got) <= MOST_WORDS and all(0 <= server <= 2 ** 62 and what in (SICK, WELL) for server, what in got)
+        assert len(got) <= MOST_WORDS and all(
+            0 <= server <= 2**62 and what in (SICK, WELL) for server, what in got
+        )
 
 
 class CountPort(Seat):
--- a/tests/test_sites.py
+++ b/tests/test_sites.py
@@ -16,8 +16,12 @@
 
 
 def start_of(path, gateways=200):
-    told = {"listen": "127.0.0.1:6379", "discovery": "127.0.0.1:8500", "counter": "127.0.0.1:6400",
-            "settings": load(path, SiteFile).settings(gateways)}
+    told = {
+        "listen": "127.0.0.1:6379",
+        "discovery": "127.0.0.1:8500",
+        "counter": "127.0.0.1:6400",
+        "settings": load(path, SiteFile).settings(gateways),
+    }
     return Start(told, {}, again=False)
 
 
@@ -37,20 +41,36 @@
     assert {route.repeat for route in ticket["routes"]} == set(Repeat) and not ticket["asks_for_servers"]
     keyed = next(route for route in ticket["routes"] if route.repeat is Repeat.TOKENED)
     assert keyed.window < keyed.client_timeout
-    assert sensor["asks_for_servers"] and min(plan.burst / sensor["gateways"] for plan in sensor["plans"]) < 0.05
+    assert (
+        sensor["asks_for_servers"] and min(plan.burst / sensor["gateways"] for plan in sensor["plans"]) < 0.05
+    )
 
 
-@pytest.mark.parametrize("old, new, said", [
-    ('effect = "unsafe"', 'effect = "perhaps"', "class"), ("max_attempts = 4\n", "", "allow.max_attempts: required key missing"),
-    ("window_ms = 2500", "window_ms = 0", "window_ms"), ("rate = [1, 2]", "rate = [0, 2]", "above 0"), ("rate = [1, 2]", 'rate = "much"', "range"),
-    ("rate = [1, 2]", "rate = [nan, 2]", "above 0"), ("deadline_ms = 6000", "deadline_ms = 600", "below aim_ms"), ("[fam]\n", "[fam\n", "not TOML")])
+@pytest.mark.parametrize(
+    "old, new, said",
+    [
+        ('effect = "unsafe"', 'effect = "perhaps"', "class"),
+        ("max_attempts = 4\n", "", "allow.max_attempts: required key missing"),
+        ("window_ms = 2500", "window_ms = 0", "window_ms"),
+        ("rate = [1, 2]", "rate = [0, 2]", "above 0"),
+        ("rate = [1, 2]", 'rate = "much"', "range"),
+        ("rate = [1, 2]", "rate = [nan, 2]", "above 0"),
+        ("deadline_ms = 6000", "deadline_ms = 600", "below aim_ms"),
+        ("[fam]\n", "[fam\n", "not TOML"),
+    ],
+)
 def test_a_wrong_or_missing_value_is_one_clear_line_and_exit_2(tmp_path, old, new, said):
     text = (SITES / "ticket-office.toml").read_text()
     path = tmp_path / "site.toml"
     path.write_text(text.replace(old, new, 1))
     assert path.read_text() != text
     ran = CliRunner().invoke(main, ["check-config", str(path)])
-    assert ran.exit_code == 2 and said in ran.stderr and ran.stderr.count("\n") == 1 and ran.stderr.startswith(f"brookhub: {path}")
+    assert (
+        ran.exit_code == 2
+        and said in ran.stderr
+        and ran.stderr.count("\n") == 1
+        and ran.stderr.startswith(f"brookhub: {path}")
+    )
 
 
 @pytest.mark.parametrize("path", PATHS, ids=lambda path: path.stem)
--- a/tests/trail_digest.py
+++ b/tests/trail_digest.py
@@ -14,8 +14,14 @@
 from pathlib import Path
 
 ROOT = Path(__file__).resolve().parent.parent
-RUNS = [("limiters", 1, 20.0), ("limiters", 2, 20.0), ("hard-split-cold", 3, 16.0), ("counter-wipe", 4, 30.0),
-        ("hard-stall-turns", 5, 16.0), ("zone-cold", 6, 40.0)]  # experiment, seed, simulated seconds
+RUNS = [
+    ("limiters", 1, 20.0),
+    ("limiters", 2, 20.0),
+    ("hard-split-cold", 3, 16.0),
+    ("counter-wipe", 4, 30.0),
+    ("hard-stall-turns", 5, 16.0),
+    ("zone-cold", 6, 40.0),
+]  # experiment, seed, simulated seconds
 
 
 def digests() -> list[str]:
@@ -25,7 +31,9 @@
 
     lines = []
     for name, seed, seconds in RUNS:
-        experiment = with_value(load(ROOT / "experiments" / f"{name}.toml", Experiment), "duration_s", seconds)
+        experiment = with_value(
+            load(ROOT / "experiments" / f"{name}.toml", Experiment), "duration_s", seconds
+        )
         result = Fleet(experiment, seed=seed).run()
         lines.append(f"{name} seed {seed}: {result.digest}")
     return lines
@@ -34,19 +42,25 @@
 def digests_of(commit: str) -> list[str]:
     with tempfile.TemporaryDirectory() as folder:
         tree = Path(folder) / "tree"
-        subprocess.run(["git", "worktree", "add", "--detach", tree, commit], cwd=ROOT, check=True, capture_output=True)
+        subprocess.run(
+            ["git", "worktree", "add", "--detach", tree, commit], cwd=ROOT, check=True, capture_output=True
+        )
         try:
             (tree / "tests" / Path(__file__).name).write_text(Path(__file__).read_text())
             command = [sys.executable, f"tests/{Path(__file__).name}"]
             ran = subprocess.run(command, cwd=tree, check=True, capture_output=True, text=True)
             return ran.stdout.splitlines()
         finally:
-            subprocess.run(["git", "worktree", "remove", "--force", tree], cwd=ROOT, check=True, capture_output=True)
+            subprocess.run(
+                ["git", "worktree", "remove", "--force", tree], cwd=ROOT, check=True, capture_output=True
+            )
 
 
 def main() -> int:
     sys.path.insert(0, str(ROOT))
-    parser = argparse.ArgumentParser(description=__doc__, formatter_class=argparse.RawDescriptionHelpFormatter)
+    parser = argparse.ArgumentParser(
+        description=__doc__, formatter_class=argparse.RawDescriptionHelpFormatter
+    )
     parser.add_argument("--against", metavar="COMMIT")
     commit = parser.parse_args().against
     own = digests()
