--- a/brookhub/checker/maintenance.py
+++ b/brookhub/checker/maintenance.py
@@ -116,7 +116,8 @@
     `rounds`: one step of the plain schedule is all messages and then the clock, so that faults fall between rounds and longer
     trails are reached; else each message is a step. `apart`: a member that is cut off at the start.
     `one_permit`: whether two that may act at once are a break by themselves. `blind`: a steward
-    sees only of its own machines whether they are there (no list tells it of the others). `work_s`: how long work takes."""
+    sees only of its own machines whether they are there (no list tells it of the others). `work_s`: how long work takes.
+    """
 
     def __init__(
         self,
@@ -194,7 +195,7 @@
         )
 
     def load(self, core: Maintenance, saved: tuple) -> None:
-        for place, fields in zip((core, core.register), saved):
+        for place, fields in zip((core, core.register), saved, strict=False):
             for key, value in fields:
                 setattr(place, key, thawed(value))
 
@@ -270,7 +271,7 @@
     def broken(self, state: State) -> str:
         out = [
             one.name
-            for one, (until, down, _) in zip(self.plan.machines, state.work)
+            for one, (until, down, _) in zip(self.plan.machines, state.work, strict=False)
             if down or until > state.clock
         ]
         if len(out) > self.plan.most_out:
@@ -317,7 +318,7 @@
         return ("tick",)
 
     def others(self, state: State) -> list[tuple]:
-        left, made = dict(zip(self.kinds, state.left)), []
+        left, made = dict(zip(self.kinds, state.left, strict=False)), []
         for name in self.names:
             if name in state.stalled:
                 made.append((("wake", name), 0))
@@ -328,7 +329,9 @@
                 made.append((("stall", name), 1))
             made += [((how, name), 1) for how in ("cut", "mute") if left.get(how) and not state.away]
         if left.get("split") and not state.away and len(self.names) > 3:
-            made += [(("split", (one, other)), 1) for one, other in zip(self.names, self.names[1:])]
+            made += [
+                (("split", (one, other)), 1) for one, other in zip(self.names, self.names[1:], strict=False)
+            ]
         if state.away:
             made.append((("heal",), 0))
         first = [number for number, one in enumerate(state.net) if one[1] not in state.stalled][
@@ -353,7 +356,7 @@
 
     def after(self, state: State, action: tuple) -> State:
         self.clock, self.sent, self.stalled, self.away = state.clock, [], state.stalled, state.away
-        self.work = {one.name: times for one, times in zip(self.plan.machines, state.work)}
+        self.work = {one.name: times for one, times in zip(self.plan.machines, state.work, strict=False)}
         members, net, held, away, stalled = (
             list(state.members),
             list(state.net),
@@ -361,7 +364,7 @@
             state.away,
             state.stalled,
         )
-        left, what = dict(zip(self.kinds, state.left)), action[0]
+        left, what = dict(zip(self.kinds, state.left, strict=False)), action[0]
         clock = state.clock
 
         def run(number: int, act) -> None:
@@ -431,7 +434,7 @@
 
     def round(self, state: State) -> State:
         """All messages in their order, what they bring about too; then who may begin to work does; then the clock."""
-        for core, saved in zip(self.cores, state.members):
+        for core, saved in zip(self.cores, state.members, strict=False):
             self.load(core, saved)
         net, waits = list(state.net), []
         while net:
@@ -449,7 +452,7 @@
         self.clock += 1
         for name, times in self.work.items():
             self.work[name] = tuple(one if one > self.clock else 0 for one in times)
-        for name, core in zip(self.names, self.cores):
+        for name, core in zip(self.names, self.cores, strict=False):
             if name not in state.stalled:
                 core.tick()
         waits += [one for one in self.sent if self.reachable(state, *one[:2])]
@@ -515,7 +518,7 @@
         if self.says_yes(
             {
                 one.name
-                for one, bit in zip(self.model.plan.machines, range(9))
+                for one, bit in zip(self.model.plan.machines, range(9), strict=False)
                 if message.table.done >> bit & 1
             },
             message.table,
--- a/brookhub/choices/__init__.py
+++ b/brookhub/choices/__init__.py
@@ -4,7 +4,7 @@
 ones with other views do harm that is bounded.
 """
 
-from .carriers import TOPIC, ByCounter, ByPeers, Unusable, unpack
+from .carriers import TOPIC, ByCounter, ByPeers, UnusableError, unpack
 from .parts import Parts, Shared
 from .signals import Signals
 from .subsets import Subsets, size
@@ -19,7 +19,7 @@
     "Signals",
     "Subsets",
     "Turns",
-    "Unusable",
+    "UnusableError",
     "size",
     "unpack",
 ]
--- a/brookhub/choices/carriers.py
+++ b/brookhub/choices/carriers.py
@@ -21,7 +21,7 @@
 SPARE = 1 << 62  # added to the names of windows: no customer's count has such a name
 
 
-class Unusable(ValueError):
+class UnusableError(ValueError):
     """A datagram's data that is no list of words."""
 
 
@@ -35,11 +35,11 @@
 
 
 def unpack(data: bytes) -> list[tuple[int, int]]:
-    """The words of a datagram; raises Unusable."""
+    """The words of a datagram; raises UnusableError."""
     try:
         return _decoder.decode(data)
     except (msgspec.DecodeError, RecursionError) as bad:
-        raise Unusable(str(bad)) from None
+        raise UnusableError(str(bad)) from None
 
 
 class ByPeers:
@@ -67,7 +67,8 @@
 class ByCounter:
     """Words as counts of witnesses in windows of FADE s: who was failed adds one and hears how many there are by now; who
     was not asks nothing, and learns nothing. `port`: interface.Port, whose `count` is used at most ASKS times a second
-    and not for QUIET s after a late answer; `key`: the fleet's, the same at all."""
+    and not for QUIET s after a late answer; `key`: the fleet's, the same at all.
+    """
 
     def __init__(self, port, key: int):
         self.port, self.key, self.signals = port, key, None
--- a/brookhub/choices/parts.py
+++ b/brookhub/choices/parts.py
@@ -24,7 +24,8 @@
 
 class Parts:
     """`key`: the fleet's, the same at all; `me` and `others`: names that the operator lists; `here()`: those of the others that count
-    as there (membership.Membership.counted), asked each time the decisions draw their part."""
+    as there (membership.Membership.counted), asked each time the decisions draw their part.
+    """
 
     def __init__(self, key: int, me: str, others: Iterable[str], here: Callable[[], Iterable[str]]):
         self.key, self.me, self.here = key, me, here
@@ -109,7 +110,8 @@
 
 class Shared:
     """What the decisions ask of the fleet: `signals` (signals.Signals) and `parts`, each or neither. Without signals nothing is
-    left alone and nothing is this one's turn; without parts the servers are taken as a stretch of their ring."""
+    left alone and nothing is this one's turn; without parts the servers are taken as a stretch of their ring.
+    """
 
     def __init__(self, signals: Any = None, parts: Parts | None = None):
         self.signals, self.parts = signals, parts
--- a/brookhub/choices/signals.py
+++ b/brookhub/choices/signals.py
@@ -49,7 +49,8 @@
 
 class Carrier(Protocol):
     """How words travel, and what time it is: `now` s on a clock that never jumps, `calendar` s since some moment that is the
-    same at all limiters, to within a small part of a turn."""
+    same at all limiters, to within a small part of a turn.
+    """
 
     now: float
     calendar: float
@@ -72,7 +73,8 @@
 
 class Signals:
     """One limiter's part. The decisions ask `shuns` and `due`, and tell `saw`, `tried` and `listed`; the carrier's side
-    tells `heard`, `attested` and `woke`. Servers by their ids, times in s."""
+    tells `heard`, `attested` and `woke`. Servers by their ids, times in s.
+    """
 
     def __init__(self, carrier: Carrier, turns: Turns):
         self.carrier, self.turns, self.me = carrier, turns, turns.me
--- a/brookhub/choices/subsets.py
+++ b/brookhub/choices/subsets.py
@@ -30,7 +30,8 @@
 
 def size(limiters: int, servers: int, load: float = 0.0, least: int = LEAST) -> int:
     """How many servers a limiter uses: `least`, as many as cover all servers evenly, or as its `load` needs (in
-    servers); never more than there are."""
+    servers); never more than there are.
+    """
     cover = ceil(COVER * servers / max(1, limiters))
     return min(servers, max(least, cover, ceil(load)))
 
@@ -46,7 +47,8 @@
 
 class Subsets:
     """The matching for `limiters` (names or numbers), kept up to date as servers come and go: only who is new is
-    hashed. Memory: a number for each limiter and server."""
+    hashed. Memory: a number for each limiter and server.
+    """
 
     def __init__(self, limiters: Sequence[Hashable], key: int = 0):
         self.key, self.limiters = key, list(limiters)
@@ -99,14 +101,17 @@
         del self.ranks[limiter]
 
     def match(self, each: int) -> dict[Hashable, list]:
-        """limiter -> its `each` servers (or all, where there are no more), best ranked first; no server has more than its
-        capacity."""
+        """Limiter -> its `each` servers (or all, where there are no more), best ranked first; no server has more than its
+        capacity.
+        """
         if each in self.matched:
             return self.matched[each]
         servers, asked_for = list(self.weights), each
         each = min(each, len(servers))
         room = (
-            dict(zip(servers, capacities(list(self.weights.values()), len(self.limiters) * each)))
+            dict(
+                zip(servers, capacities(list(self.weights.values()), len(self.limiters) * each), strict=False)
+            )
             if servers
             else {}
         )
@@ -141,7 +146,8 @@
 
     def wider(self, limiter: Hashable, each: int, more: int) -> list:
         """A limiter's servers where its load needs `more` than `each`: its own first, then such as have the most room left under
-        their bound, by its own draws (the others cannot know, and keep theirs)."""
+        their bound, by its own draws (the others cannot know, and keep theirs).
+        """
         matched = self.match(each)
         own, held = matched[limiter], dict.fromkeys(self.weights, 0)
         for them in matched.values():
@@ -151,6 +157,7 @@
             zip(
                 self.weights,
                 capacities(list(self.weights.values()), len(self.limiters) * min(each, len(held))),
+                strict=False,
             )
         )
         mine = set(own)
--- a/brookhub/choices/turns.py
+++ b/brookhub/choices/turns.py
@@ -20,7 +20,8 @@
 
 class Turns:
     """Whose turn a matter is. `present` is this limiter's view, itself included. Epochs go by the calendar, the same at all
-    to within a small part of EPOCH: where it differs by d, a matter has two holders for d of every epoch, or none."""
+    to within a small part of EPOCH: where it differs by d, a matter has two holders for d of every epoch, or none.
+    """
 
     def __init__(self, key: int, me: Hashable, epoch: float = EPOCH):
         self.key, self.me, self.epoch = key, me, epoch
@@ -38,7 +39,8 @@
 
     def holders(self, matter: Hashable, now: float, most: int = 1) -> list:
         """The `most` holders of a matter in the epoch of `now` (s), first holder first. Epochs of matters are out of
-        step, so that not all change hands at once."""
+        step, so that not all change hands at once.
+        """
         shift = score(self.key, "shift", matter)
         epoch = int(now / self.epoch + shift)
         if (matter, epoch, most) not in self.drawn:
@@ -51,7 +53,8 @@
 
     def mine(self, matter: Hashable, now: float, calendar: float | None = None, most: int = 1) -> bool:
         """Whether this limiter holds the matter; not within GRACE s after it woke. `now` s on its own clock, `calendar` s
-        on the one that all share (the same where it is not named)."""
+        on the one that all share (the same where it is not named).
+        """
         return now - self.awake_at >= GRACE and self.me in self.holders(
             matter, now if calendar is None else calendar, most
         )
--- a/brookhub/cli.py
+++ b/brookhub/cli.py
@@ -122,7 +122,7 @@
     strict: bool | None,
 ) -> None:
     """Play one experiment (without sweep) in the emulator; prints its metrics as JSON."""
-    from .emulator import Fleet, RuleBroken
+    from .emulator import Fleet, RuleBrokenError
     from .lab.sweep import with_value
 
     try:
@@ -137,7 +137,7 @@
         spec = with_value(spec, "strict", strict)
     try:
         result = Fleet(spec, seed=seed).run()
-    except RuleBroken as broken:
+    except RuleBrokenError as broken:
         click.echo(str(broken), err=True)
         sys.exit(1)
     click.echo(json.dumps(result.metrics(), sort_keys=True))
@@ -203,9 +203,11 @@
     folder.mkdir(parents=True, exist_ok=True)
     for seed in seeds or (spec.seed,):
         try:
-            with ProcessLab(spec, folder / f"seed-{seed}", seed) as played:
-                with click.progressbar(length=1000, label=f"seed {seed}", file=sys.stderr) as bar:
-                    outcome = played.play(lambda done: bar.update(int(done * 1000) - bar.pos))
+            with (
+                ProcessLab(spec, folder / f"seed-{seed}", seed) as played,
+                click.progressbar(length=1000, label=f"seed {seed}", file=sys.stderr) as bar,
+            ):
+                outcome = played.play(lambda done, bar=bar: bar.update(int(done * 1000) - bar.pos))
         except LabError as met:
             click.echo(f"brookhub: {met}", err=True)
             sys.exit(2)
@@ -519,7 +521,8 @@
 @main.command()
 def version() -> None:
     """The program's version."""
-    from importlib.metadata import PackageNotFoundError, version as installed
+    from importlib.metadata import PackageNotFoundError
+    from importlib.metadata import version as installed
 
     try:
         click.echo(installed("brookhub"))
--- a/brookhub/config/models.py
+++ b/brookhub/config/models.py
@@ -269,7 +269,8 @@
 
 class MachineSpec(Strict):
     """A machine to be taken out for work: servers on it by their names in discovery's list, a limiter by its name among the
-    peers, or both."""
+    peers, or both.
+    """
 
     name: str = Field(min_length=1, max_length=32)
     zone: str = Field("", max_length=32)
--- a/brookhub/config/site.py
+++ b/brookhub/config/site.py
@@ -184,7 +184,7 @@
             "classes": [class_settings(one) for one in self.classes],
             "tariffs": [
                 plan_settings(one.name, quota, self.fam.slack)
-                for one, quota in zip(self.tenant, self.fam.plan)
+                for one, quota in zip(self.tenant, self.fam.plan, strict=False)
             ],
             "extra": {
                 "counter": self.fam.counter,
--- a/brookhub/drill/host.py
+++ b/brookhub/drill/host.py
@@ -167,12 +167,10 @@
         if upstream is None:
             return
         upstream.outcome = named(OUTCOMES, code, "outcome")
-        report = dict(zip(self.columns, values[:columns]))
+        report = dict(zip(self.columns, values[:columns], strict=False))
         use = used - 1 if used else None
         self.gateway.try_ended(upstream, took, bool(final), float(charged), use, report)
-        if final:
-            self.release(upstream.call)
-        elif upstream.call.id in self.calls and upstream.call.rq is None:
+        if final or upstream.call.id in self.calls and upstream.call.rq is None:
             self.release(upstream.call)
 
     def find(self, ident: int, number: int) -> UpstreamTry | None:
@@ -201,7 +199,7 @@
 
     def probed(self, code: int, server: int, took: float, columns: int, *values: float) -> None:
         if server in self.roster.servers:
-            report = dict(zip(self.columns, values[:columns]))
+            report = dict(zip(self.columns, values[:columns], strict=False))
             self.gateway.probed(
                 self.roster.servers[server], named(OUTCOMES, code, "probe outcome"), took, report
             )
--- a/brookhub/emulator/__init__.py
+++ b/brookhub/emulator/__init__.py
@@ -4,6 +4,6 @@
 """
 
 from .fleet import Fleet, Result
-from .rules import RuleBroken
+from .rules import RuleBrokenError
 
-__all__ = ["Fleet", "Result", "RuleBroken"]
+__all__ = ["Fleet", "Result", "RuleBrokenError"]
--- a/brookhub/emulator/fleet.py
+++ b/brookhub/emulator/fleet.py
@@ -8,8 +8,8 @@
 
 import random
 import time
-from types import ModuleType
 from dataclasses import dataclass, field
+from types import ModuleType
 
 from hdrh.histogram import HdrHistogram
 
@@ -17,9 +17,9 @@
 from ..choices import TOPIC, ByCounter, ByPeers, Parts, Shared, Signals, Turns, unpack
 from ..config.models import Experiment, FaultSpec
 from ..interface import ApiCall, Group, Plan, Repeat, Route, State
+from ..membership import ALIVE, Membership
 from ..recovery import Ledger
 from .engine import Engine
-from ..membership import ALIVE, Membership
 from .limiter import Seat
 from .peers import FLEET, PeerNet, PeerSeat
 from .rules import LATE, Referee
@@ -166,7 +166,7 @@
         horizon = max(route.target for route in self.routes)
         kinds = [
             (plan, one.calls_per_s * spec.load.scale)
-            for plan, one in zip(self.plans, fleet.plans)
+            for plan, one in zip(self.plans, fleet.plans, strict=False)
             for _ in range(one.customers)
         ]
         self.customers = [Customer(number, plan, rate, horizon) for number, (plan, rate) in enumerate(kinds)]
@@ -553,7 +553,7 @@
     # the run
 
     def run(self) -> Result:
-        """Play the experiment to its end; raises RuleBroken at a break where the experiment is strict."""
+        """Play the experiment to its end; raises RuleBrokenError at a break where the experiment is strict."""
         wall = time.perf_counter()
         for fault in self.experiment.faults:
             self.schedule(fault)
--- a/brookhub/emulator/limiter.py
+++ b/brookhub/emulator/limiter.py
@@ -13,7 +13,6 @@
 from ..recovery import Settings as RecoverySettings
 from ..roster import Customers, Roster
 
-
 CONNECT_WITHIN = 0.25  # s that a dial over a cut link is waited for
 
 
--- a/brookhub/emulator/peers.py
+++ b/brookhub/emulator/peers.py
@@ -9,7 +9,7 @@
 from random import Random
 from typing import Callable
 
-from ..membership import ABSENT, ALIVE, DEAD, LEFT, Heartbeats, Membership, Unreadable, decode
+from ..membership import ABSENT, ALIVE, DEAD, LEFT, Heartbeats, Membership, UnreadableError, decode
 from .engine import Engine
 
 HEADER = 28  # bytes of UDP and IPv4 heads
@@ -45,7 +45,8 @@
 
 class PeerSeat:
     """One member's place: its MembershipPort. While stalled, timers and datagrams wait until it wakes; then the timers
-    that are due come first and the datagrams after them, as where a loop looks at its timers before its sockets."""
+    that are due come first and the datagrams after them, as where a loop looks at its timers before its sockets.
+    """
 
     def __init__(
         self,
@@ -84,7 +85,7 @@
         def take() -> None:
             try:
                 self.core.received(source, decode(data, FLEET))
-            except Unreadable as bad:
+            except UnreadableError as bad:
                 self.core.counts[bad.reason] += 1
 
         self.when_awake(take, AFTER_TIMERS)
@@ -107,7 +108,8 @@
     """N members, `protocol` lifeguard, swim or heartbeat; `warm`: all know each other from the start.
 
     `deaths`: member -> {observer: s}, since it was last cleared; `false` counts declarations of members that ran
-    then (not killed, not stalled in the last `excuse` s), one for each member and FALSE_AGAIN s."""
+    then (not killed, not stalled in the last `excuse` s), one for each member and FALSE_AGAIN s.
+    """
 
     FALSE_AGAIN = 10.0  # s in which one member's wrong deaths at many observers count as one
 
--- a/brookhub/emulator/rules.py
+++ b/brookhub/emulator/rules.py
@@ -15,7 +15,7 @@
 LATE = 1e-9  # s by which an answer may pass the client timeout: float rounding of the same instant
 
 
-class RuleBroken(AssertionError):
+class RuleBrokenError(AssertionError):
     """A rule (1 to 5) was broken; `trail` holds the events that led to it, oldest first."""
 
     def __init__(self, rule: int, text: str, trail: list[str]):
@@ -45,7 +45,7 @@
         self.broken[rule] = self.broken.get(rule, 0) + 1
         self.first_break = self.first_break or f"rule {rule}: {text}"
         if self.strict:
-            raise RuleBroken(rule, text, list(self.trail))
+            raise RuleBrokenError(rule, text, list(self.trail))
 
     # rule 2, and the one try out where second copies are off; rule 3 by the true state of the server
 
--- a/brookhub/emulator/site.py
+++ b/brookhub/emulator/site.py
@@ -93,7 +93,8 @@
     """`how`: "agreed" (maintenance), "timetable" (K at a time at fixed times, whatever happens) or "alone" (whoever has a vote
     takes the next when it sees fewer than K out by the list).
 
-    `breaks`: what went wrong, in words; `ended`: s when the plan was done; `most`: machines out at once."""
+    `breaks`: what went wrong, in words; `ended`: s when the plan was done; `most`: machines out at once.
+    """
 
     def __init__(
         self,
--- a/brookhub/lab/bounds.py
+++ b/brookhub/lab/bounds.py
@@ -13,7 +13,8 @@
 
     r T + 2 b + N u with the counter's word; while it is silent 1.5 (1 + e) r instead of r, and 1.5 (1 + e) b and
     2 N u once more. `excess` e: by how much the parts of all that run pass one (0 but for members that left and run again
-    unheard; the baseline that divides by who is seen, in a split of halves: 1)."""
+    unheard; the baseline that divides by who is seen, in a split of halves: 1).
+    """
     answering = plan.rate * (seconds - silent) + 2 * plan.burst + limiters * LARGEST
     if not silent:
         return answering
--- a/brookhub/lab/choices.py
+++ b/brookhub/lab/choices.py
@@ -40,14 +40,14 @@
 def subsets(
     way: str, limiters: list[int], servers: list[str], weights: list[float], each: int, key: int
 ) -> dict[int, list]:
-    """limiter -> its servers, chosen in that way."""
+    """Limiter -> its servers, chosen in that way."""
     if way == "matching":
         fleet = Subsets(limiters, key)
-        fleet.listed(dict(zip(servers, weights)))
+        fleet.listed(dict(zip(servers, weights, strict=False)))
         return fleet.match(each)
     if way == "random":
         fleet = Subsets([f"n{one}" for one in limiters], key)  # by names: nothing is dealt, all is chance
-        fleet.listed(dict(zip(servers, weights)))
+        fleet.listed(dict(zip(servers, weights, strict=False)))
         return {one: [server for _, server in fleet.ranks[f"n{one}"][:each]] for one in limiters}
     ring = sorted(servers, key=lambda server: score(0, server))  # ids are hashes of names
     return {
@@ -65,7 +65,7 @@
 ) -> tuple[float, float]:
     """(limiters a server by weight, largest over mean; load a server by weight, largest over mean)."""
     count, carried = dict.fromkeys(servers, 0), dict.fromkeys(servers, 0.0)
-    weight = dict(zip(servers, weights))
+    weight = dict(zip(servers, weights, strict=False))
     for one, own in chosen.items():
         whole = sum(weight[server] for server in own)
         for server in own:
@@ -81,7 +81,8 @@
 
 def play(job: dict) -> dict:
     """One row: balance with even and with hot limiters, changed pairs over the least possible for one that comes or
-    goes (mean over `moves` of each), connections; some limiters are away, so numbers are not dense."""
+    goes (mean over `moves` of each), connections; some limiters are away, so numbers are not dense.
+    """
     rng = random.Random(job["seed"])
     count, many, way = job["limiters"], job["servers"], job["way"]
     limiters = sorted(rng.sample(range(ceil(count * 1.1)), count))
@@ -92,7 +93,7 @@
     hot = set(rng.sample(limiters, max(1, round(HOT * count))))
     even, loaded = balance(chosen, servers, weights, dict.fromkeys(limiters, 1.0))
     fleet = Subsets(limiters, key)
-    fleet.listed(dict(zip(servers, weights)))
+    fleet.listed(dict(zip(servers, weights, strict=False)))
     # Hot ones use as many more servers as they see more; the others can't know, so their own lists stay.
     for one in hot:
         more = min(many, ceil(each * TIMES))
@@ -104,7 +105,7 @@
     uneven = balance(chosen, servers, weights, {one: TIMES if one in hot else 1.0 for one in limiters})[1]
     base = pairs(subsets(way, limiters, servers, weights, each, key))
     churn = {"limiter": [], "server": []}
-    for move in range(job["moves"]):
+    for _move in range(job["moves"]):
         gone = rng.choice(limiters)
         rest = [one for one in limiters if one != gone]
         after = pairs(subsets(way, rest, servers, weights, min(each, many), key))
@@ -195,7 +196,7 @@
         ("churn_server", "changed pairs / least, a server goes"),
     ]
     sizes = sorted({(row["limiters"], row["servers"]) for row in rows})
-    for axis, (key, title) in zip(axes, shown):
+    for axis, (key, title) in zip(axes, shown, strict=False):
         for way in WAYS:
             points = []
             for number, (limiters, servers) in enumerate(sizes):
--- a/brookhub/lab/compare.py
+++ b/brookhub/lab/compare.py
@@ -24,7 +24,7 @@
     for number, seed in enumerate(seeds):
         emulated = Fleet(experiment, seed=seed, keep_trail=False).run().metrics()
         with ProcessLab(experiment, folder / f"seed-{seed}", seed) as lab:
-            played = lab.play(lambda done: progress((number + done) / len(seeds))).metrics()
+            played = lab.play(lambda done, number=number: progress((number + done) / len(seeds))).metrics()
         apart = {share: played[share] - emulated[share] for share in SHARES}
         rows.append(
             {
--- a/brookhub/lab/judge.py
+++ b/brookhub/lab/judge.py
@@ -67,7 +67,8 @@
     hurt=lambda limiter, server, at: False,
 ) -> Verdict:
     """`zones`: server -> (zone, cell). `hurt(limiter, server, at)`: whether that link was cut then (address, id, s):
-    a server behind a cut does not hear that a try was given up."""
+    a server behind a cut does not hear that a try was given up.
+    """
     verdict = Verdict()
     fleet = experiment.fleet
     calls = {one.id: one for one in asked}
--- a/brookhub/lab/load.py
+++ b/brookhub/lab/load.py
@@ -33,7 +33,8 @@
 @dataclass(eq=False)
 class Asked:
     """One API call as its client saw it. `answers`: (s, "proxied", "rate-limited" or "errored"), all that came;
-    `end`: "answered", "closed" (the connection ended without one), "none" (silence), "left", "no-limiter"."""
+    `end`: "answered", "closed" (the connection ended without one), "none" (silence), "left", "no-limiter".
+    """
 
     id: int
     customer: int
--- a/brookhub/lab/maintenance.py
+++ b/brookhub/lab/maintenance.py
@@ -68,7 +68,8 @@
     safe, announce the drain to discovery, take the machine down, work, and bring it back cold.
 
     A machine's list has servers by their numbers and limiters by their names (n4): those are ended by SIGTERM.
-    `outs`: (machine, from s, to s; 0 while it is out), from "safe to work" to its return."""
+    `outs`: (machine, from s, to s; 0 while it is out), from "safe to work" to its return.
+    """
 
     def __init__(self, lab, machines: dict[str, list], work_s: float, grace_s: float):
         self.lab, self.machines, self.work_s, self.grace_s = lab, machines, work_s, grace_s
@@ -242,7 +243,7 @@
 
 
 def least(most: int) -> float:
-    """s that a plan needs at the least for that K: each slot one machine after another, nothing between them."""
+    """S that a plan needs at the least for that K: each slot one machine after another, nothing between them."""
     return BEGIN + MACHINES * LEAST_CYCLE / most
 
 
--- a/brookhub/lab/membership.py
+++ b/brookhub/lab/membership.py
@@ -92,7 +92,7 @@
 def death(crew: Crew, job: dict, members: int) -> dict:
     crew.run(3.0)
     half, everyone, unknown = [], [], 0
-    for number in range(1 if members > 40 and job["protocol"] == "heartbeat" else KILLS):
+    for _number in range(1 if members > 40 and job["protocol"] == "heartbeat" else KILLS):
         victim = crew.rng.choice([name for name, seat in crew.seats.items() if seat.alive])
         crew.deaths.clear()
         crew.seats[victim].kill()
@@ -161,7 +161,8 @@
     loss_s: float = 30.0,
 ) -> dict:
     """The same on processes of the program over loopback, under a light load: times from the log lines of all
-    limiters (s), cost from the relays' counts. A figure is None where it was not reached in 15 s."""
+    limiters (s), cost from the relays' counts. A figure is None where it was not reached in 15 s.
+    """
     from datetime import datetime
     from time import monotonic, sleep, time
 
@@ -190,7 +191,7 @@
         return datetime.fromisoformat(line["timestamp"].replace("Z", "+00:00")).timestamp()
 
     def reached(holds, living, within: float = 15.0, began: float | None = None) -> float | None:
-        """s until the last of all `living` first logged a line after `began` (now) that `holds`."""
+        """S until the last of all `living` first logged a line after `began` (now) that `holds`."""
         began, end = began or time(), monotonic() + within
         while monotonic() < end:
             first = [
@@ -325,21 +326,21 @@
 def plot(rows: list[dict], png: Path) -> Path:
     """Four panels: time until a death is known, bytes a second, false deaths an hour, time to agree after a split."""
     figure, axes = panels(4, (17, 4))
-    for protocol in ("lifeguard", "swim", "heartbeat"):
 
-        def points(what, value):
-            by_size: dict[int, list[float]] = {}
-            for row in rows:
-                if row["what"] == what and row["protocol"] == protocol:
-                    by_size.setdefault(row["members"], []).extend(value(row))
-            return sorted((size, mean(values)) for size, values in by_size.items() if values)
+    def points(protocol, what, value):
+        by_size: dict[int, list[float]] = {}
+        for row in rows:
+            if row["what"] == what and row["protocol"] == protocol:
+                by_size.setdefault(row["members"], []).extend(value(row))
+        return sorted((size, mean(values)) for size, values in by_size.items() if values)
 
+    for protocol in ("lifeguard", "swim", "heartbeat"):
         for axis, what, value in (
             (axes[0], "death", lambda row: row["all_s"]),
             (axes[1], "quiet", lambda row: [row["bytes_per_s"]]),
             (axes[3], "heal", lambda row: [row["agree_s"]]),
         ):
-            found = points(what, value)
+            found = points(protocol, what, value)
             axis.plot([x for x, _ in found], [y for _, y in found], marker="o", label=protocol)
     for axis, title in (
         (axes[0], "s until a death is known to all"),
--- a/brookhub/lab/plot.py
+++ b/brookhub/lab/plot.py
@@ -43,7 +43,7 @@
 def plot(out: Path, title: str, png: Path | None = None) -> Path:
     first, lines = series(read(out))
     figure, axes = panels(3, (13, 7), rows=2)
-    for (key, label), axis in zip(PANELS, axes.flat):
+    for (key, label), axis in zip(PANELS, axes.flat, strict=False):
         for name, points in lines.items():
             axis.plot([x for x, _ in points], [values[key] for _, values in points], marker="o", label=name)
         axis.set_title(label)
--- a/brookhub/lab/processes.py
+++ b/brookhub/lab/processes.py
@@ -53,7 +53,8 @@
 @dataclass
 class Outcome:
     """A run on processes: the emulator's result row, the judge's verdict, this machine's noise (s), the most tries that
-    the whole fleet sent one cold server in a second."""
+    the whole fleet sent one cold server in a second.
+    """
 
     result: Result
     verdict: Verdict
@@ -405,7 +406,7 @@
             number = signal.SIGTERM if action == "term_limiters" else signal.SIGKILL
             for one in self.pick(limiters, fault.share):
                 back = None if action == "kill_limiters" else RESTART_AFTER
-                self.after(0.0, lambda one=one: self.kill(one, back, number))
+                self.after(0.0, lambda one=one, back=back: self.kill(one, back, number))
         elif action == "stall_limiters":
             for one in self.pick(limiters, fault.share):
                 self.after(0.0, lambda one=one: self.stall(one, fault.for_s))
--- a/brookhub/lab/recovery.py
+++ b/brookhub/lab/recovery.py
@@ -60,7 +60,8 @@
 def bound(rate: float, burst: float, kind: str, asked: float, beat: float, wait: float) -> float:
     """The stated bound of what a customer may get over its quota or its ceiling (units a second, units) in any span, in units
     (docs/counter-recovery.md). `asked`: units a second that the customer asks for; times s; a split in parts that are larger than
-    `missing_most`."""
+    `missing_most`.
+    """
     gap = beat + 3 * wait  # until the last limiter knows: a beat, the register, a claim, a token
     change = min(burst, asked * gap)  # what a window's count held is not seen meanwhile
     changes = {"none": 0, "wipe": 1, "lose": 1, "swap": 2, "split": 2}[kind]
@@ -305,6 +306,7 @@
             "the same, as a share of the stated bound",
             "s until counts agree again, worst",
         ),
+        strict=False,
     ):
         axis.set_xscale("log")
         axis.set_xlabel("limiters")
@@ -339,6 +341,7 @@
             "over a hard ceiling, ceiling's bursts, worst customer (dashed: no recovery)",
             "used of the ceiling's rate, mean",
         ),
+        strict=False,
     ):
         axis.set_xscale("log")
         axis.set_xlabel("limiters")
--- a/brookhub/lab/startfiles.py
+++ b/brookhub/lab/startfiles.py
@@ -83,7 +83,8 @@
     recovery: str | None = None,
 ) -> dict:
     """The whole JSON start file of limiter `index`; `membership` names its file of peers,
-    `maintenance` its plan (which may come later), `recovery` its file on the counter's."""
+    `maintenance` its plan (which may come later), `recovery` its file on the counter's.
+    """
     told = {
         "name": f"n{index}",
         "listen": listen,
--- a/brookhub/lab/together.py
+++ b/brookhub/lab/together.py
@@ -142,7 +142,8 @@
 
 def cold(job: dict) -> dict:
     """Six in ten servers replaced at once, or a zone lost that returns cold in a split: sends to cold servers against rule
-    4's bound, and against what they can serve while they warm."""
+    4's bound, and against what they can serve while they warm.
+    """
     raw = base(job["limiters"], job["way"], service_s=0.1)
     for plan in raw["fleet"]["plans"]:
         plan["customers"] *= 5
@@ -174,7 +175,8 @@
 
 def grow(job: dict) -> dict:
     """A fleet of 40 limiters grows to 200 and shrinks back within 20 s, by planned starts and ends: how evenly limiters serve
-    what they were asked, and customers get what they ask inside their quotas."""
+    what they were asked, and customers get what they ask inside their quotas.
+    """
     raw = base(job["limiters"], job["way"])
     raw["duration_s"] = SHRINKS + TURN + 4.0
     asked: dict[int, int] = {}
@@ -212,7 +214,8 @@
 def parts(job: dict) -> dict:
     """Who uses which servers, read from the limiters' parts; one server replaced, one limiter killed meanwhile. `held`: limiters a
     server, largest over mean; `sends`: tries a server, the same; `pairs`: of a limiter and a server that were used in all; `server`,
-    `limiter`: pairs changed by that over the least possible."""
+    `limiter`: pairs changed by that over the least possible.
+    """
     raw = base(job["limiters"], "none")
     raw["fleet"]["servers"]["count"], raw["load"]["scale"], raw["duration_s"] = (
         job["servers"],
--- a/brookhub/links/conditions.py
+++ b/brookhub/links/conditions.py
@@ -14,7 +14,8 @@
 
     `cut`: nothing passes and nothing is said; TCP holds what came, as the sender's system would, UDP drops it.
     `reset`: share of TCP chunks passed forward after which the connection is reset at both ends (under a request).
-    `loss`, `duplicate`, `reorder`: shares of UDP packets; TCP keeps its order and loses nothing."""
+    `loss`, `duplicate`, `reorder`: shares of UDP packets; TCP keeps its order and loses nothing.
+    """
 
     cut: bool = False
     reset: float = 0.0
@@ -62,7 +63,8 @@
 
     def packet(self, size: int, at: float) -> list[float]:
         """The times (s) at which a UDP packet arrives: none if lost, two if doubled. Draws are made for each packet
-        in the same number whatever the conditions are, so that one seed makes the same choices."""
+        in the same number whatever the conditions are, so that one seed makes the same choices.
+        """
         lost, doubled, held = self.rng.random(), self.rng.random(), self.rng.random()
         how = self.now
         self.packets += 1
--- a/brookhub/links/relay.py
+++ b/brookhub/links/relay.py
@@ -133,7 +133,7 @@
                 one.set(**changes)
             self.renew(self.refusing if refuse is None else refuse)
 
-        for one in self.ways(way):  # a wrong word is told to the caller, not to the relays' thread
+        for _one in self.ways(way):  # a wrong word is told to the caller, not to the relays' thread
             Way(0).set(**changes)
         self.relays.call(work)
 
@@ -353,7 +353,8 @@
 
 class UdpMesh:
     """UDP between all pairs of members. Member a reaches b at `address(a, b)`, and sees b's packets come from there;
-    packets that do not come from the process bound to a's own address are dropped and counted (`strange`)."""
+    packets that do not come from the process bound to a's own address are dropped and counted (`strange`).
+    """
 
     def __init__(self, relays: Relays, members: dict[str, tuple[str, int]]):
         self.relays, self.members, self.strange = relays, dict(members), 0
--- a/brookhub/maintenance/__init__.py
+++ b/brookhub/maintenance/__init__.py
@@ -4,7 +4,7 @@
 """
 
 from .core import Maintenance, MaintenancePort, Settings
-from .messages import FILLING, LEAVING, OPEN, TOPIC, Report, Table, Unreadable, pack, unpack
+from .messages import FILLING, LEAVING, OPEN, TOPIC, Report, Table, UnreadableError, pack, unpack
 from .plan import Machine, Plan, fits, order
 
 __all__ = [
@@ -19,7 +19,7 @@
     "Settings",
     "TOPIC",
     "Table",
-    "Unreadable",
+    "UnreadableError",
     "fits",
     "order",
     "pack",
--- a/brookhub/maintenance/core.py
+++ b/brookhub/maintenance/core.py
@@ -34,7 +34,6 @@
 from .plan import Machine, Plan, fits, order
 from .register import Register, leased
 
-
 ASKED_AGAIN = 3  # words of who asks to remember, after which the way to a voter is taken for cut: two lost ones are chance
 
 
@@ -56,7 +55,8 @@
 @dataclass(frozen=True)
 class Settings:
     """Times in s, the same at all limiters. `ends_in`: the longest client timeout, after which nothing of a limiter that fell
-    silent is out any more."""
+    silent is out any more.
+    """
 
     lease: float = (
         3.0  # longer than a datagram's way, a garbage pause and a lost renewal together; short against work
@@ -223,7 +223,8 @@
 
     def say(self, peer: str, message) -> None:
         """The register's words. Who remembers nothing needs every voter's answer: where it asks in vain (a link may be cut one way)
-        question and answer also go by a third, another one each time."""
+        question and answer also go by a third, another one each time.
+        """
         self.port.send(peer, message)
         if (
             isinstance(message, (Read, State))
@@ -464,7 +465,8 @@
     def all_quiet(self, machine: Machine, now: float) -> bool:
         """Whether nothing of any limiter is out at it: each says so. Those that are gone count out once the longest client
         timeout has passed since they were last there; those that are there and silent, a lease later (each renewal asked
-        them): they may not know, and what they still send meets the drain that comes before the work."""
+        them): they may not know, and what they still send meets the drain that comes before the work.
+        """
         if self.me != machine.limiter and not self.port.quiet(machine):
             return False
         since, wait = self.since[machine.name], leased(self.settings.ends_in)
@@ -512,7 +514,7 @@
             for at, one in self.reports.values()
             if now - at < self.settings.lease
         ]
-        return tuple(sum(figures) for figures in zip(*fresh))
+        return tuple(sum(figures) for figures in zip(*fresh, strict=False))
 
     def permit(self, table: Table, now: float) -> Table:
         plan = self.plan
--- a/brookhub/maintenance/messages.py
+++ b/brookhub/maintenance/messages.py
@@ -1,4 +1,4 @@
-"""What the limiters tell each other about a plan: msgspec structs as msgpack, tagged; what does not fit raises Unreadable."""
+"""What the limiters tell each other about a plan: msgspec structs as msgpack, tagged; what does not fit raises UnreadableError."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
 Mark = tuple[Count, Name, Count]  # ballot and serial: the order of tables
 
 
-class Unreadable(ValueError):
+class UnreadableError(ValueError):
     """A word that is no message of maintenance."""
 
 
@@ -33,7 +33,8 @@
 
 class Table(msgspec.Struct, frozen=True, array_like=True):
     """What a majority holds: the plan by version and digest, machines out with their step, those done (bits by their place in
-    the plan), why it is halted ("" where it goes on), who votes."""
+    the plan), why it is halted ("" where it goes on), who votes.
+    """
 
     version: Count = 0
     digest: Digest = ""
@@ -157,8 +158,8 @@
 
 
 def unpack(data: bytes) -> Message:
-    """Raises Unreadable."""
+    """Raises UnreadableError."""
     try:
         return _decoder.decode(data)
     except (msgspec.DecodeError, UnicodeDecodeError, RecursionError) as bad:
-        raise Unreadable(str(bad)) from None
+        raise UnreadableError(str(bad)) from None
--- a/brookhub/maintenance/register.py
+++ b/brookhub/maintenance/register.py
@@ -19,13 +19,14 @@
 
 
 def leased(lease: float) -> float:
-    """s that a voter keeps to a lease of so many s: whatever the two clocks do, it ends after the leader's."""
+    """S that a voter keeps to a lease of so many s: whatever the two clocks do, it ends after the leader's."""
     return lease * (1 + DRIFT) / (1 - DRIFT)
 
 
 class Register:
     """One limiter's part. `lease` s; `voters` the first ones, later a table names them. `send(peer, message)`; `report()` goes with each vote for the leader to hear; `heard(peer, report)`
-    is told at the leader; `adopt(table)` whenever a newer table is known here, held by a majority or not."""
+    is told at the leader; `adopt(table)` whenever a newer table is known here, held by a majority or not.
+    """
 
     def __init__(
         self,
@@ -42,7 +43,8 @@
         listed: Callable[[], list[str]] = lambda: [],
     ):
         """`alone`: s that one abstains where nobody remembers anything (a permission to start has run out by then). `listed`: all
-        limiters: those without a vote were told the tables too, and remember them for voters that all forgot."""
+        limiters: those without a vote were told the tables too, and remember them for voters that all forgot.
+        """
         self.me, self.lease, self.alone, self.born = me, lease, alone, now
         self.send, self.report, self.heard, self.adopt, self.listed = send, report, heard, adopt, listed
         self.base = tuple(voters)  # where no table names them
@@ -162,7 +164,8 @@
 
     def knows(self, now: float) -> None:
         """Whether it has read enough to vote again: of a majority that remember; or of all, once any permission to start that
-        all may have forgotten has run out (whoever works by then is seen to be gone)."""
+        all may have forgotten has run out (whoever works by then is seen to be gone).
+        """
         best, known = max(self.reads.values(), key=lambda one: one.mark, default=None), self.voters()
         if best:
             self.learn(best.mark, best.table)
@@ -236,7 +239,8 @@
 
     def acts(self, now: float) -> bool:
         """Whether it may act as the leader now: its lease holds, and a majority holds its table. Looked at before each act:
-        it may have been stopped since the last."""
+        it may have been stopped since the last.
+        """
         return self.leads and now < self.valid_until and self.held is not None and self.pending is None
 
     def write(self, table: Table, now: float) -> None:
--- a/brookhub/membership/__init__.py
+++ b/brookhub/membership/__init__.py
@@ -7,7 +7,7 @@
 from .baseline import Heartbeats
 from .core import Membership, MembershipPort
 from .members import ABSENT, ALIVE, DEAD, LEFT, SUSPECT, UNHEARD, WORDS
-from .messages import LARGEST, WORD_MOST, Unreadable, decode
+from .messages import LARGEST, WORD_MOST, UnreadableError, decode
 
 __all__ = [
     "ABSENT",
@@ -20,7 +20,7 @@
     "MembershipPort",
     "SUSPECT",
     "UNHEARD",
-    "Unreadable",
+    "UnreadableError",
     "WORDS",
     "WORD_MOST",
     "decode",
--- a/brookhub/membership/core.py
+++ b/brookhub/membership/core.py
@@ -57,7 +57,8 @@
 class Membership:
     """One member's view. `peers`: the names listed beside its own; `lifeguard` False is plain SWIM, a baseline.
 
-    Tell it `received` (decoded messages with the listed name they came from), `relist`, `leave`; start it once."""
+    Tell it `received` (decoded messages with the listed name they came from), `relist`, `leave`; start it once.
+    """
 
     def __init__(
         self,
@@ -130,7 +131,8 @@
 
     def say(self, topic: int, data: bytes, peers: Iterable[str] | None = None) -> None:
         """Another part's word to these members, or to all that are present: one datagram each, lost like any other.
-        Raises ValueError for more than messages.WORD_MOST bytes."""
+        Raises ValueError for more than messages.WORD_MOST bytes.
+        """
         for name in sorted(self.present) if peers is None else peers:
             if name in self.members and not self.over:
                 self.post(name, Message(self.fleet, messages.VERSION, WORD, self.name, topic, data=data))
@@ -265,7 +267,8 @@
 
     def hear(self, name: str, state: int, incarnation: int, by: str = "", table: bool = False) -> None:
         """One piece of news. A death from a table, or heard while waking, is only a suspicion: it may be as old as a
-        split or a sleep."""
+        split or a sleep.
+        """
         if name == self.name:
             return self.refute(state, incarnation)
         member = self.members.get(name)
@@ -355,7 +358,7 @@
             self.port.later(PULSE, self.pulse)
 
     def patience(self, member: Member) -> float:
-        """s that a suspicion lasts: the more members confirm it, the shorter, down to the least."""
+        """S that a suspicion lasts: the more members confirm it, the shorter, down to the least."""
         tens = log10(max(10, len(self.present) + 1))
         least = max(LEAST, LEAST_LOG * tens) * self.period
         confirms = min(CONFIRM, len(self.present) - 1)
--- a/brookhub/membership/members.py
+++ b/brookhub/membership/members.py
@@ -13,7 +13,8 @@
 @dataclass(eq=False)
 class Member:
     """One peer: its state, incarnation, and while it is suspected, since when (s), when it was last
-    asked itself, and by whom."""
+    asked itself, and by whom.
+    """
 
     name: str
     state: int = UNHEARD
--- a/brookhub/membership/messages.py
+++ b/brookhub/membership/messages.py
@@ -2,7 +2,7 @@
 
 A message: fleet, version, kind, source, number, about, news, data. A WORD is another part's: `number` is its topic, `data`
 its bytes, which that part checks. A piece of news: (name, state, incarnation, by), where
-`by` is who suspects. Types and ranges are checked by msgspec; what does not fit raises Unreadable.
+`by` is who suspects. Types and ranges are checked by msgspec; what does not fit raises UnreadableError.
 """
 
 from __future__ import annotations
@@ -23,7 +23,7 @@
 Piece = tuple[Name, Annotated[int, msgspec.Meta(ge=1, le=4)], Number, Maybe]
 
 
-class Unreadable(ValueError):
+class UnreadableError(ValueError):
     """A datagram that is no message of this fleet; `reason` is the counter it goes to."""
 
     def __init__(self, reason: str):
@@ -58,15 +58,15 @@
 
 
 def decode(data: bytes, fleet: str) -> Message:
-    """A message of this fleet; raises Unreadable("oversized", "unreadable", "foreign" or "version")."""
+    """A message of this fleet; raises UnreadableError("oversized", "unreadable", "foreign" or "version")."""
     if len(data) > LARGEST:
-        raise Unreadable("oversized")
+        raise UnreadableError("oversized")
     try:
         message = _decoder.decode(data)
     except (msgspec.DecodeError, UnicodeDecodeError, RecursionError):
-        raise Unreadable("unreadable") from None
+        raise UnreadableError("unreadable") from None
     if message.fleet != fleet:
-        raise Unreadable("foreign")
+        raise UnreadableError("foreign")
     if message.version != VERSION:
-        raise Unreadable("version")
+        raise UnreadableError("version")
     return message
--- a/brookhub/program/log.py
+++ b/brookhub/program/log.py
@@ -10,7 +10,8 @@
 
 class LossyFile:
     """A log file that never fails its writer: a line that can't be written (nobody reads the pipe any more, the disk is
-    full) is dropped and counted. Threads that serve write here, and no request is to end for want of a log."""
+    full) is dropped and counted. Threads that serve write here, and no request is to end for want of a log.
+    """
 
     def __init__(self, file: TextIO):
         self._file = file
--- a/brookhub/program/run.py
+++ b/brookhub/program/run.py
@@ -56,7 +56,8 @@
 
 def list_pauses(terms: dict) -> tuple[float, float]:
     """The pauses (s) between two dials of discovery, the first and the longest. Where lists are asked for, its line is
-    that of the whole fleet, and what all ask at one moment it answers late or not at all: each waits for its part."""
+    that of the whole fleet, and what all ask at one moment it answers late or not at all: each waits for its part.
+    """
     if not terms["asks_for_servers"]:
         return PAUSES
     first = max(PAUSES[0], min(LIST_TAKES * terms["gateways"], LIST_SOON * terms["ask_within"]))
@@ -149,7 +150,8 @@
 
     def join(self, start: Start):
         """The membership driver, where the start file names peers and the settings let limiters talk; else nothing:
-        no socket, no thread, and nothing of it imported."""
+        no socket, no thread, and nothing of it imported.
+        """
         if start.membership is None:
             return None
         spec = startfile.peers(start)
@@ -237,7 +239,8 @@
 
     def reload(self) -> None:
         """Read the start file again: discovery and the counter move to where it says; the rest holds from the next
-        start on. One that can't be used changes nothing."""
+        start on. One that can't be used changes nothing.
+        """
         try:
             start = startfile.read(os.environ, again=True)
             peers = startfile.peers(start) if self.peers and start.membership else None
--- a/brookhub/program/startfile.py
+++ b/brookhub/program/startfile.py
@@ -6,7 +6,7 @@
 from typing import Mapping
 
 from ..protocol import hosts
-from ..protocol.resp import Malformed
+from ..protocol.resp import MalformedError
 from ..terms import TermsError, number, parse, part, terms
 
 
@@ -55,7 +55,7 @@
         if told.get("known") is not None:
             try:
                 self.known = hosts.News(told["known"])
-            except Malformed as bad:
+            except MalformedError as bad:
                 raise StartError(f"known: {bad}") from None
 
 
--- a/brookhub/protocol/calls.py
+++ b/brookhub/protocol/calls.py
@@ -16,7 +16,7 @@
 VERBS = {b"CALL.GET": 4, b"CALL.POST": 5}  # and of how many words a command of each is
 
 
-class BadCall(Exception):
+class BadCallError(Exception):
     """A command that is whole but asks for nothing that can be done."""
 
 
@@ -43,17 +43,17 @@
 
     def __init__(self, words: list):
         if len(words) != VERBS.get(words[0]):
-            raise BadCall("a GET has three words after its name, a POST four")
+            raise BadCallError("a GET has three words after its name, a POST four")
         self.words, self.write, self.size = words, len(words) == 5, sum(map(len, words))
         self.customer, self.ident = hexadecimal(words[1], "customer"), hexadecimal(words[2], "id")
         if self.customer >= MOST_CUSTOMERS:
-            raise BadCall("there is no such customer")
+            raise BadCallError("there is no such customer")
         self.fields = words[3].split(b",")
         told = {}
         for at, field in enumerate(self.fields):
             name, equals, value = field.partition(b"=")
             if not equals or name in told:
-                raise BadCall("the names and values can't be read")
+                raise BadCallError("the names and values can't be read")
             told[name] = value
             if name == b"d":
                 self.at = at
@@ -66,18 +66,18 @@
             or not 0 < len(told.get(b"k", b"1")) <= LONGEST_KEY
             or not self.patience
         ):
-            raise BadCall("r, k or d can't be read")
+            raise BadCallError("r, k or d can't be read")
 
     def check(self, route: Route, gateways: int, largest: float) -> None:
-        """Whether it fits what the settings tell. Raises BadCall."""
+        """Whether it fits what the settings tell. Raises BadCallError."""
         if (
             self.write is (route.repeat is Repeat.IDEMPOTENT)
             or route.repeat is Repeat.TOKENED
             and not self.keyed
         ):
-            raise BadCall("a c that is not called in this way")
+            raise BadCallError("a c that is not called in this way")
         if not 0 < self.units <= largest or not 0 < self.spread <= gateways or self.first >= gateways:
-            raise BadCall("units, spread or first are out of range")
+            raise BadCallError("units, spread or first are out of range")
 
     def for_server(self, seconds: float) -> bytes:
         """The command for a server, which may take so long."""
@@ -88,14 +88,14 @@
 
 def hexadecimal(word: bytes, what: str) -> int:
     if not HEXADECIMAL.fullmatch(word):
-        raise BadCall(f"the {what} is not of 16 hexadecimal digits")
+        raise BadCallError(f"the {what} is not of 16 hexadecimal digits")
     return int(word, 16)
 
 
 def number(told: dict, name: bytes, form: re.Pattern) -> float:
     value = told.get(name, b"")
     if not form.fullmatch(value):
-        raise BadCall(f"{name.decode()} is missing or not a number that can be served")
+        raise BadCallError(f"{name.decode()} is missing or not a number that can be served")
     return int(value) if form is WHOLE else float(value)
 
 
--- a/brookhub/protocol/documents.py
+++ b/brookhub/protocol/documents.py
@@ -9,7 +9,7 @@
 
 import re
 
-from .resp import Malformed
+from .resp import MalformedError
 
 LONGEST_DOCUMENT = (
     1024 * 1024
@@ -28,7 +28,7 @@
     def feed(self, line: bytes) -> bytes | None:
         """Take one line without its line end; the object that it completes, or None.
 
-        A blank line between two objects is a heartbeat. Raises Malformed where no JSON object can come of the lines.
+        A blank line between two objects is a heartbeat. Raises MalformedError where no JSON object can come of the lines.
         """
         blank = not line.strip()
         if blank and not self._lines:
@@ -37,7 +37,7 @@
         self._lines.append(line)
         self._size += len(line) + 1
         if self._size > LONGEST_DOCUMENT:
-            raise Malformed("a server list too long", "oversized")
+            raise MalformedError("a server list too long", "oversized")
         self._depth += nesting(line)
         if self._depth > 0:
             return None
@@ -47,11 +47,11 @@
 
     def _check(self, line: bytes, blank: bool) -> None:
         if blank:
-            raise Malformed("a server list that ends before it is whole")
+            raise MalformedError("a server list that ends before it is whole")
         if not self._lines and not line.lstrip().startswith(b"{"):
-            raise Malformed("a server list that is not a JSON object")
+            raise MalformedError("a server list that is not a JSON object")
         if line.count(b'"') % 2 and STRING.sub(b"", line).count(b'"'):
-            raise Malformed("a server list with a string that does not end")
+            raise MalformedError("a server list with a string that does not end")
 
 
 def nesting(line: bytes) -> int:
--- a/brookhub/protocol/hosts.py
+++ b/brookhub/protocol/hosts.py
@@ -6,7 +6,7 @@
 from hashlib import sha256
 
 from ..interface import State
-from .resp import Malformed
+from .resp import MalformedError
 
 STATES = {"Ready": State.READY, "Terminating": State.DRAINING, "Gone": State.GONE}
 
@@ -21,11 +21,11 @@
         try:
             self.address = address(text(item, "dial"))
         except ValueError as bad:
-            raise Malformed(f"{self.name}: {bad}") from None
+            raise MalformedError(f"{self.name}: {bad}") from None
         self.zone, self.kind = text(item, "site", ""), text(item, "class", "")
         self.cell = int(figure(item, "block", 0))
         if item.get("health") not in STATES:
-            raise Malformed(f"the health of {self.name} is unknown")
+            raise MalformedError(f"the health of {self.name} is unknown")
         self.state = STATES[item["health"]]
         self.weight, self.born = figure(item, "share", 1.0), figure(item, "born_ms", 0) / 1000
 
@@ -49,14 +49,14 @@
 def text(item: dict, name: str, absent: str | None = None) -> str:
     value = item.get(name, absent)
     if not isinstance(value, str):
-        raise Malformed(f"{name} of a server is no text")
+        raise MalformedError(f"{name} of a server is no text")
     return value
 
 
 def figure(item: dict, name: str, absent: float) -> float:
     value = item.get(name, absent)
     if isinstance(value, bool) or not isinstance(value, (int, float)) or not -1e15 < value < 1e15:
-        raise Malformed(f"{name} of a server is no number")
+        raise MalformedError(f"{name} of a server is no number")
     return value
 
 
@@ -65,10 +65,10 @@
 
     def __init__(self, told):
         if not isinstance(told, dict) or not isinstance(told.get("hosts"), list):
-            raise Malformed("a server list without hosts")
+            raise MalformedError("a server list without hosts")
         self.version, self.whole = int(figure(told, "seq", 0)), told.get("whole") is True
         if not all(isinstance(item, dict) for item in told["hosts"]):
-            raise Malformed("a server that is no object")
+            raise MalformedError("a server that is no object")
         self.hosts = [Host(item) for item in told["hosts"]]
 
 
@@ -76,5 +76,5 @@
     try:
         told = json.loads(line)
     except (ValueError, RecursionError):
-        raise Malformed("a server list that is not JSON") from None
+        raise MalformedError("a server list that is not JSON") from None
     return News(told)
--- a/brookhub/protocol/http.py
+++ b/brookhub/protocol/http.py
@@ -4,7 +4,7 @@
 
 from typing import Iterator
 
-from .resp import Malformed
+from .resp import MalformedError
 
 LONGEST_HEAD = 4096  # bytes of a line of the head, or of one that announces a chunk
 LONGEST_LINE = 1024 * 1024  # bytes of one line of the answer: a whole list of some thousand servers
@@ -48,56 +48,56 @@
             line = ring.line()
             if line is None:
                 if len(ring) > LONGEST_HEAD:
-                    raise Malformed("a line of the head that does not end")
+                    raise MalformedError("a line of the head that does not end")
                 return
             self.step(line)
 
     def status(self, line: bytes) -> None:
         words = line.split(b" ", 2)
         if len(words) < 2 or not words[0].startswith(b"HTTP/1."):
-            raise Malformed("no HTTP/1.1 answer")
+            raise MalformedError("no HTTP/1.1 answer")
         self.interim = len(words[1]) == 3 and words[1].startswith(b"1") and words[1] != b"101"
         self.turned_away = words[1] in TURNED_AWAY
         if words[1] != b"200" and not self.interim and not self.turned_away:
-            raise Malformed("an answer that is not 200")
+            raise MalformedError("an answer that is not 200")
         self.step = self.header
 
     def header(self, line: bytes) -> None:
         self.headers += 1
         if self.headers > MOST_HEADERS:
-            raise Malformed("too many headers")
+            raise MalformedError("too many headers")
         name, colon, value = line.partition(b":")
         name, value = name.strip().lower(), value.strip().lower()
         if not line and self.interim:  # word that the answer is yet to come
             self.step, self.chunked, self.length = self.status, False, None
         elif not line and self.turned_away:
-            raise Malformed("turned away", "turned-away")
+            raise MalformedError("turned away", "turned-away")
         elif not line:
             self.to_end = not self.chunked and self.length is None
             self.step, self.left = (self.chunk, 0) if self.chunked else (self.body, self.length or 0)
         elif not colon:
-            raise Malformed("a header without a colon")
+            raise MalformedError("a header without a colon")
         elif name == b"retry-after" and value.isdigit() and len(value) < 5:
             self.asked = min(float(value), LONGEST_ASKED)
         elif name == b"transfer-encoding":
             self.chunked = value == b"chunked"
         elif name == b"content-length":
             if not value.isdigit() or len(value) > 9:
-                raise Malformed("a length that is no number")
+                raise MalformedError("a length that is no number")
             self.length = int(value)
 
     def chunk(self, line: bytes) -> None:
         try:
             self.left = int(line.split(b";", 1)[0].strip(), 16)
         except ValueError:
-            raise Malformed("a chunk without a size") from None
+            raise MalformedError("a chunk without a size") from None
         if self.left < 0:
-            raise Malformed("a chunk of a size below 0")
+            raise MalformedError("a chunk of a size below 0")
         self.step = self.body if self.left else self.trailer
 
     def chunk_end(self, line: bytes) -> None:
         if line:
-            raise Malformed("a chunk longer than it said")
+            raise MalformedError("a chunk longer than it said")
         self.step = self.chunk
 
     def trailer(self, line: bytes) -> None:
@@ -125,4 +125,4 @@
             at = end + 1
         self.rest += data[at:]
         if len(self.rest) > LONGEST_LINE:
-            raise Malformed("a line of the answer too long", "oversized")
+            raise MalformedError("a line of the answer too long", "oversized")
--- a/brookhub/protocol/resp.py
+++ b/brookhub/protocol/resp.py
@@ -11,7 +11,7 @@
 ROOM = LARGEST + ALONGSIDE  # bytes that a ring buffer needs for any one command or answer
 
 
-class Malformed(Exception):
+class MalformedError(Exception):
     """Bytes that are no RESP2, or more of it than is taken. `reason` is the code of the connection's end."""
 
     def __init__(self, text: str, reason: str = "malformed"):
@@ -54,10 +54,10 @@
                 line = ring.line()
                 if line is None:
                     if len(ring) > LONGEST_LINE:
-                        raise Malformed("a line that does not end")
+                        raise MalformedError("a line that does not end")
                     return
                 if len(line) > LONGEST_LINE:
-                    raise Malformed("a line too long")
+                    raise MalformedError("a line too long")
                 kind, value = line[:1], line[1:]
                 if kind == b"$":
                     size = number(value)
@@ -67,10 +67,10 @@
                     value = self.null(size)
                 elif kind == b"*":
                     if self.words is not None:
-                        raise Malformed("an array inside an array")
+                        raise MalformedError("an array inside an array")
                     self.missing = number(value)
                     if self.missing > MOST_WORDS:
-                        raise Malformed("an array of too many words", "oversized")
+                        raise MalformedError("an array of too many words", "oversized")
                     if self.missing > 0:
                         self.words, self.taken = [], 0
                         continue
@@ -82,7 +82,7 @@
                 elif kind == b":":
                     value = number(value)
                 else:
-                    raise Malformed("a line of no known type")
+                    raise MalformedError("a line of no known type")
             if self.words is None:
                 yield value
                 continue
@@ -102,7 +102,7 @@
             return None
         value = ring.take(self.size) if self.size <= LARGEST else self.gathered
         if ring.take(2) != b"\r\n":
-            raise Malformed("a bulk string does not end where it said")
+            raise MalformedError("a bulk string does not end where it said")
         self.size, self.gathered, self.filled = None, bytearray(), 0
         return value
 
@@ -121,12 +121,12 @@
     def begin(self, size: int) -> None:
         self.taken = size + (self.taken if self.words is not None else 0)
         if size > self.largest or self.taken > self.largest + ALONGSIDE // 2:
-            raise Malformed("a value too large", "oversized")
+            raise MalformedError("a value too large", "oversized")
         self.size = size
 
     def null(self, size: int) -> None:
         if size != -1:
-            raise Malformed("a length below -1")
+            raise MalformedError("a length below -1")
 
     def idle(self) -> bool:
         """Whether it stands between two values."""
@@ -148,7 +148,7 @@
 def number(text: bytes) -> int:
     digits = text[1:] if text[:1] == b"-" else text
     if not digits.isdigit() or len(digits) > 18:
-        raise Malformed("not a number")
+        raise MalformedError("not a number")
     return int(text)
 
 
--- a/brookhub/recovery/__init__.py
+++ b/brookhub/recovery/__init__.py
@@ -5,7 +5,7 @@
 """
 
 from .core import Recovery, RecoveryPort, Settings
-from .disk import Record, Unusable, append, scan, snapshot
+from .disk import Record, UnusableError, append, scan, snapshot
 from .epochs import Epochs
 from .ledger import Ledger
 
@@ -16,7 +16,7 @@
     "Recovery",
     "RecoveryPort",
     "Settings",
-    "Unusable",
+    "UnusableError",
     "append",
     "scan",
     "snapshot",
--- a/brookhub/recovery/core.py
+++ b/brookhub/recovery/core.py
@@ -43,7 +43,8 @@
 @dataclass(frozen=True)
 class Settings:
     """`beat` s between looks at the register; `missing_most`: share of the limiters that may be missing from the roll before this side
-    takes it for a split: fewer are taken for crashed."""
+    takes it for a split: fewer are taken for crashed.
+    """
 
     beat: float = 1.0
     missing_most: float = 0.1
@@ -94,7 +95,8 @@
     def count(self, name: int, amount: float, lives: float, told: Told) -> None:
         """Port.count: passes through while the keeper is sure; else it is noted and there is no total. What the decisions give back
         beyond this limiter's own part of the name (an ask of the window before, refused in this one) is left out: a part is never
-        below 0, which is what a total is held against."""
+        below 0, which is what a total is held against.
+        """
         if not self.sure():
             return self.note(name, amount, lives, told)
         entry = self.ledger.entry(name, lives, self.port.now())
--- a/brookhub/recovery/disk.py
+++ b/brookhub/recovery/disk.py
@@ -18,7 +18,7 @@
 HEAD = Struct("<HI")  # length of what follows, its checksum (xxh32)
 
 
-class Unusable(ValueError):
+class UnusableError(ValueError):
     """A file that holds no record at all, though it isn't empty."""
 
 
@@ -60,7 +60,7 @@
 
 
 def scan(data: bytes, now: float, calendar: float) -> Scanned:
-    """Read a file; names that died meanwhile are left out. Raises Unusable where nothing in it is a record."""
+    """Read a file; names that died meanwhile are left out. Raises UnusableError where nothing in it is a record."""
     found, at, whole = Scanned(Ledger()), 0, True  # whole: the one before ended where this begins
     entries = found.ledger.entries
     while True:
@@ -96,6 +96,6 @@
             entry = entries[name] = Entry(record.lives, record.dies - calendar + now)
         entry.own = record.amount if record.whole else entry.own + record.amount
     if data and not found.records and not found.torn:
-        raise Unusable("no record in it")
+        raise UnusableError("no record in it")
     found.ledger.sweep(now)
     return found
--- a/brookhub/recovery/epochs.py
+++ b/brookhub/recovery/epochs.py
@@ -57,13 +57,15 @@
 
     def carries(self, clock: float) -> bool:
         """Whether it is this limiter's turn, or past it, to carry the epoch into the next era (one after another, so that one
-        that is gone is made up for)."""
+        that is gone is made up for).
+        """
         turn = (self.slot - floor(clock / ERA)) % self.limiters
         return self.epoch > 0 and clock % ERA >= ERA / 2 * (1 + (turn + 1) / (self.limiters + 1))
 
     def read(self, value: float) -> str:
         """What a register's value means: "same", "new", "empty" (a token is to be added) or "left" (an epoch that was left
-        came back: a token is to be added, so that nobody takes it for what it was)."""
+        came back: a token is to be added, so that nobody takes it for what it was).
+        """
         value = round(value)
         if value <= 0:
             return "empty"
@@ -88,6 +90,7 @@
 
     def here(self, clock: float) -> int | None:
         """Limiters that see this keeper: the larger of the last two whole beats' rolls; None while none is known of a beat that
-        began since this epoch was entered, or none lately."""
+        began since this epoch was entered, or none lately.
+        """
         number = floor(clock / self.beat)
         return max((many for at, many in self.rolls.items() if at >= number - 3), default=None)
--- a/brookhub/recovery/ledger.py
+++ b/brookhub/recovery/ledger.py
@@ -12,7 +12,8 @@
 class Entry:
     """One name. `own`: units added in all, net of what was given back; `held`: those sent under this epoch; `doubt`: of these,
     added ones that no answer came for; `unseen`: noted ones, which the decisions were told no total of: they must not be
-    taken for another limiter's."""
+    taken for another limiter's.
+    """
 
     lives: float
     dies: float
@@ -55,5 +56,6 @@
     def lost(self, entry: Entry, held: float, total: float) -> bool:
         """Whether this total proves that the keeper lost units: each limiter's net part of a name is above 0 and a name's calls
         come in order, so a total below what this one had sent by then, without what is in doubt, can't be. Names that
-        the counter drops before their time prove nothing."""
+        the counter drops before their time prove nothing.
+        """
         return entry.lives < LIVES and total < held - entry.doubt - EXACT * max(1.0, abs(total), held)
--- a/brookhub/routing/clients.py
+++ b/brookhub/routing/clients.py
@@ -16,7 +16,6 @@
 from ..transport.threads import spawn
 from .connections import read_to_end
 
-
 LATEST = 0.5  # s after its client timeout from which a call's connection is ended rather than answered: nobody waits
 STOPPED = (
     1.0  # s that a look at the connections may come late before the process counts as one that was stopped
@@ -75,7 +74,7 @@
             try:
                 for words in reader.feed(stream.inbound):
                     asked.append(self.understand(words))
-            except resp.Malformed as met:
+            except resp.MalformedError as met:
                 bad = met
             if (asked or bad) and stream.other_side_ended():
                 return True  # it left before what it asked was begun: nothing is sent on for it
@@ -93,7 +92,7 @@
     def understand(self, words) -> calls.Wording | bytes:
         """A command as an API call, or the answer that it gets at once."""
         if not isinstance(words, list) or not words or not all(type(word) is bytes for word in words):
-            raise resp.Malformed("a command is an array of bulk strings")
+            raise resp.MalformedError("a command is an array of bulk strings")
         if words[0].upper() == b"PING":
             return resp.PONG
         if words[0] not in calls.VERBS:
@@ -102,15 +101,15 @@
         try:
             wording = calls.Wording(words)
             if wording.route not in clients.routes or wording.plan not in clients.plans:
-                raise calls.BadCall("unknown c or t")
+                raise calls.BadCallError("unknown c or t")
             wording.check(clients.routes[wording.route], clients.gateways, clients.largest)
-        except calls.BadCall as bad:
+        except calls.BadCallError as bad:
             return resp.error(f"ERR {bad}")
         return wording
 
     # under the port's lock
 
-    def take(self, asked: list, bad: resp.Malformed | None) -> None:
+    def take(self, asked: list, bad: resp.MalformedError | None) -> None:
         if self.parting:
             return  # it crossed the end of the connection: the client asks again on another
         self.clients.woken()
@@ -255,7 +254,8 @@
 
     def to_leave(self) -> Client | None:
         """Whom to close for another: first who had time and said nothing, so that a flood of such costs the others
-        nothing, then who is idle longest."""
+        nothing, then who is idle longest.
+        """
         mute = self.longest(self.mute)
         if mute and (self.stopping or self.port.now - mute.idle_at > self.mute_for / 8):
             return mute
@@ -280,7 +280,8 @@
     def woken(self) -> None:
         """See whether this process was stopped for a while (a signal, a paused machine). What came to its connections
         meanwhile has lain there: a call whose time that cost is not begun and its connection ends, others have so much
-        less."""
+        less.
+        """
         late = self.port.now - self.sweeps_at
         if late > STOPPED:
             self.sweeps_at = self.port.now
--- a/brookhub/routing/connections.py
+++ b/brookhub/routing/connections.py
@@ -7,7 +7,7 @@
 from time import monotonic
 from typing import Callable
 
-from ..protocol.resp import Malformed
+from ..protocol.resp import MalformedError
 from ..transport.sockets import dial
 from ..transport.threads import spawn
 
@@ -26,7 +26,7 @@
         return "silent"
     except OSError:
         return "reset"
-    except Malformed as bad:
+    except MalformedError as bad:
         return bad.reason if bad.reason in ("oversized", "turned-away") else "nonsense"
     except Exception as met:
         faults(met)
--- a/brookhub/routing/counter.py
+++ b/brookhub/routing/counter.py
@@ -110,7 +110,7 @@
                 continue
             try:
                 total = counts.total(answer)
-            except resp.Malformed:
+            except resp.MalformedError:
                 stream_end(self.counter.port, stream, "nonsense")
                 one.end(self.heard_at, Outcome.TIMEOUT)
                 continue
--- a/brookhub/routing/maintenance.py
+++ b/brookhub/routing/maintenance.py
@@ -4,7 +4,7 @@
 
 from time import monotonic
 
-from ..maintenance import TOPIC, Machine, Maintenance, Plan, Settings, Unreadable, pack, unpack
+from ..maintenance import TOPIC, Machine, Maintenance, Plan, Settings, UnreadableError, pack, unpack
 
 TICK = 0.25  # s between looks: far below a lease
 LATELY = 10.0  # s over which served calls and their times are told
@@ -12,7 +12,8 @@
 
 class Keeper:
     """The maintenance of one limiter on sockets. `peers`: routing.peers.Peers, whose membership carries the words; `discovery`
-    tells of the servers. All methods run under the port's lock. A maintenance.MaintenancePort."""
+    tells of the servers. All methods run under the port's lock. A maintenance.MaintenancePort.
+    """
 
     def __init__(self, port, log, peers, discovery, settings: Settings):
         self.port, self.out, self.peers, self.discovery = port, log, peers, discovery
@@ -32,7 +33,7 @@
     def heard(self, peer: str, data: bytes) -> None:
         try:
             message = unpack(data)
-        except Unreadable:
+        except UnreadableError:
             return self.peers.drop("unreadable")
         self.core.received(peer, message)
 
@@ -76,7 +77,8 @@
 
     def quiet(self, machine: Machine) -> bool:
         """Whether nothing of this limiter is out at the machine's servers. A limiter on it ends as planned (SIGTERM) when work
-        begins: its clients' connections end between calls then, and the others take its parts."""
+        begins: its clients' connections end between calls then, and the others take its parts.
+        """
         out = {one.server.id for one in self.port.servers.out}
         return not any(self.discovery.ident(name) in out for name in machine.servers)
 
--- a/brookhub/routing/peers.py
+++ b/brookhub/routing/peers.py
@@ -11,8 +11,8 @@
 
 from xxhash import xxh3_64_intdigest
 
-from ..choices import TOPIC, ByPeers, Parts, Shared, Signals, Turns, Unusable, unpack
-from ..membership import LARGEST, WORDS, Membership, Unreadable, decode
+from ..choices import TOPIC, ByPeers, Parts, Shared, Signals, Turns, UnusableError, unpack
+from ..membership import LARGEST, WORDS, Membership, UnreadableError, decode
 from ..transport.threads import spawn
 
 BUFFER = 256 * 1024  # bytes that the system holds of datagrams not yet read: a burst after a split heals
@@ -30,7 +30,8 @@
 
 class Peers:
     """The membership of one limiter on sockets. `spec`: config.models.MembershipFile; raises OSError where its
-    address can't be had. A membership.MembershipPort: its methods but `start` and `read` run under the port's lock."""
+    address can't be had. A membership.MembershipPort: its methods but `start` and `read` run under the port's lock.
+    """
 
     def __init__(self, port, log, spec, seed: int):
         self.port, self.log, self.fleet = port, log, spec.fleet
@@ -91,7 +92,7 @@
                 continue
             try:
                 message = decode(data, self.fleet)
-            except Unreadable as bad:
+            except UnreadableError as bad:
                 self.drop(bad.reason)
                 continue
             self.port.run(monotonic(), self.core.received, peer, message)
@@ -140,7 +141,7 @@
             return
         try:
             self.signals.heard(peer, unpack(data))
-        except Unusable:
+        except UnusableError:
             self.drop("unreadable")
 
     def look(self) -> None:
--- a/brookhub/routing/recovery.py
+++ b/brookhub/routing/recovery.py
@@ -8,7 +8,7 @@
 from typing import Callable
 
 from ..interface import Told
-from ..recovery import Record, Recovery, Settings, Unusable, append, scan, snapshot
+from ..recovery import Record, Recovery, Settings, UnusableError, append, scan, snapshot
 
 WRITE = 0.1  # s between two writes of what was counted: the most that a crash loses
 SNAPSHOT = 20.0  # s between two writings of the whole ledger: names die within 60 s, and the file stays small
@@ -18,7 +18,8 @@
     """The recovery of one limiter on sockets: Port.count goes through `core`. All methods run under the port's lock, but for
     those that write, which the port carries out after it. A recovery.RecoveryPort.
 
-    `path`: of the ledger's file, None where no disk lasts."""
+    `path`: of the ledger's file, None where no disk lasts.
+    """
 
     def __init__(
         self,
@@ -75,7 +76,7 @@
             return None
         try:
             found = scan(data, monotonic(), time())
-        except Unusable as bad:
+        except UnusableError as bad:
             self.out.error("ledger not read", path=str(self.path), why=str(bad))
             return None
         self.out.info(
--- a/brookhub/routing/servers.py
+++ b/brookhub/routing/servers.py
@@ -122,7 +122,8 @@
 
     def free_link(self, pool: Pool) -> Link | None:
         """The one used last, as the others may grow old and go; but one that has just brought an answer may yet bring
-        more than that, and one on which something came while nothing waited is of no further use."""
+        more than that, and one on which something came while nothing waited is of no further use.
+        """
         for link in reversed(list(pool.idle)):
             if not link.stream.quiet():
                 self.drop(link, "nonsense")
@@ -174,8 +175,8 @@
                 return self.drop(link, "nonsense")
             self.gather(link, len(link.reader.gathered))  # what was said is counted: it may yet come
             if self.gathered > self.most_gathered:
-                raise resp.Malformed("more than there is memory for", "oversized")
-        except resp.Malformed as bad:
+                raise resp.MalformedError("more than there is memory for", "oversized")
+        except resp.MalformedError as bad:
             self.drop(link, "oversized" if bad.reason == "oversized" else "nonsense")
             self.port.end_try(one, Outcome.ERROR)
         except OSError:
--- a/brookhub/stand_ins/counter.py
+++ b/brookhub/stand_ins/counter.py
@@ -16,7 +16,8 @@
 
     `split()` gives the limiters (by their address, `side`) different keepers; `wipe()` empties all, `lose()` a share of the
     names; `swap()` puts an empty keeper in its place and `restore()` the old one back; `lost` is the share of answers
-    that never come."""
+    that never come.
+    """
 
     def __init__(self, at: tuple[str, int] = ("127.0.0.1", 0), delay: float = 0.0):
         self.lost, self.rng, self.aside = 0.0, random.Random(1), None
--- a/brookhub/stand_ins/discovery.py
+++ b/brookhub/stand_ins/discovery.py
@@ -16,7 +16,8 @@
 
     `dial(limiter, host)` may give each limiter (its address) another address of a host, as links need it. `indent` is
     that of the JSON text (None: one line), `cut` sends each byte by itself, `chunked` False an answer of no stated
-    length. The calls that come first are answered with the heads in `refusals` and closed."""
+    length. The calls that come first are answered with the heads in `refusals` and closed.
+    """
 
     def __init__(
         self,
--- a/brookhub/transport/ring.py
+++ b/brookhub/transport/ring.py
@@ -34,7 +34,8 @@
 
     def space(self, wanted: int = 0) -> memoryview:
         """Room to read into, in one piece, for as much as is wanted if it is empty; none at the limit. `filled` says
-        how much of it was used."""
+        how much of it was used.
+        """
         if self.size >= len(self.store) and len(self.store) < self.limit:
             self._move(max(KEPT, 2 * len(self.store), wanted))
         elif not self.size and len(self.store) < min(wanted, self.limit):
--- a/brookhub/transport/sockets.py
+++ b/brookhub/transport/sockets.py
@@ -2,6 +2,7 @@
 
 from __future__ import annotations
 
+import contextlib
 import socket
 import struct
 from threading import Event
@@ -21,7 +22,8 @@
 
 def make(address: tuple[str, int]) -> socket.socket:
     """A socket with buffers of its own size: by themselves the system's grow to megabytes, for each peer that
-    does not read."""
+    does not read.
+    """
     sock = socket.socket(socket.AF_INET6 if ":" in address[0] else socket.AF_INET, socket.SOCK_STREAM)
     sock.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, BUFFER)
     sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, BUFFER)
@@ -75,8 +77,6 @@
         """Accept who waits already, and nobody after that."""
         self.closed = True
         self.sock.setblocking(False)
-        try:
+        with contextlib.suppress(OSError):
             socket.create_connection(self.sock.getsockname(), within).close()  # wakes the accept that waits
-        except OSError:
-            pass
         self.ended.wait(within)
--- a/brookhub/transport/stream.py
+++ b/brookhub/transport/stream.py
@@ -2,6 +2,7 @@
 
 from __future__ import annotations
 
+import contextlib
 import select
 import socket
 import sys
@@ -11,7 +12,6 @@
 from .ring import Ring
 from .threads import spawn
 
-
 ENDED = (
     select.POLLRDHUP | select.POLLHUP | select.POLLERR
 )  # the other side sends no more, or the connection broke
@@ -58,7 +58,8 @@
 
     def wait(self, wanted: int = 1) -> bool:
         """Wait until so many bytes are there to read, or a fair part of many, and leave them where they are; False at
-        the end."""
+        the end.
+        """
         wanted = max(1, min(wanted, len(NOWHERE)))
         return (
             self.sock.recv_into(NOWHERE, wanted, socket.MSG_PEEK | socket.MSG_TRUNC | socket.MSG_WAITALL) > 0
@@ -91,14 +92,16 @@
 
     def other_side_ended(self) -> bool:
         """Whether the other side has ended its sending or the connection broke, also where bytes that came before
-        that have not been read yet. Only for the thread that reads."""
+        that have not been read yet. Only for the thread that reads.
+        """
         look = select.poll()
         look.register(self.sock, select.POLLRDHUP)
         return any(events & ENDED for _, events in look.poll(0))
 
     def lain(self, at_most: float) -> float:
         """Seconds for which what nobody has read yet has been there, by the system's word; 0 where nothing has come.
-        `at_most` where the system does not tell."""
+        `at_most` where the system does not tell.
+        """
         if not len(self.inbound) and not self.unheard():
             return 0.0
         try:
@@ -186,10 +189,8 @@
                 self._shut(socket.SHUT_WR)
 
     def _shut(self, how: int) -> None:
-        try:
+        with contextlib.suppress(OSError):
             self.sock.shutdown(how)
-        except OSError:
-            pass
 
     def close(self) -> None:
         self.sock.close()
--- a/brookhub/transport/threads.py
+++ b/brookhub/transport/threads.py
@@ -16,7 +16,8 @@
 
 def spawn(name: str, work: Callable[..., None], *args) -> bool:
     """Start a thread that ends with the program; False where the system has none left to give. It is not waited for
-    until it runs, as `threading.Thread` would: two switches that each connection would pay."""
+    until it runs, as `threading.Thread` would: two switches that each connection would pay.
+    """
     try:
         _thread.start_new_thread(work, args)
     except RuntimeError:
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -10,7 +10,8 @@
 
 import pytest
 
-from helpers import Program
+from brookhub.lab.processes import ProcessLab
+from helpers import Program, experiment, play_script
 
 KNOWN_RED = Path(__file__).parent.parent / "KNOWN-RED.txt"
 MOST_KNOWN = 3
@@ -75,3 +76,19 @@
         ended = program.process.poll()
         program.close()
         assert program.faults() == [] and ended in (None, 0)
+
+
+@pytest.fixture
+def lab(tmp_path):
+    """A lab of five limiters under load in a thread; `lab.begin(script)` runs the script beside the load."""
+    made = []
+
+    def begin(script, duration, limiters=5, servers=6, **more):
+        spec = experiment(limiters=limiters, servers=servers, duration=duration, membership=True, **more)
+        lab = ProcessLab(spec, tmp_path, seed=1)
+        made.append(lab)
+        return play_script(lab, script)
+
+    yield begin
+    for one in made:
+        one.close()
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -10,6 +10,7 @@
 import threading
 import time
 
+from brookhub.config import Experiment
 from brookhub.interface import (
     ApiCall,
     Customer,
@@ -23,7 +24,7 @@
     UpstreamTry,
 )
 from brookhub.policy import NEVER_RAN, Gateway
-from brookhub.stand_ins import CounterStandIn, DiscoveryStandIn, ServerStandIn, StandIn, host, read_value
+from brookhub.stand_ins import CounterStandIn, DiscoveryStandIn, ServerStandIn, host, read_value
 
 
 class World:
@@ -198,7 +199,8 @@
 class Ports:
     """Ports on loopback for programs to listen at, each given out once.
 
-    They lie below those that the system gives to connections, so none is taken between here and the program's start."""
+    They lie below those that the system gives to connections, so none is taken between here and the program's start.
+    """
 
     FIRST, LAST = 20000, 32000
 
@@ -358,3 +360,43 @@
     assert not outcome.result.broken, outcome.result.first_break
     assert not [line for one in lab.limiters for line in one.lines() if line["event"] == "fault"]
     return outcome
+
+
+def experiment(
+    limiters=4,
+    servers=6,
+    duration=4.0,
+    faults=(),
+    rate=40.0,
+    membership=False,
+    signals=False,
+    subsets=False,
+    service=0.02,
+    warm=2.0,
+    **more,
+):
+    """A small fleet: two routes, one plan with room for all calls; servers that are new are warm after `warm` s."""
+    return Experiment.model_validate(
+        {
+            "name": "small",
+            "duration_s": duration,
+            "faults": list(faults),
+            **more,
+            "fleet": {
+                "limiters": limiters,
+                "membership": {"on": membership, "period_s": 0.2, "signals": signals, "subsets": subsets},
+                "servers": {"count": servers, "places": 4, "service_s": service, "warm_after_s": warm},
+                "counter": {"wait_s": 0.2},
+                "routes": [
+                    {"name": "look", "target_s": 0.5, "client_timeout_s": 1.0, "share": 3},
+                    {"name": "once", "target_s": 0.5, "client_timeout_s": 1.0, "repeat": "non_idempotent"},
+                ],
+                "plans": [
+                    {"name": "wide", "rate": 200, "burst": 400, "customers": 4, "calls_per_s": rate / 4}
+                ],
+            },
+        }
+    )
+
+
+# the judge, on traffic of limiters that do wrong
--- a/tests/test_choices.py
+++ b/tests/test_choices.py
@@ -25,7 +25,9 @@
         each = 8
         now = pairs(fleet, each)
         count = {server: sum(held == server for _, held in now) for server in weights}
-        room = dict(zip(weights, capacities(list(weights.values()), len(fleet.limiters) * each)))
+        room = dict(
+            zip(weights, capacities(list(weights.values()), len(fleet.limiters) * each), strict=False)
+        )
         total = sum(weights.values())
         for server, held in count.items():
             mean = len(fleet.limiters) * each * weights[server] / total
--- a/tests/test_choices_processes.py
+++ b/tests/test_choices_processes.py
@@ -1,8 +1,7 @@
 """Signals and turns on eight processes of the program, 24 servers and the relay between: what is sent where is read from the
-servers' own records, and every run passes the judge."""
+servers' own records, and every run passes the judge.
+"""
 
-import signal
-import threading
 from collections import Counter
 from hashlib import sha256
 from time import monotonic, sleep, time
@@ -16,9 +15,8 @@
 from brookhub.lab.processes import ProcessLab
 from brookhub.membership.core import SHRINK
 from brookhub.protocol import hosts
-from helpers import until
-from test_fleet_processes import all_hold, fleet, lab  # noqa: F401  the fixture
-from test_processes import experiment
+from helpers import experiment, until
+from test_fleet_processes import all_hold, fleet
 
 pytestmark = pytest.mark.xdist_group(
     "process lab"
--- a/tests/test_emulator.py
+++ b/tests/test_emulator.py
@@ -1,13 +1,12 @@
 """The emulator: replay, the rules judged on a run with faults, a broken module caught, the clock's grain."""
 
 import importlib.util
-import sys
 
 import pytest
 
 from brookhub.config import Experiment, loads
 from brookhub.config.models import MembershipSpec
-from brookhub.emulator import Fleet, RuleBroken
+from brookhub.emulator import Fleet, RuleBrokenError
 from brookhub.emulator.engine import Engine
 
 SMALL = """
@@ -176,7 +175,7 @@
 def test_a_broken_rule_in_a_copy_of_the_module_is_caught_with_its_trail():
     # Failing servers make errors; the broken copy then sends a non-idempotent call again: rule 2.
     spec = experiment(("1.0", "failing_servers"))
-    with pytest.raises(RuleBroken) as caught:
+    with pytest.raises(RuleBrokenError) as caught:
         Fleet(spec, decisions=broken_copy()).run()
     assert caught.value.rule == 2 and "sent again" in caught.value.text
     assert any(" send " in line for line in caught.value.trail) and "BROKEN" in caught.value.trail[-1]
@@ -189,7 +188,7 @@
     )
     fleet.discovery.delay = 5.0  # the list comes later than the grace: the limiters send on
     fleet.schedule(loads(SMALL + FAULTS % ("1.0", "drain_servers"), Experiment).faults[0])
-    with pytest.raises(RuleBroken) as caught:
+    with pytest.raises(RuleBrokenError) as caught:
         fleet.run()
     assert caught.value.rule == 3
 
--- a/tests/test_endings.py
+++ b/tests/test_endings.py
@@ -71,7 +71,7 @@
 )
 def test_lines_that_no_object_can_come_of_are_refused(lines, reason):
     reader = DocumentReader()
-    with pytest.raises(resp.Malformed) as met:
+    with pytest.raises(resp.MalformedError) as met:
         for line in lines:
             reader.feed(line)
     assert met.value.reason == reason
@@ -151,7 +151,7 @@
         )
         dialling.over.wait = wait
         dialling.run(serve)
-        gaps = [after - before for before, after in zip(heard, begun[1:])]
+        gaps = [after - before for before, after in zip(heard, begun[1:], strict=False)]
         assert len(gaps) == 7 and max(gaps) <= 5.3 and min(gaps) >= takes + 0.01
         assert len({round(gap, 4) for gap in gaps}) == 7  # drawn: gateways that lost it together return apart
 
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -5,7 +5,6 @@
 import pytest
 
 from brookhub.interface import Outcome, Plan, Route
-
 from helpers import World
 
 WIDE = Plan("wide", 500.0, 1000.0)
@@ -96,7 +95,8 @@
 
 class Crowd:
     """One counter for many gateways: `capacity` calls a second in turn, a call not answered in `wait` is given up and
-    still worked on (seeded; the gateways' clocks are one)."""
+    still worked on (seeded; the gateways' clocks are one).
+    """
 
     def __init__(self, capacity, wait):
         self.capacity, self.wait, self.free_at, self.totals = capacity, wait, 0.0, {}
@@ -236,7 +236,7 @@
 
 def test_the_busiest_gateway_of_a_customer_passes_more_than_its_nth_of_a_ceiling():
     # Guards: a tenth of the units of ceiled plans, all inside the quota, waited out their targets at the own share.
-    worlds, crowd, chance = (
+    worlds, crowd, _chance = (
         fleet(20, 7, Plan("ceiled", 25.0, 57.0, ceiling_rate=60.0, ceiling_burst=142.0)),
         Crowd(1000, 0.08),
         random.Random(7),
@@ -308,7 +308,8 @@
 @pytest.mark.parametrize("seed", range(4))
 def test_with_a_silent_counter_two_halves_of_a_split_let_in_no_more_than_the_bound(seed):
     """Four gateways, split two and two for 20 s: divided by `sure`, all together stay within 1.5 times the quota;
-    divided by the two that each sees (the baseline), they pass it."""
+    divided by the two that each sees (the baseline), they pass it.
+    """
     spent = {}
     for hard in ("sure", "live"):
         worlds = [
@@ -327,7 +328,7 @@
             world.gateway.fleet_told(2, 0, 4 if hard == "sure" else 2)
         chance, customers = random.Random(seed), [world.customer() for world in worlds]
         for _ in range(200):
-            for world, customer in zip(worlds, customers):
+            for world, customer in zip(worlds, customers, strict=False):
                 for _ in range(chance.randrange(9)):
                     world.call(customer, gateways=4)
                 world.run(0.1)
@@ -357,7 +358,7 @@
 def test_a_thin_ceiling_lets_in_what_fits_and_any_span_holds_no_more_than_its_rate_and_burst(seed):
     # Guards: with a hundred gateways an Nth of a ceiling never held one call, so half of it lay idle, and of the other half
     # a window could use half the burst: 59% of the calls were rate-limited at 62% of the ceiling (docs/lab.md).
-    for load, least, most in ((15.0, 0.95, 1.0), (60.0, 0.85, 1.0)):
+    for load, least, _most in ((15.0, 0.95, 1.0), (60.0, 0.85, 1.0)):
         chance, crowd = random.Random(seed), Crowd(capacity=2000, wait=0.08)
         worlds = fleet(
             100,
--- a/tests/test_fleet_processes.py
+++ b/tests/test_fleet_processes.py
@@ -1,6 +1,7 @@
 """Membership on processes of the program: several at once, the relay between them, faults, each cleared again.
 
-Every run also passes the judge: rules 1 to 4 hold for every call whatever happens between the limiters."""
+Every run also passes the judge: rules 1 to 4 hold for every call whatever happens between the limiters.
+"""
 
 import contextlib
 import errno
@@ -17,11 +18,9 @@
 
 import pytest
 
-from brookhub.lab.processes import ProcessLab
 from brookhub.membership.messages import VERSION, Message, encode
 from brookhub.program import run, startfile
-from helpers import SETTINGS, Program, play_script, until
-from test_processes import experiment
+from helpers import SETTINGS, Program, until
 
 pytestmark = pytest.mark.xdist_group(
     "process lab"
@@ -46,22 +45,6 @@
     return lambda: set(present(lab, but).values()) == {count}
 
 
-@pytest.fixture
-def lab(tmp_path):
-    """A lab of five limiters under load in a thread; `lab.begin(script)` runs the script beside the load."""
-    made = []
-
-    def begin(script, duration, limiters=5, servers=6, **more):
-        spec = experiment(limiters=limiters, servers=servers, duration=duration, membership=True, **more)
-        lab = ProcessLab(spec, tmp_path, seed=1)
-        made.append(lab)
-        return play_script(lab, script)
-
-    yield begin
-    for one in made:
-        one.close()
-
-
 def test_a_split_in_halves_under_load_heals_and_the_sure_number_never_falls(lab):
     def script(lab):
         assert until(all_hold(lab, 5), 5)
@@ -259,7 +242,8 @@
 @pytest.mark.parametrize("reader", ["peers", "recovery"])
 def test_nobody_is_let_in_before_the_operator_s_files_are_read(tmp_path, monkeypatch, reader):
     """What connects earlier waits in the system, its calls' time not begun: on a busy machine calls were answered up to 0.5 s after their
-    client timeout by limiters that had just been restarted."""
+    client timeout by limiters that had just been restarted.
+    """
     with socket.socket() as probe:
         probe.bind(("127.0.0.1", 0))
         port = probe.getsockname()[1]
--- a/tests/test_lab.py
+++ b/tests/test_lab.py
@@ -4,14 +4,13 @@
 
 import pytest
 from click.testing import CliRunner
+from test_emulator import SMALL
 
 from brookhub.cli import main
 from brookhub.config import ConfigError, Experiment, GatewayFile, loads
 from brookhub.lab import sweep
 from brookhub.program import startfile
 
-from test_emulator import SMALL
-
 
 @pytest.mark.parametrize(
     "change, key, line, why",
--- a/tests/test_maintenance.py
+++ b/tests/test_maintenance.py
@@ -1,5 +1,6 @@
 """Plans, the register and the steps of a machine, without I/O; the model checker on the real core."""
 
+import contextlib
 import random
 
 import msgspec
@@ -16,13 +17,13 @@
     Maintenance,
     Plan,
     Settings,
-    Unreadable,
+    UnreadableError,
     fits,
     order,
     pack,
     unpack,
 )
-from brookhub.maintenance.messages import Grant, Offer, Table, Write
+from brookhub.maintenance.messages import Offer, Table, Write
 from brookhub.maintenance.register import DRIFT, leased
 
 
@@ -85,16 +86,14 @@
     whole = pack(message)
     assert unpack(whole) == message and len(whole) < 120
     for cut in range(len(whole)):
-        with pytest.raises(Unreadable):
+        with pytest.raises(UnreadableError):
             unpack(whole[:cut])
     chance = random.Random(1)
     for _ in range(3000):
         spoilt = bytearray(whole)
         spoilt[chance.randrange(len(spoilt))] = chance.randrange(256)
-        try:
+        with contextlib.suppress(UnreadableError):
             unpack(bytes(spoilt))
-        except Unreadable:
-            pass
 
 
 class Alone:
@@ -388,7 +387,8 @@
 )
 def test_voters_that_remember_nothing_hear_each_other_by_a_third_where_a_link_is_cut_one_way(cut):
     """Seen on processes, where it held a plan up for as long as the cut lasted: two new voters waited for the third, whose
-    answers did not reach them."""
+    answers did not reach them.
+    """
     names = [f"n{n}" for n in range(4)]  # n3 has no vote
     ports = {name: Alone([other for other in names if other != name]) for name in names}
     cores = {name: Maintenance(port, name, Settings(lease=1.0, offer=0.0)) for name, port in ports.items()}
--- a/tests/test_maintenance_processes.py
+++ b/tests/test_maintenance_processes.py
@@ -1,5 +1,6 @@
 """Plans of work on processes of the program: several limiters, 12 servers under load, faults between; judged by the stand-ins'
-records and by those of the people who work."""
+records and by those of the people who work.
+"""
 
 import json
 import os
@@ -13,7 +14,7 @@
 
 from brookhub.lab.maintenance import Workers, read_status
 from helpers import Program, until
-from test_fleet_processes import PEERS, all_hold, lab  # noqa: F401  the fixture
+from test_fleet_processes import PEERS, all_hold
 
 pytestmark = pytest.mark.xdist_group(
     "process lab"
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -1,12 +1,14 @@
 """Membership's core without I/O, in simulated time: each hard case is caused, the rules of its numbers are checked at
-every step of seeded random runs. On processes: tests/test_fleet_processes.py."""
+every step of seeded random runs. On processes: tests/test_fleet_processes.py.
+"""
 
+import contextlib
 import random
 
 import pytest
 
 from brookhub.emulator.peers import FLEET, Crew
-from brookhub.membership import ALIVE, DEAD, LARGEST, LEFT, SUSPECT, UNHEARD, Unreadable, decode
+from brookhub.membership import ALIVE, DEAD, LARGEST, LEFT, SUSPECT, UNHEARD, UnreadableError, decode
 from brookhub.membership.core import GROGGY, SHRINK
 from brookhub.membership.messages import MOST_NEWS, NEWS, PING, VERSION, Message, _encoder, encode
 
@@ -36,7 +38,7 @@
     data = encode(message())
     assert decode(data, FLEET) == message()
     for at in range(len(data)):
-        with pytest.raises(Unreadable):
+        with pytest.raises(UnreadableError):
             decode(data[:at], FLEET)
 
 
@@ -58,7 +60,7 @@
     ],
 )
 def test_what_is_no_message_of_this_fleet_is_told_apart(data, reason):
-    with pytest.raises(Unreadable) as met:
+    with pytest.raises(UnreadableError) as met:
         decode(data, FLEET)
     assert met.value.reason == reason
 
@@ -72,10 +74,8 @@
         )
         if data:
             data[chance.randrange(len(data))] ^= 1 << chance.randrange(8)
-        try:
+        with contextlib.suppress(UnreadableError):
             decode(bytes(data), FLEET)
-        except Unreadable:
-            pass
 
 
 def test_a_liar_among_the_listed_is_dropped_and_leaves_no_memory():
@@ -254,11 +254,12 @@
 @pytest.mark.parametrize("seed", range(8))
 def test_numbers_are_right_at_every_step_of_a_random_run_and_the_parts_of_all_never_pass_one(seed):
     """Joint parts are divided by `sure`: with it the parts of all that run add up to one at most, whatever views they
-    have, while nobody that left comes back (docs/membership.md states the bound for that)."""
+    have, while nobody that left comes back (docs/membership.md states the bound for that).
+    """
     chance = random.Random(seed)
     crew = Crew(12, seed, warm=chance.random() < 0.5)
     crew.net.loss = 0.05
-    for step in range(60):
+    for _step in range(60):
         living = [name for name, seat in crew.seats.items() if seat.alive]
         what = chance.random()
         if what < 0.15 and len(living) > 3:
--- a/tests/test_processes.py
+++ b/tests/test_processes.py
@@ -1,6 +1,7 @@
 """The process lab: several processes of the program on loopback, faults between them, and a judge that catches.
 
-Each run here takes a few seconds; long ones are `brookhub lab processes` (docs/process-lab.md)."""
+Each run here takes a few seconds; long ones are `brookhub lab processes` (docs/process-lab.md).
+"""
 
 import contextlib
 import os
@@ -11,62 +12,21 @@
 
 import pytest
 
-from brookhub.config import Experiment
+from brookhub.emulator.world import ServerModel
+from brookhub.interface import State
 from brookhub.lab.judge import Outage, judge
 from brookhub.lab.load import Asked, Load
 from brookhub.lab.processes import LabError, ProcessLab
 from brookhub.protocol import resp
 from brookhub.stand_ins import ModelServer, StandIn, Timers, read_value
 from brookhub.stand_ins.server import Seen
-from brookhub.emulator.world import ServerModel
-from brookhub.interface import State
-from helpers import until
+from helpers import experiment, until
 
 pytestmark = pytest.mark.xdist_group(
     "process lab"
 )  # its limiters have the same addresses in each lab: one at a time
 
 
-def experiment(
-    limiters=4,
-    servers=6,
-    duration=4.0,
-    faults=(),
-    rate=40.0,
-    membership=False,
-    signals=False,
-    subsets=False,
-    service=0.02,
-    warm=2.0,
-    **more,
-):
-    """A small fleet: two routes, one plan with room for all calls; servers that are new are warm after `warm` s."""
-    return Experiment.model_validate(
-        {
-            "name": "small",
-            "duration_s": duration,
-            "faults": list(faults),
-            **more,
-            "fleet": {
-                "limiters": limiters,
-                "membership": {"on": membership, "period_s": 0.2, "signals": signals, "subsets": subsets},
-                "servers": {"count": servers, "places": 4, "service_s": service, "warm_after_s": warm},
-                "counter": {"wait_s": 0.2},
-                "routes": [
-                    {"name": "look", "target_s": 0.5, "client_timeout_s": 1.0, "share": 3},
-                    {"name": "once", "target_s": 0.5, "client_timeout_s": 1.0, "repeat": "non_idempotent"},
-                ],
-                "plans": [
-                    {"name": "wide", "rate": 200, "burst": 400, "customers": 4, "calls_per_s": rate / 4}
-                ],
-            },
-        }
-    )
-
-
-# the judge, on traffic of limiters that do wrong
-
-
 class Rogue(StandIn):
     """A limiter that serves each call right but in one way. Talks to the servers itself."""
 
@@ -202,9 +162,11 @@
 def test_what_the_lab_cannot_play_is_told_in_one_line(tmp_path):
     with pytest.raises(LabError, match="17 limiters: the process lab plays 1 to 16"):
         ProcessLab(experiment(limiters=17), tmp_path)
-    with ProcessLab(experiment(limiters=1), tmp_path) as lab:
-        with pytest.raises(LabError, match="no membership, so no peer links"):
-            lab.fault(experiment(faults=[{"at_s": 0, "action": "split_limiters"}]).faults[0])
+    with (
+        ProcessLab(experiment(limiters=1), tmp_path) as lab,
+        pytest.raises(LabError, match="no membership, so no peer links"),
+    ):
+        lab.fault(experiment(faults=[{"at_s": 0, "action": "split_limiters"}]).faults[0])
 
 
 def test_a_model_server_keeps_its_places_its_queue_and_the_rule_of_cold_servers():
--- a/tests/test_protocol.py
+++ b/tests/test_protocol.py
@@ -1,5 +1,6 @@
 """The state machines of the wire, fed whole, split at every byte, and with garbage; and the ring buffer."""
 
+import contextlib
 import json
 import random
 
@@ -111,10 +112,10 @@
     assert feed(
         resp.Reader(), ring, [word(value)[at : at + 1000] for at in range(0, len(word(value)), 1000)]
     ) == [value]
-    with pytest.raises(resp.Malformed) as bad:
+    with pytest.raises(resp.MalformedError) as bad:
         feed(resp.Reader(), ring, [b"$%d\r\n" % (resp.LARGEST + 1)])
     assert bad.value.reason == "oversized" and len(ring) == 0
-    with pytest.raises(resp.Malformed) as bad:  # many words that are small enough one by one
+    with pytest.raises(resp.MalformedError) as bad:  # many words that are small enough one by one
         feed(resp.Reader(), ring, [b"*9\r\n", *[word(b"y" * 30000)] * 2, b"$30000\r\n"])
     assert bad.value.reason == "oversized"
 
@@ -127,9 +128,9 @@
             got += feed(reader, ring, [sent[at : at + piece]])
             assert len(ring) < resp.ALONGSIDE
         assert got == [value] and reader.wants() == 0 and not reader.gathered
-    with pytest.raises(resp.Malformed):
+    with pytest.raises(resp.MalformedError):
         feed(resp.Reader(300_000), Ring(resp.ROOM), [b"*3\r\n$300001\r\n"])
-    with pytest.raises(resp.Malformed):
+    with pytest.raises(resp.MalformedError):
         feed(
             resp.Reader(300_000),
             Ring(resp.ROOM),
@@ -156,7 +157,7 @@
 )
 def test_bytes_that_are_no_resp_are_told_apart(data):
     for pieces in ([data], [data[at : at + 1] for at in range(len(data))]):
-        with pytest.raises(resp.Malformed):
+        with pytest.raises(resp.MalformedError):
             feed(resp.Reader(), Ring(resp.ROOM), pieces)
 
 
@@ -172,16 +173,14 @@
                 calls.ServerAnswer(said)
                 if isinstance(said, list) and said and all(type(one) is bytes for one in said):
                     calls.Wording(said)
-        except (resp.Malformed, calls.BadCall):
+        except (resp.MalformedError, calls.BadCallError):
             pass
-        try:
+        with contextlib.suppress(resp.MalformedError):
             feed(
                 lines,
                 Ring(http.LONGEST_HEAD * 2),
                 [b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n", bytes(data)],
             )
-        except resp.Malformed:
-            pass
 
 
 def test_a_call_goes_on_in_its_client_s_words_but_for_the_time_left():
@@ -211,7 +210,7 @@
     ],
 )
 def test_calls_that_ask_for_nothing_that_can_be_done(words):
-    with pytest.raises(calls.BadCall):
+    with pytest.raises(calls.BadCallError):
         calls.Wording(words)
 
 
@@ -285,7 +284,7 @@
         resp.Failure(b"%$"),
         resp.Failure(b"BUSYBODY"),
     ):
-        with pytest.raises(resp.Malformed):
+        with pytest.raises(resp.MalformedError):
             counts.total(said)
 
 
@@ -321,7 +320,7 @@
     ],
 )
 def test_answers_that_are_no_watch(data):
-    with pytest.raises(resp.Malformed):
+    with pytest.raises(resp.MalformedError):
         feed(http.Lines(), Ring(16384), [data])
 
 
@@ -340,7 +339,7 @@
     data = b"HTTP/1.1 " + status + b"\r\n" + header + b"\r\n\r\n"
     for pieces in ([data], [data[at : at + 1] for at in range(len(data))]):
         lines = http.Lines()
-        with pytest.raises(resp.Malformed) as met:
+        with pytest.raises(resp.MalformedError) as met:
             feed(lines, Ring(8192), pieces)
         assert (met.value.reason, lines.asked) == (reason, asked)
 
@@ -348,7 +347,7 @@
 def test_a_line_of_a_watch_has_an_end():
     lines, ring = http.Lines(), Ring(16384)
     feed(lines, ring, [b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n7fffffff\r\n"])
-    with pytest.raises(resp.Malformed) as bad:
+    with pytest.raises(resp.MalformedError) as bad:
         feed(lines, ring, [b"z" * 8192] * 200)
     assert bad.value.reason == "oversized"
 
@@ -397,7 +396,7 @@
             )
         ),
     ):
-        with pytest.raises(resp.Malformed):
+        with pytest.raises(resp.MalformedError):
             hosts.parse(broken.encode())
 
 
--- a/tests/test_recovery.py
+++ b/tests/test_recovery.py
@@ -9,7 +9,17 @@
 from brookhub.interface import Outcome
 from brookhub.lab import recovery as lab
 from brookhub.lab.recovery import Debt
-from brookhub.recovery import Epochs, Ledger, Record, Recovery, Settings, Unusable, append, scan, snapshot
+from brookhub.recovery import (
+    Epochs,
+    Ledger,
+    Record,
+    Recovery,
+    Settings,
+    UnusableError,
+    append,
+    scan,
+    snapshot,
+)
 from brookhub.recovery.epochs import ERA
 
 BEAT = 1.0
@@ -351,7 +361,8 @@
 
 def test_a_hard_ceiling_of_a_soft_plan_holds_on_both_sides_of_a_split():
     """A customer who borrows beyond its quota and asks for two and a half times its ceiling: what holds it is the ceiling alone, which
-    two counters each grant whole. (Hard plans come to their quota before their ceiling, and show nothing.)"""
+    two counters each grant whole. (Hard plans come to their quota before their ceiling, and show nothing.).
+    """
     rows = {
         way: lab.play(
             {
@@ -434,7 +445,7 @@
     assert {name: one.own for name, one in found.ledger.entries.items()} == {3: 6.0} and found.ledger.entries[
         3
     ].dies == 6.0
-    with pytest.raises(Unusable):
+    with pytest.raises(UnusableError):
         scan(b"not a ledger at all", 0.0, 0.0)
     assert scan(b"", 0.0, 0.0).records == 0
 
--- a/tests/test_recovery_processes.py
+++ b/tests/test_recovery_processes.py
@@ -1,5 +1,6 @@
 """The counter wiped, swapped, split and back again under processes of the program; judged by clients, servers and the counter's own
-record."""
+record.
+"""
 
 import threading
 import time
--- a/tests/test_routing.py
+++ b/tests/test_routing.py
@@ -12,10 +12,15 @@
 from brookhub.protocol import calls, hosts, resp
 from brookhub.routing import (
     counter as counter_module,
+)
+from brookhub.routing import (
     discovery as discovery_module,
+)
+from brookhub.routing import (
     servers as servers_module,
 )
-from brookhub.routing.clients import Client as ClientConnection, Clients
+from brookhub.routing.clients import Client as ClientConnection
+from brookhub.routing.clients import Clients
 from brookhub.routing.connections import Dialling
 from brookhub.routing.counter import Counter
 from brookhub.routing.discovery import Discovery
@@ -677,11 +682,12 @@
     # Guards: 28 restarted gateways asked for lists at the same instants, once a second for good; discovery, which
     # answers some seven calls a second in turn, had a line of its full 2 s and turned all of them away (700 of 740).
     from random import Random
+
     from brookhub.program.run import list_pauses
 
     terms = {"asks_for_servers": True, "gateways": 40, "ask_within": 10.0}
     first, longest = list_pauses(terms)
-    served, waits, capacity, wait = [], [], 1 / 0.15, 2.0
+    served, _waits, capacity, wait = [], [], 1 / 0.15, 2.0
     chances, again = [Random(index).random for index in range(40)], []
     due, free_at = [(0.0, index, first) for index in range(40)], 0.0
     while due and min(due)[0] < 60.0:
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -6,7 +6,6 @@
 
 from brookhub.interface import Group, Outcome, Plan, Repeat, Route, State
 from brookhub.policy import IDLE, UNHEARD, Loans, Unshared
-
 from helpers import World
 
 ROUTES = [
@@ -45,7 +44,7 @@
     )
     start, gateway, loans = world.now, world.gateway, loans_of(world)
     payers = [world.customer(index, index % 4) for index in range(12)] + [world.customer(99, 4)]
-    calls, told, drawn = [], world.gateway.servers_told, {}
+    calls, told, _drawn = [], world.gateway.servers_told, {}
     for _ in range(600):
         step = chance.random()
         if step < 0.4:
@@ -128,7 +127,7 @@
     cold = world.servers[0]
     cold.up_since = world.now
     world.gateway.servers_told([cold])
-    payer, window = world.customer(), []
+    payer, _window = world.customer(), []
     for _ in range(400):
         world.call(payer)
         world.run(0.02)
--- a/tests/test_signals.py
+++ b/tests/test_signals.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from brookhub.choices import ByCounter, Signals, Turns, Unusable, unpack
+from brookhub.choices import ByCounter, Signals, Turns, UnusableError, unpack
 from brookhub.choices.carriers import ASKS, MOST_WORDS, QUIET, pack
 from brookhub.choices.signals import (
     AWAY,
@@ -259,7 +259,7 @@
 def test_random_faults_splits_and_stops_never_take_more_than_the_stated_part_nor_keep_a_server_for_ever(seed):
     chance, servers = random.Random(seed), 24
     crowd, bad, last = Crowd(servers=servers), set(), {}
-    for step in range(400):
+    for _step in range(400):
         what = chance.random()
         if what < 0.03:
             bad = set(chance.sample(range(servers), chance.choice([1, 2, 8, 20])))
@@ -303,13 +303,13 @@
     assert [word for part in parts for word in unpack(part)] == words
     whole = pack([(1, SICK), (2**40, WELL)])[0]
     for cut in range(len(whole)):
-        with pytest.raises(Unusable):
+        with pytest.raises(UnusableError):
             unpack(whole[:cut])
     chance = random.Random(1)
     for _ in range(2000):
         try:
             got = unpack(chance.randbytes(chance.randrange(40)))
-        except Unusable:
+        except UnusableError:
             continue
         assert len(got) <= MOST_WORDS and all(
             0 <= server <= 2**62 and what in (SICK, WELL) for server, what in got
