--- a/brookhub/program/run.py
+++ b/brookhub/program/run.py
@@ -12,7 +12,7 @@
 
 from ..policy import Gateway
 from ..routing.clients import Clients
-from ..routing.connections import Dialling
+from ..routing.connections import Reconnector
 from ..routing.counter import Counter
 from ..routing.discovery import Discovery
 from ..routing.port import SocketPort
@@ -87,7 +87,7 @@
         self.start, chance = start, Random(start.seed).random
         port.discovery = self.discovery = Discovery(
             port,
-            lambda address: Dialling(
+            lambda address: Reconnector(
                 "discovery",
                 address,
                 DISCOVERY_CONNECT,
@@ -105,7 +105,7 @@
         if start.counter:
             port.counter = Counter(
                 port,
-                lambda address: Dialling(
+                lambda address: Reconnector(
                     "counter", address, COUNTER_CONNECT, PAUSES, chance, ends, self.fault
                 ),
                 start.terms["counter_wait"],
--- a/brookhub/protocol/calls.py
+++ b/brookhub/protocol/calls.py
@@ -4,6 +4,7 @@
 
 import re
 from math import ceil
+from typing import Any
 
 from ..interface import Repeat, Route
 from . import resp
@@ -41,7 +42,7 @@
         "size",
     )
 
-    def __init__(self, words: list):
+    def __init__(self, words: list[bytes]):
         if len(words) != VERBS.get(words[0]):
             raise BadCallError("a GET has three words after its name, a POST four")
         self.words, self.write, self.size = words, len(words) == 5, sum(map(len, words))
@@ -92,14 +93,14 @@
     return int(word, 16)
 
 
-def number(told: dict, name: bytes, form: re.Pattern) -> float:
+def number(told: dict[bytes, bytes], name: bytes, form: re.Pattern[bytes]) -> float:
     value = told.get(name, b"")
     if not form.fullmatch(value):
         raise BadCallError(f"{name.decode()} is missing or not a number that can be served")
     return int(value) if form is WHOLE else float(value)
 
 
-def proxied(value: bytes | bytearray) -> tuple:
+def proxied(value: bytes | bytearray) -> tuple[bytes | bytearray, ...]:
     return resp.bulk_parts(value)
 
 
@@ -115,9 +116,12 @@
 
     __slots__ = ("value", "turned_away", "sound", "charged", "used", "report")
 
-    def __init__(self, said):
-        self.value, self.turned_away, self.sound = None, False, True
-        self.charged, self.used, self.report = 0.0, None, {}
+    def __init__(self, said: Any) -> None:
+        self.value: bytes | bytearray | None = None
+        self.turned_away, self.sound = False, True
+        self.charged = 0.0
+        self.used: float | None = None
+        self.report: dict[str, float] = {}
         if isinstance(said, list) and said and type(said[0]) in (bytes, bytearray):
             self.value = said[0]
             for part in said[1:3]:  # what can't be read beside a good value is passed over
--- a/brookhub/protocol/counts.py
+++ b/brookhub/protocol/counts.py
@@ -3,6 +3,7 @@
 from __future__ import annotations
 
 import re
+from typing import Any
 
 from . import resp
 
@@ -16,7 +17,7 @@
     return resp.command(b"ADDGET", b"%d" % name, amount_text.encode(), b"%d" % max(1, round(lives * 1000)))
 
 
-def total(said) -> float | None:
+def total(said: Any) -> float | None:
     """The total in an answer, or None where nothing was added. Raises MalformedError on what is neither: it was added."""
     if isinstance(said, resp.Failure) and said.split(b" ", 1)[0] in (b"BUSY", b"ERR"):
         return None
--- a/brookhub/protocol/hosts.py
+++ b/brookhub/protocol/hosts.py
@@ -4,6 +4,7 @@
 
 import json
 from hashlib import sha256
+from typing import Any
 
 from ..interface import State
 from .resp import MalformedError
@@ -16,7 +17,7 @@
 
     __slots__ = ("name", "address", "zone", "kind", "cell", "state", "weight", "born")
 
-    def __init__(self, item: dict):
+    def __init__(self, item: dict[str, Any]):
         self.name = text(item, "host")
         try:
             self.address = address(text(item, "dial"))
@@ -46,14 +47,14 @@
     return host.strip("[]"), int(port)
 
 
-def text(item: dict, name: str, absent: str | None = None) -> str:
+def text(item: dict[str, Any], name: str, absent: str | None = None) -> str:
     value = item.get(name, absent)
     if not isinstance(value, str):
         raise MalformedError(f"{name} of a server is no text")
     return value
 
 
-def figure(item: dict, name: str, absent: float) -> float:
+def figure(item: dict[str, Any], name: str, absent: float) -> float:
     value = item.get(name, absent)
     if isinstance(value, bool) or not isinstance(value, (int, float)) or not -1e15 < value < 1e15:
         raise MalformedError(f"{name} of a server is no number")
@@ -63,7 +64,7 @@
 class News:
     """A list of servers, whole or what changed in it."""
 
-    def __init__(self, told):
+    def __init__(self, told: Any):
         if not isinstance(told, dict) or not isinstance(told.get("hosts"), list):
             raise MalformedError("a server list without hosts")
         self.version, self.whole = int(figure(told, "seq", 0)), told.get("whole") is True
--- a/brookhub/protocol/http.py
+++ b/brookhub/protocol/http.py
@@ -1,128 +1,168 @@
-"""HTTP/1.1 as discovery's watch speaks it: one request, and an answer of lines in chunks that stays open."""
+"""HTTP/1.1 as discovery's watch speaks it: one request, and an answer of lines that stays open.
+
+The body may be chunked, of a stated length, or last until the connection ends (RFC 9112, section 6.3).
+"""
 
 from __future__ import annotations
 
-from typing import Iterator
+from collections.abc import Callable, Iterator
 
+from ..transport.ring import Ring
 from .resp import MalformedError
 
 LONGEST_HEAD = 4096  # bytes of a line of the head, or of one that announces a chunk
 LONGEST_LINE = 1024 * 1024  # bytes of one line of the answer: a whole list of some thousand servers
 MOST_HEADERS = 100
-TURNED_AWAY = (b"429", b"503")  # too many ask: the answer is yet to be had, later
+LONGEST_LENGTH = 9  # digits of a content length
+LONGEST_RETRY_AFTER = 4  # digits of a Retry-After that is read at all
+TOO_MANY_REQUESTS = (b"429", b"503")  # too many ask: the answer is yet to be had, later
 LONGEST_ASKED = 60.0  # s of a Retry-After that is heeded: more would leave the list old for good
 
 
 def request(host: str, path: str) -> bytes:
+    """A GET request."""
     return f"GET {path} HTTP/1.1\r\nHost: {host}\r\nAccept: application/json\r\n\r\n".encode("ascii")
 
 
-class Lines:
-    """Takes an answer's lines from a ring buffer as they come; `ended` once the answer is whole."""
-
-    def __init__(self):
-        self.step, self.left, self.headers = self.status, 0, 0
-        self.chunked, self.length, self.ended = False, None, False
-        self.to_end = False  # whether the answer states no length and lasts until the connection ends
-        self.turned_away, self.asked = False, 0.0  # s that who turned the request away wants to be left alone
-        self.rest = bytearray()  # the line under way
-
-    def feed(self, ring) -> Iterator[bytes]:
+class StreamReader:
+    """Takes an answer's lines from a ring buffer as they come.
+
+    `ended` is set once the answer is whole, `asked` is how long (s) a server that turned the request away wants to be
+    left alone. All methods raise MalformedError where the bytes are no such answer; its reason is "turned-away" for
+    an answer 429 or 503 and "oversized" for a line that is too long.
+    """
+
+    def __init__(self) -> None:
+        self.ended = False
+        self.turned_away = False
+        self.asked = 0.0
+        self._step: Callable[[bytes], None] | None = self._status  # takes the next line; None within the body
+        self._headers = 0
+        self._interim = False
+        self._chunked = False
+        self._length: int | None = None
+        self._until_end = False  # whether the body states no length and lasts until the connection ends
+        self._left = 0  # bytes of the body, or of the chunk, that have yet to come
+        self._rest = bytearray()  # the line of the body under way
+
+    def feed(self, ring: Ring) -> Iterator[bytes]:
+        """Each line of the body that is whole, without its line end."""
         while not self.ended:
-            if self.to_end:
-                yield from self.lines(ring.take(len(ring)))
-                return
-            if self.step == self.body:
-                data = ring.take(min(self.left, len(ring))) if self.left else b""
-                self.left -= len(data)
-                yield from self.lines(data)
-                if self.left:
+            if self._step is None:
+                yield from self._body(ring)
+                if self._step is None and not self.ended:
                     return
-                if self.chunked:
-                    self.step = self.chunk_end
-                else:
-                    self.finish()
-                    if self.rest:
-                        yield bytes(self.rest)
-                continue
-            line = ring.line()
-            if line is None:
-                if len(ring) > LONGEST_HEAD:
-                    raise MalformedError("a line of the head that does not end")
+            elif not self._take_line(ring, self._step):
                 return
-            self.step(line)
 
-    def status(self, line: bytes) -> None:
+    def end(self) -> bytes:
+        """Tell that the other side ended the connection in order.
+
+        The last line of a body that lasts until then, where it has no line end; else nothing.
+        """
+        rest = bytes(self._rest) if self._until_end else b""
+        self._rest = bytearray()
+        return rest
+
+    def _take_line(self, ring: Ring, step: Callable[[bytes], None]) -> bool:
+        line = ring.line()
+        if line is not None:
+            step(line)
+            return True
+        if len(ring) > LONGEST_HEAD:
+            raise MalformedError("a line of the head that does not end")
+        return False
+
+    # the head
+
+    def _status(self, line: bytes) -> None:
         words = line.split(b" ", 2)
         if len(words) < 2 or not words[0].startswith(b"HTTP/1."):
             raise MalformedError("no HTTP/1.1 answer")
-        self.interim = len(words[1]) == 3 and words[1].startswith(b"1") and words[1] != b"101"
-        self.turned_away = words[1] in TURNED_AWAY
-        if words[1] != b"200" and not self.interim and not self.turned_away:
+        code = words[1]
+        self._interim = len(code) == 3 and code.startswith(b"1") and code != b"101"
+        self.turned_away = code in TOO_MANY_REQUESTS
+        if code != b"200" and not self._interim and not self.turned_away:
             raise MalformedError("an answer that is not 200")
-        self.step = self.header
+        self._step = self._header
 
-    def header(self, line: bytes) -> None:
-        self.headers += 1
-        if self.headers > MOST_HEADERS:
+    def _header(self, line: bytes) -> None:
+        self._headers += 1
+        if self._headers > MOST_HEADERS:
             raise MalformedError("too many headers")
+        if not line:
+            self._end_head()
+            return
         name, colon, value = line.partition(b":")
-        name, value = name.strip().lower(), value.strip().lower()
-        if not line and self.interim:  # word that the answer is yet to come
-            self.step, self.chunked, self.length = self.status, False, None
-        elif not line and self.turned_away:
-            raise MalformedError("turned away", "turned-away")
-        elif not line:
-            self.to_end = not self.chunked and self.length is None
-            self.step, self.left = (self.chunk, 0) if self.chunked else (self.body, self.length or 0)
-        elif not colon:
+        if not colon:
             raise MalformedError("a header without a colon")
-        elif name == b"retry-after" and value.isdigit() and len(value) < 5:
+        self._take_header(name.strip().lower(), value.strip().lower())
+
+    def _take_header(self, name: bytes, value: bytes) -> None:
+        if name == b"retry-after" and value.isdigit() and len(value) <= LONGEST_RETRY_AFTER:
             self.asked = min(float(value), LONGEST_ASKED)
         elif name == b"transfer-encoding":
-            self.chunked = value == b"chunked"
+            self._chunked = value == b"chunked"
         elif name == b"content-length":
-            if not value.isdigit() or len(value) > 9:
+            if not value.isdigit() or len(value) > LONGEST_LENGTH:
                 raise MalformedError("a length that is no number")
-            self.length = int(value)
+            self._length = int(value)
+
+    def _end_head(self) -> None:
+        if self._interim:  # word that the answer is yet to come
+            self._step, self._chunked, self._length = self._status, False, None
+        elif self.turned_away:
+            raise MalformedError("turned away", "turned-away")
+        elif self._chunked:
+            self._step = self._chunk_size
+        else:
+            self._until_end = self._length is None
+            self._left = self._length or 0
+            self._step = None
+
+    # the body
+
+    def _body(self, ring: Ring) -> Iterator[bytes]:
+        if self._until_end:
+            yield from self._lines(ring.take(len(ring)))
+            return
+        data = ring.take(min(self._left, len(ring)))
+        self._left -= len(data)
+        yield from self._lines(data)
+        if self._left:
+            return
+        if self._chunked:
+            self._step = self._chunk_end
+            return
+        self.ended = True
+        if self._rest:
+            yield bytes(self._rest)
 
-    def chunk(self, line: bytes) -> None:
+    def _chunk_size(self, line: bytes) -> None:
         try:
-            self.left = int(line.split(b";", 1)[0].strip(), 16)
+            self._left = int(line.split(b";", 1)[0].strip(), 16)
         except ValueError:
             raise MalformedError("a chunk without a size") from None
-        if self.left < 0:
+        if self._left < 0:
             raise MalformedError("a chunk of a size below 0")
-        self.step = self.body if self.left else self.trailer
+        self._step = None if self._left else self._trailer
 
-    def chunk_end(self, line: bytes) -> None:
+    def _chunk_end(self, line: bytes) -> None:
         if line:
             raise MalformedError("a chunk longer than it said")
-        self.step = self.chunk
+        self._step = self._chunk_size
 
-    def trailer(self, line: bytes) -> None:
+    def _trailer(self, line: bytes) -> None:
         if not line:
-            self.finish()
-
-    def finish(self) -> None:
-        self.ended = True
-
-    def end(self) -> bytes:
-        """Tell that the other side ended the connection in order; the last line of an answer that lasts until then."""
-        rest = bytes(self.rest) if self.to_end else b""
-        self.rest = bytearray()
-        return rest
-
-    def body(self, line: bytes) -> None:
-        raise AssertionError("a body is not read by lines")
+            self.ended = True
 
-    def lines(self, data: bytes) -> Iterator[bytes]:
-        at = 0
-        while (end := data.find(b"\n", at)) >= 0:
-            self.rest += data[at:end]
-            line, self.rest = bytes(self.rest).rstrip(b"\r"), bytearray()
+    def _lines(self, data: bytes) -> Iterator[bytes]:
+        start = 0
+        while (end := data.find(b"\n", start)) >= 0:
+            self._rest += data[start:end]
+            line, self._rest = bytes(self._rest).rstrip(b"\r"), bytearray()
             yield line
-            at = end + 1
-        self.rest += data[at:]
-        if len(self.rest) > LONGEST_LINE:
+            start = end + 1
+        self._rest += data[start:]
+        if len(self._rest) > LONGEST_LINE:
             raise MalformedError("a line of the answer too long", "oversized")
--- a/brookhub/protocol/resp.py
+++ b/brookhub/protocol/resp.py
@@ -2,7 +2,9 @@
 
 from __future__ import annotations
 
-from typing import Iterator
+from typing import Any, Iterator
+
+from ..transport.ring import Ring
 
 LARGEST = 64 * 1024  # bytes of a value
 ALONGSIDE = 4 * 1024  # bytes of all the other words of one command or answer together
@@ -27,18 +29,27 @@
     """A simple string."""
 
 
+INCOMPLETE = object()  # more bytes have to come
+BEGUN = object()  # the beginning of a bulk string or an array was taken
+
+
 class Reader:
-    """Takes whole values from a ring buffer as they come; what is not whole stays there."""
+    """Takes whole values from a ring buffer as they come; what is not whole stays there.
+
+    `largest` is the most bytes of one value. A value that does not fit the ring is gathered here as it comes: `gathered`
+    holds it, and `filled` says how many of its bytes are there.
+    """
 
     def __init__(self, largest: int = LARGEST):
-        self.largest = (
-            largest  # bytes of a value; one that does not fit the ring is gathered here as it comes
-        )
-        self.words, self.missing = None, 0  # the array under way, and how many of its words have yet to come
-        self.size, self.gathered, self.filled = None, bytearray(), 0  # of the bulk string under way
-
-    def feed(self, ring) -> Iterator:
-        """Each value that is whole: bytes, None, int, Status, Failure or a list of them."""
+        self.largest = largest
+        self.words: list[Any] | None = None  # the array under way
+        self.missing = 0  # how many words that array is to have
+        self.taken = 0  # bytes of its bulk strings so far
+        self.size: int | None = None  # of the bulk string under way
+        self.gathered, self.filled = bytearray(), 0
+
+    def feed(self, ring: Ring) -> Iterator[Any]:
+        """Each value that is whole: bytes, None, int, Status, Failure or a list of them. Raises MalformedError."""
         if self.words is None and self.size is None and len(ring):
             chunk = ring.chunk()
             length, words = len(chunk), plain(chunk)
@@ -46,43 +57,11 @@
                 ring.drop(length)
                 yield words
         while True:
-            if self.size is not None:
-                value = self.bulk(ring)
-                if value is None:
-                    return
-            else:
-                line = ring.line()
-                if line is None:
-                    if len(ring) > LONGEST_LINE:
-                        raise MalformedError("a line that does not end")
-                    return
-                if len(line) > LONGEST_LINE:
-                    raise MalformedError("a line too long")
-                kind, value = line[:1], line[1:]
-                if kind == b"$":
-                    size = number(value)
-                    if size >= 0:
-                        self.begin(size)
-                        continue
-                    value = self.null(size)
-                elif kind == b"*":
-                    if self.words is not None:
-                        raise MalformedError("an array inside an array")
-                    self.missing = number(value)
-                    if self.missing > MOST_WORDS:
-                        raise MalformedError("an array of too many words", "oversized")
-                    if self.missing > 0:
-                        self.words, self.taken = [], 0
-                        continue
-                    value = [] if self.missing == 0 else self.null(self.missing)
-                elif kind == b"-":
-                    value = Failure(value)
-                elif kind == b"+":
-                    value = Status(value)
-                elif kind == b":":
-                    value = number(value)
-                else:
-                    raise MalformedError("a line of no known type")
+            value = self._next(ring)
+            if value is INCOMPLETE:
+                return
+            if value is BEGUN:
+                continue
             if self.words is None:
                 yield value
                 continue
@@ -91,16 +70,64 @@
                 whole, self.words = self.words, None
                 yield whole
 
-    def bulk(self, ring) -> bytes | None:
+    def _next(self, ring: Ring) -> Any:
+        """The next word, BEGUN where only its beginning was taken, or INCOMPLETE where more has to come first."""
+        if self.size is not None:
+            return self._bulk(ring, self.size)
+        line = ring.line()
+        if line is None:
+            if len(ring) > LONGEST_LINE:
+                raise MalformedError("a line that does not end")
+            return INCOMPLETE
+        if len(line) > LONGEST_LINE:
+            raise MalformedError("a line too long")
+        return self._begin(line[:1], line[1:])
+
+    def _begin(self, kind: bytes, text: bytes) -> Any:
+        if kind == b"$":
+            return self._begin_bulk(number(text))
+        if kind == b"*":
+            return self._begin_array(text)
+        if kind == b"-":
+            return Failure(text)
+        if kind == b"+":
+            return Status(text)
+        if kind == b":":
+            return number(text)
+        raise MalformedError("a line of no known type")
+
+    def _begin_bulk(self, size: int) -> Any:
+        if size < 0:
+            return null(size)
+        self.taken = size + (self.taken if self.words is not None else 0)
+        if size > self.largest or self.taken > self.largest + ALONGSIDE // 2:
+            raise MalformedError("a value too large", "oversized")
+        self.size = size
+        return BEGUN
+
+    def _begin_array(self, text: bytes) -> Any:
+        if self.words is not None:
+            raise MalformedError("an array inside an array")
+        length = number(text)
+        if length > MOST_WORDS:
+            raise MalformedError("an array of too many words", "oversized")
+        if length < 0:
+            return null(length)
+        if length == 0:
+            return []
+        self.words, self.missing, self.taken = [], length, 0
+        return BEGUN
+
+    def _bulk(self, ring: Ring, size: int) -> Any:
         """The bulk string under way once it is whole."""
-        if self.size > LARGEST and self.filled < self.size:
+        if size > LARGEST and self.filled < size:
             room = self.room()
             length = min(len(ring), len(room))
             room[:length] = ring.take(length)
             self.filled += length
         if len(ring) < self.wants():
-            return None
-        value = ring.take(self.size) if self.size <= LARGEST else self.gathered
+            return INCOMPLETE
+        value = ring.take(size) if size <= LARGEST else self.gathered
         if ring.take(2) != b"\r\n":
             raise MalformedError("a bulk string does not end where it said")
         self.size, self.gathered, self.filled = None, bytearray(), 0
@@ -118,22 +145,12 @@
             self.gathered = bytearray(self.size)
         return memoryview(self.gathered)[self.filled :]
 
-    def begin(self, size: int) -> None:
-        self.taken = size + (self.taken if self.words is not None else 0)
-        if size > self.largest or self.taken > self.largest + ALONGSIDE // 2:
-            raise MalformedError("a value too large", "oversized")
-        self.size = size
-
-    def null(self, size: int) -> None:
-        if size != -1:
-            raise MalformedError("a length below -1")
-
     def idle(self) -> bool:
         """Whether it stands between two values."""
         return self.words is None and self.size is None
 
 
-def plain(chunk: memoryview) -> list | None:
+def plain(chunk: memoryview) -> list[bytes] | None:
     """The usual case at once: one whole array of short words without line ends, and nothing behind it."""
     with chunk:
         if chunk[0] != 42 or len(chunk) > LONGEST_LINE:
@@ -145,7 +162,14 @@
     return words if lines[1::2] == [b"$%d" % len(word) for word in words] else None
 
 
+def null(length: int) -> None:
+    """The value of that length below 0. Raises MalformedError where it is not the one that stands for no value."""
+    if length != -1:
+        raise MalformedError("a length below -1")
+
+
 def number(text: bytes) -> int:
+    """A whole number of at most 18 digits. Raises MalformedError."""
     digits = text[1:] if text[:1] == b"-" else text
     if not digits.isdigit() or len(digits) > 18:
         raise MalformedError("not a number")
@@ -156,9 +180,9 @@
     return b"$%d\r\n%b\r\n" % (len(value), value)
 
 
-def bulk_parts(value: bytes | bytearray) -> tuple:
+def bulk_parts(value: bytes | bytearray) -> tuple[bytes | bytearray, ...]:
     """The same in parts: a large value is not copied for it."""
-    return (bulk(value),) if len(value) <= LARGEST else (b"$%d\r\n" % len(value), value, b"\r\n")
+    return (bulk(bytes(value)),) if len(value) <= LARGEST else (b"$%d\r\n" % len(value), value, b"\r\n")
 
 
 def command(*words: bytes) -> bytes:
--- a/brookhub/recovery/core.py
+++ b/brookhub/recovery/core.py
@@ -9,7 +9,7 @@
 from __future__ import annotations
 
 from dataclasses import dataclass
-from typing import Callable, Protocol
+from typing import Any, Callable, Protocol
 
 from ..interface import Outcome, Told
 from .epochs import TOKEN, Epochs
@@ -37,7 +37,7 @@
     def add(self, name: int, amount: float, lives: float, told: Told) -> None: ...
     def later(self, seconds: float, callback: Callable[[], None]) -> None: ...
     def grant(self, part: float) -> None: ...
-    def log(self, event: str, **facts) -> None: ...
+    def log(self, event: str, **facts: Any) -> None: ...
 
 
 @dataclass(frozen=True)
--- a/brookhub/roster.py
+++ b/brookhub/roster.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from typing import Iterable
+from typing import Any, Iterable
 from weakref import WeakValueDictionary
 
 from .interface import Customer, Plan, Server, State
@@ -11,10 +11,10 @@
 class Roster:
     """The servers as the list tells them. One that is gone is forgotten; who still holds it sees its last state."""
 
-    def __init__(self):
+    def __init__(self) -> None:
         self.servers: dict[int, Server] = {}
 
-    def update(self, entries: Iterable[tuple], whole: bool) -> list[Server]:
+    def update(self, entries: Iterable[tuple[Any, ...]], whole: bool) -> list[Server]:
         """Take in entries (id, zone, kind, cell, state, weight, start); those absent from a whole list are gone."""
         told = []
         for ident, zone, kind, cell, state, weight, since in entries:
@@ -40,7 +40,7 @@
 class Customers:
     """The customers that somebody still holds, by their ids."""
 
-    def __init__(self):
+    def __init__(self) -> None:
         self.held: WeakValueDictionary[int, Customer] = WeakValueDictionary()
 
     def find(self, ident: int, plan: Plan) -> Customer:
--- a/brookhub/routing/connections.py
+++ b/brookhub/routing/connections.py
@@ -44,7 +44,7 @@
         )
 
 
-class Dialling:
+class Reconnector:
     """Keeps one peer's address dialled, from a thread of its own, until it is `over`.
 
     The pause between two dials doubles while no connection brings an answer, up to the longest of `pauses`. Each is
--- a/brookhub/routing/counter.py
+++ b/brookhub/routing/counter.py
@@ -10,7 +10,7 @@
 from ..interface import Outcome, Told
 from ..protocol import counts, resp
 from ..transport.stream import Stream
-from .connections import Dialling, read_to_end, spawn_surely
+from .connections import Reconnector, read_to_end, spawn_surely
 
 
 class Count:
@@ -30,12 +30,12 @@
 class CounterLink:
     """One connection to the counter, and the thread that dials it, reads it and dials again."""
 
-    def __init__(self, counter: Counter, place: int, dialling: Dialling):
-        self.counter, self.place, self.dialling = counter, place, dialling
+    def __init__(self, counter: Counter, place: int, reconnector: Reconnector):
+        self.counter, self.place, self.reconnector = counter, place, reconnector
         self.stream, self.waiting, self.heard_at = None, deque(), 0.0
 
     def run(self) -> None:
-        self.dialling.run(self.serve)
+        self.reconnector.run(self.serve)
 
     def serve(self, sock) -> tuple[str, int]:
         port, reader, answers = self.counter.port, resp.Reader(), 0
@@ -60,14 +60,14 @@
 
     def up(self, stream: Stream) -> None:
         self.stream, self.heard_at = stream, self.counter.port.now
-        if self.dialling.over.is_set():
+        if self.reconnector.over.is_set():
             stream_end(self.counter.port, stream, "moved")
         else:
             self.counter.take_over(self)
 
     def leave(self) -> None:
         """Its place is taken: what is out on it is still heard, as long as the counter has anything to say."""
-        self.dialling.over.set()
+        self.reconnector.over.set()
         self.settled()
         if self.stream:
             self.counter.port.later(
@@ -75,7 +75,7 @@
             )
 
     def settled(self) -> None:
-        if self.dialling.over.is_set() and self.stream and not self.waiting:
+        if self.reconnector.over.is_set() and self.stream and not self.waiting:
             stream_end(self.counter.port, self.stream, "moved")
 
     def down(self, stream: Stream) -> None:
@@ -136,9 +136,9 @@
     """The counter as the decisions ask it: a few places, each of a connection that calls are written to."""
 
     def __init__(
-        self, port, dialling: Callable[[tuple], Dialling], wait: float, links: int, silent_after: float
+        self, port, reconnector: Callable[[tuple], Reconnector], wait: float, links: int, silent_after: float
     ):
-        self.port, self.dialling, self.wait, self.silent_after = port, dialling, wait, silent_after
+        self.port, self.reconnector, self.wait, self.silent_after = port, reconnector, wait, silent_after
         self.address, self.links, self.coming = None, [None] * links, [None] * links
         self.asked: deque[Count] = deque()  # the oldest first, until answered or given up
 
@@ -150,7 +150,7 @@
         for place, held in enumerate(self.coming):
             if held and held is not self.links[place]:
                 held.leave()
-            link = self.coming[place] = CounterLink(self, place, self.dialling(address))
+            link = self.coming[place] = CounterLink(self, place, self.reconnector(address))
             if self.links[place] is None or self.links[place].stream is None:
                 self.take_over(link)
             self.port.todo.append((spawn_surely, self.port, "counter", link.run))
--- a/brookhub/routing/discovery.py
+++ b/brookhub/routing/discovery.py
@@ -11,21 +11,21 @@
 from ..roster import Roster
 from ..transport.sockets import time_limits
 from ..transport.stream import Stream
-from .connections import Dialling, read_to_end, spawn_surely
+from .connections import Reconnector, read_to_end, spawn_surely
 
 
 class Watch:
     """The watch at one address, and the thread that dials it, reads it and dials again."""
 
-    def __init__(self, discovery: Discovery, dialling: Dialling):
-        self.discovery, self.dialling, self.stream = discovery, dialling, None
+    def __init__(self, discovery: Discovery, reconnector: Reconnector):
+        self.discovery, self.reconnector, self.stream = discovery, reconnector, None
 
     def run(self) -> None:
-        self.dialling.run(self.serve)
+        self.reconnector.run(self.serve)
 
     def serve(self, sock) -> tuple[str, int]:
         """Read one watch to its end; why it ended and how many lines it brought."""
-        port, reader, documents = self.discovery.port, http.Lines(), DocumentReader()
+        port, reader, documents = self.discovery.port, http.StreamReader(), DocumentReader()
         stream = Stream(sock, 2 * http.LONGEST_HEAD)
         lines = 0
 
@@ -33,7 +33,7 @@
             nonlocal lines
             for line in reader.feed(stream.inbound):
                 lines += 1
-                self.dialling.heard_at = at
+                self.reconnector.heard_at = at
                 self.tell(at, documents.feed(line))
             return reader.ended
 
@@ -47,7 +47,7 @@
             self.tell(monotonic(), documents.feed(rest))
         stream.end(reason)
         stream.close()
-        self.dialling.asked = reader.asked
+        self.reconnector.asked = reader.asked
         return stream.reason, lines
 
     def tell(self, at: float, document: bytes | None) -> None:
@@ -61,19 +61,19 @@
         self.stream = stream
         stream.put(
             http.request(
-                "%s:%d" % self.dialling.address, f"/v1/servers?stream=1&index={self.discovery.version}"
+                "%s:%d" % self.reconnector.address, f"/v1/servers?stream=1&index={self.discovery.version}"
             )
         )
-        if self.dialling.over.is_set():
+        if self.reconnector.over.is_set():
             self.leave()
 
     def heard(self, news: hosts.News) -> None:
-        if not self.dialling.over.is_set():
+        if not self.reconnector.over.is_set():
             self.discovery.heard(news)
 
     def leave(self) -> None:
         """Another address is watched from now on."""
-        self.dialling.over.set()
+        self.reconnector.over.set()
         if self.stream:
             self.discovery.port.todo.append((self.stream.end, "moved"))
 
@@ -84,13 +84,13 @@
     def __init__(
         self,
         port,
-        dialling: Callable[[tuple], Dialling],
+        reconnector: Callable[[tuple], Reconnector],
         zones: list[str],
         kinds: list[str],
         clock_ahead: float,
         silent_after: float,
     ):
-        self.port, self.dialling, self.clock_ahead = port, dialling, clock_ahead
+        self.port, self.reconnector, self.clock_ahead = port, reconnector, clock_ahead
         self.zones, self.kinds, self.silent_after = list(zones), list(kinds), silent_after
         self.roster, self.version, self.begun, self.watch = Roster(), 0, False, None
         self.held: set[str] = (
@@ -104,11 +104,11 @@
     def move(self, address: tuple[str, int]) -> None:
         """Watch there from now on. Its versions may be of another count: the first news of it counts in any case."""
         if self.watch:
-            if self.watch.dialling.address == address:
+            if self.watch.reconnector.address == address:
                 return
             self.watch.leave()
             self.version = 0
-        self.watch = Watch(self, self.dialling(address))
+        self.watch = Watch(self, self.reconnector(address))
         self.port.todo.append((spawn_surely, self.port, "discovery", self.watch.run))
 
     def heard(self, news: hosts.News) -> None:
--- a/brookhub/terms.py
+++ b/brookhub/terms.py
@@ -3,10 +3,12 @@
 from __future__ import annotations
 
 import json
-from typing import Any
+from typing import Any, TypeVar
 
 from .interface import Group, Plan, Repeat, Route
 
+T = TypeVar("T")
+
 
 class TermsError(ValueError):
     """The settings can't be read: says which one and why."""
@@ -30,35 +32,35 @@
     return info
 
 
-def part(info: dict, name: str) -> dict:
+def part(info: dict[str, Any], name: str) -> dict[str, Any]:
     value = info.get(name, {})
     if not isinstance(value, dict):
         raise TermsError(f"{name} is not an object")
     return value
 
 
-def number(info: dict, name: str, absent: float = 0.0) -> float:
+def number(info: dict[str, Any], name: str, absent: float = 0.0) -> float:
     value = info.get(name, absent)
     if isinstance(value, bool) or not isinstance(value, (int, float)) or not abs(value) < float("inf"):
         raise TermsError(f"{name} is not a number: {value!r}")
     return value
 
 
-def word(table: dict, info: dict, name: str, absent: str):
+def word(table: dict[str, T], info: dict[str, Any], name: str, absent: str) -> T:
     value = info.get(name, absent)
     if not isinstance(value, str) or value not in table:
         raise TermsError(f"{name} has the unknown value {value!r}")
     return table[value]
 
 
-def items(info: dict, name: str) -> list[dict]:
+def items(info: dict[str, Any], name: str) -> list[dict[str, Any]]:
     value = info.get(name, [])
     if not isinstance(value, list) or not all(isinstance(item, dict) for item in value):
         raise TermsError(f"{name} is not a list of objects")
     return value
 
 
-def routes(info: dict) -> list[Route]:
+def routes(info: dict[str, Any]) -> list[Route]:
     return [
         Route(
             name=str(item.get("name", index)),
@@ -76,7 +78,7 @@
     ]
 
 
-def plans(info: dict) -> list[Plan]:
+def plans(info: dict[str, Any]) -> list[Plan]:
     return [
         Plan(
             name=str(item.get("name", index)),
@@ -94,7 +96,7 @@
     ]
 
 
-def terms(info: dict) -> dict[str, Any]:
+def terms(info: dict[str, Any]) -> dict[str, Any]:
     """What a gateway of the site is told at its start, by the names that policy.Gateway takes it under."""
     limits, extra, rules = part(info, "limits"), part(info, "extra"), part(info, "invariants")
     return {
--- a/tests/test_endings.py
+++ b/tests/test_endings.py
@@ -17,7 +17,7 @@
 from brookhub.protocol import http, resp
 from brookhub.protocol.documents import DocumentReader
 from brookhub.routing import connections
-from brookhub.routing.connections import Dialling
+from brookhub.routing.connections import Reconnector
 from brookhub.routing.port import SocketPort
 from brookhub.transport import threads
 from brookhub.transport.ring import Ring
@@ -81,7 +81,7 @@
     "data, ended, rest", [(b'{"a":1}\n{"b"', [b'{"a":1}'], b'{"b"'), (b'{"a":1}\n', [b'{"a":1}'], b"")]
 )
 def test_an_answer_of_no_stated_length_lasts_until_the_connection_ends(data, ended, rest):
-    reader, ring = http.Lines(), Ring(8192)
+    reader, ring = http.StreamReader(), Ring(8192)
     ring.put(b"HTTP/1.1 200 OK\r\n\r\n" + data)
     assert list(reader.feed(ring)) == ended and not reader.ended and reader.end() == rest
 
@@ -130,16 +130,16 @@
             begun.append(clock[0])
             heard.append(clock[0])
             clock[0] += takes
-            dialling.asked = asked
+            reconnector.asked = asked
             if len(begun) == 8:
-                dialling.over.set()
+                reconnector.over.set()
             return "ended", brings
 
         def wait(seconds):
             clock[0] += seconds
 
         begun.clear(), heard.clear()
-        dialling = Dialling(
+        reconnector = Reconnector(
             "discovery",
             ("127.0.0.1", 1),
             1.0,
@@ -149,8 +149,8 @@
             lambda met: None,
             5.25,
         )
-        dialling.over.wait = wait
-        dialling.run(serve)
+        reconnector.over.wait = wait
+        reconnector.run(serve)
         gaps = [after - before for before, after in zip(heard, begun[1:], strict=False)]
         assert len(gaps) == 7 and max(gaps) <= 5.3 and min(gaps) >= takes + 0.01
         assert len({round(gap, 4) for gap in gaps}) == 7  # drawn: gateways that lost it together return apart
--- a/tests/test_protocol.py
+++ b/tests/test_protocol.py
@@ -167,7 +167,7 @@
         data = bytearray(b"".join(map(word, chance.choices(VALUES, k=3))))
         for _ in range(chance.randrange(4)):
             data[chance.randrange(len(data))] = chance.choice(b"*$-+:\r\n0159\0a")
-        ring, lines = Ring(resp.ROOM), http.Lines()
+        ring, lines = Ring(resp.ROOM), http.StreamReader()
         try:
             for said in feed(resp.Reader(), ring, [bytes(data)]):
                 calls.ServerAnswer(said)
@@ -297,9 +297,9 @@
     )
     wanted = [b'{"a":', b"", b"1}", b'{"b":2}']
     for pieces in ([data], [data[at : at + 1] for at in range(len(data))], [data[:90], data[90:]]):
-        lines = http.Lines()
+        lines = http.StreamReader()
         assert feed(lines, Ring(8192), pieces) == wanted and lines.ended
-    sized = http.Lines()
+    sized = http.StreamReader()
     assert (
         feed(sized, Ring(8192), [b"HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nab\ncd"]) == [b"ab", b"cd"]
         and sized.ended
@@ -321,7 +321,7 @@
 )
 def test_answers_that_are_no_watch(data):
     with pytest.raises(resp.MalformedError):
-        feed(http.Lines(), Ring(16384), [data])
+        feed(http.StreamReader(), Ring(16384), [data])
 
 
 @pytest.mark.parametrize(
@@ -338,14 +338,14 @@
 def test_discovery_that_turns_away_is_told_from_one_that_talks_nonsense(status, header, reason, asked):
     data = b"HTTP/1.1 " + status + b"\r\n" + header + b"\r\n\r\n"
     for pieces in ([data], [data[at : at + 1] for at in range(len(data))]):
-        lines = http.Lines()
+        lines = http.StreamReader()
         with pytest.raises(resp.MalformedError) as met:
             feed(lines, Ring(8192), pieces)
         assert (met.value.reason, lines.asked) == (reason, asked)
 
 
 def test_a_line_of_a_watch_has_an_end():
-    lines, ring = http.Lines(), Ring(16384)
+    lines, ring = http.StreamReader(), Ring(16384)
     feed(lines, ring, [b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n7fffffff\r\n"])
     with pytest.raises(resp.MalformedError) as bad:
         feed(lines, ring, [b"z" * 8192] * 200)
--- a/tests/test_routing.py
+++ b/tests/test_routing.py
@@ -21,7 +21,7 @@
 )
 from brookhub.routing.clients import Client as ClientConnection
 from brookhub.routing.clients import Clients
-from brookhub.routing.connections import Dialling
+from brookhub.routing.connections import Reconnector
 from brookhub.routing.counter import Counter
 from brookhub.routing.discovery import Discovery
 from brookhub.routing.port import SocketPort
@@ -372,8 +372,8 @@
     assert heard == ["no such room"] and clients.open_calls == clients.asked == 0 and client in clients.idle
 
 
-def dialling(address):
-    return Dialling("peer", address, 0.5, (0.05, 1.0), lambda: 0.5, lambda *_: None, lambda met: None)
+def reconnector(address):
+    return Reconnector("peer", address, 0.5, (0.05, 1.0), lambda: 0.5, lambda *_: None, lambda met: None)
 
 
 def test_who_has_asked_again_is_not_closed_as_idle_and_nobody_is_once_the_end_is_near(port):
@@ -411,7 +411,7 @@
 
 
 def counter_of(port, links=2):
-    made = Counter(port, dialling, 0.08, links, 1.0)
+    made = Counter(port, reconnector, 0.08, links, 1.0)
     at(port, made.move, ("127.0.0.1", 1))
     for link in made.coming:
         at(port, link.up, Remembering())
@@ -492,14 +492,14 @@
     at(port, counter.move, ("127.0.0.1", 2))
     new, before = counter.coming[0], ask(port, counter)
     stream = old.stream
-    assert len(stream.said) == 2 and not old.dialling.over.is_set()  # none is up at the new address yet
+    assert len(stream.said) == 2 and not old.reconnector.over.is_set()  # none is up at the new address yet
     at(port, new.up, Remembering())
     after = ask(port, counter)
     assert len(stream.said) == 2 and len(new.stream.said) == 1 and stream.reason is None
     at(port, old.answered, stream, [b"1", b"2"])
     at(port, new.answered, new.stream, [b"3"])
     assert [heard[0][1] for heard in (out, before, after)] == [1.0, 2.0, 3.0]
-    assert stream.reason == "moved" and old.dialling.over.is_set() and not new.dialling.over.is_set()
+    assert stream.reason == "moved" and old.reconnector.over.is_set() and not new.reconnector.over.is_set()
 
 
 def test_a_counter_that_moves_again_or_dies_while_it_moves_is_left_for_the_newest(port):
@@ -509,12 +509,12 @@
     second = counter.coming[0]
     at(port, counter.move, ("127.0.0.1", 3))
     newest = counter.coming[0]
-    assert second.dialling.over.is_set() and counter.links[0] is old
+    assert second.reconnector.over.is_set() and counter.links[0] is old
     at(port, second.up, Remembering())  # its dial came up too late
     assert second.stream.reason == "moved" and counter.links[0] is old
     lost = ask(port, counter)
     at(port, old.down, old.stream)
-    assert counter.links[0] is newest and old.dialling.over.is_set() and lost[0][0] is Outcome.TIMEOUT
+    assert counter.links[0] is newest and old.reconnector.over.is_set() and lost[0][0] is Outcome.TIMEOUT
     at(port, counter.move, ("127.0.0.1", 3))
     assert counter.coming[0] is newest  # nothing new was said
     at(port, newest.up, Remembering())
@@ -527,7 +527,7 @@
 
 
 def test_a_moved_watch_is_asked_anew_and_the_old_one_is_not_heard_any_more(port):
-    watch = Discovery(port, dialling, ["a", "b"], [], 0.0, 4.5)
+    watch = Discovery(port, reconnector, ["a", "b"], [], 0.0, 4.5)
     at(port, watch.move, ("127.0.0.1", 1))
     old, stream = watch.watch, Remembering()
     at(port, old.up, stream)
@@ -535,7 +535,7 @@
     at(port, watch.move, ("127.0.0.1", 1))
     assert watch.watch is old and stream.reason is None
     at(port, watch.move, ("127.0.0.1", 2))
-    assert stream.reason == "moved" and old.dialling.over.is_set()
+    assert stream.reason == "moved" and old.reconnector.over.is_set()
     at(port, old.heard, news(51, True))
     assert watch.fit() and len(port.gateway.lists) == 1
     fresh = Remembering()
@@ -565,7 +565,7 @@
 
 
 def test_lists_and_changes_reach_the_decisions_in_their_order_and_once(port):
-    watch = Discovery(port, dialling, ["a", "b"], [], 1000.0, 4.5)
+    watch = Discovery(port, reconnector, ["a", "b"], [], 1000.0, 4.5)
     port.servers.leave = lambda server: None
     assert not watch.fit()
     at(port, watch.heard, news(5, True, ("x", "Ready", 0), ("y", "Ready", 1500000)))
@@ -579,7 +579,7 @@
 
 
 def test_servers_held_back_for_work_drain_here_whatever_the_list_says_and_are_used_again_as_it_says(port):
-    watch = Discovery(port, dialling, ["a", "b"], [], 0.0, 4.5)
+    watch = Discovery(port, reconnector, ["a", "b"], [], 0.0, 4.5)
     port.servers.leave = lambda server: None
     at(port, watch.heard, news(5, True, ("x", "Ready", 0), ("y", "Ready", 0)))
     x, y = (watch.roster.servers[watch.ident(name)] for name in "xy")
@@ -602,7 +602,7 @@
 
 
 def test_a_server_that_takes_over_an_address_inherits_nothing_and_nothing_is_kept_of_what_is_gone(port):
-    watch = Discovery(port, dialling, ["a", "b"], [], 0.0, 4.5)
+    watch = Discovery(port, reconnector, ["a", "b"], [], 0.0, 4.5)
     at(port, watch.heard, news(1, True, ("old", "Ready", 0)))
     (old,) = watch.roster.servers.values()
     tries(port, (call(port), old))
@@ -714,15 +714,15 @@
         for index in range(8):
 
             def ended(*what):
-                dialling.asked = asked
+                reconnector.asked = asked
 
             def wait(seconds):
                 waited.append(seconds)
-                dialling.over.set()
+                reconnector.over.set()
 
-            dialling = Dialling(
+            reconnector = Reconnector(
                 "peer", ("127.0.0.1", 1), 0.1, (0.05, 1.0), Random(index).random, ended, lambda met: None
             )
-            dialling.over.wait = wait
-            dialling.run(lambda sock: ("closed", 0))
+            reconnector.over.wait = wait
+            reconnector.run(lambda sock: ("closed", 0))
         assert len({round(one, 6) for one in waited}) == 8 and all(least <= one <= most for one in waited)
