--- a/brookhub/drill/host.py
+++ b/brookhub/drill/host.py
@@ -7,7 +7,7 @@
 from typing import BinaryIO, Callable
 
 from .. import terms
-from ..interface import ApiCall, Outcome, Server, State, Told, UpstreamTry
+from ..interface import ApiCall, Attempt, Outcome, Server, State, Told
 from ..policy import Gateway
 from ..roster import Customers, Roster
 from . import frames
@@ -65,13 +65,13 @@
     def act(self, code: int, *fields) -> None:
         self.reply.add(code, self.instance, *fields)
 
-    def send(self, call: ApiCall, server: Server, timeout: float) -> UpstreamTry:
-        upstream = UpstreamTry(call, server, len(call.tries), self.now)
-        call.tries.append(upstream)
+    def send(self, call: ApiCall, server: Server, timeout: float) -> Attempt:
+        upstream = Attempt(call, server, len(call.attempts), self.now)
+        call.attempts.append(upstream)
         self.act(frames.FORWARD, call.id, server.id, timeout)
         return upstream
 
-    def cancel(self, upstream: UpstreamTry) -> None:
+    def cancel(self, upstream: Attempt) -> None:
         self.act(frames.WITHDRAW, upstream.call.id, upstream.number)
 
     def rate_limit(self, call: ApiCall, retry_after: float) -> None:
@@ -113,7 +113,7 @@
 
     def release(self, call: ApiCall) -> None:
         """Forget an answered API call once none of its tries is out."""
-        if all(upstream.outcome for upstream in call.tries):
+        if all(upstream.outcome for upstream in call.attempts):
             self.calls.pop(call.id, None)
 
     def arrival(
@@ -170,12 +170,12 @@
         report = dict(zip(self.columns, values[:columns], strict=False))
         use = used - 1 if used else None
         self.gateway.try_ended(upstream, took, bool(final), float(charged), use, report)
-        if final or upstream.call.id in self.calls and upstream.call.rq is None:
+        if final or upstream.call.id in self.calls and upstream.call.request is None:
             self.release(upstream.call)
 
-    def find(self, ident: int, number: int) -> UpstreamTry | None:
+    def find(self, ident: int, number: int) -> Attempt | None:
         call = self.calls.get(ident)
-        return call.tries[number] if call and number < len(call.tries) else None
+        return call.attempts[number] if call and number < len(call.attempts) else None
 
     def hangup(self, ident: int) -> None:
         call = self.calls.get(ident)
--- a/brookhub/emulator/fleet.py
+++ b/brookhub/emulator/fleet.py
@@ -369,7 +369,7 @@
                 call.who.proxied(now, call.units)
             return
         result = self.result
-        result.tries += len(call.tries)
+        result.tries += len(call.attempts)
         if how == "proxied":
             seat.served += 1
             result.proxied += 1
--- a/brookhub/emulator/limiter.py
+++ b/brookhub/emulator/limiter.py
@@ -8,7 +8,7 @@
 import random
 from typing import Callable
 
-from ..interface import ApiCall, Outcome, Server, State, Told, UpstreamTry
+from ..interface import ApiCall, Attempt, Outcome, Server, State, Told
 from ..recovery import Ledger, Recovery
 from ..recovery import Settings as RecoverySettings
 from ..roster import Customers, Roster
@@ -70,12 +70,12 @@
 
     # the port
 
-    def send(self, call: ApiCall, server: Server, timeout: float) -> UpstreamTry:
+    def send(self, call: ApiCall, server: Server, timeout: float) -> Attempt:
         model = self.fleet.servers.models[server.id]
-        self.fleet.referee.note("send", self.index, call.id, server.id, len(call.tries))
+        self.fleet.referee.note("send", self.index, call.id, server.id, len(call.attempts))
         self.fleet.referee.sending(call, server, self.fleet.second_copies, model.drained_at, self.fleet.grace)
-        one = UpstreamTry(call, server, len(call.tries), self.now)
-        call.tries.append(one)
+        one = Attempt(call, server, len(call.attempts), self.now)
+        call.attempts.append(one)
         left = call.expires - self.now
         left = min(timeout, left) if timeout > 0 else left
         if self.now < self.cut.get(server.id, 0.0):  # a dial that never comes up
@@ -85,7 +85,7 @@
         self.later(left, lambda: self.give_up(one, Outcome.TIMEOUT))
         return one
 
-    def cancel(self, upstream: UpstreamTry) -> None:
+    def cancel(self, upstream: Attempt) -> None:
         if upstream.outcome is None:
             self.fleet.servers.abandon(upstream)
             self.later(0.0, lambda: self.end_try(upstream, Outcome.CANCELLED))
@@ -101,7 +101,7 @@
 
     def release(self, call: ApiCall) -> None:
         """Forget an answered call once none of its tries is out (one refused unsent was kept for ever)."""
-        if all(one.outcome for one in call.tries):
+        if all(one.outcome for one in call.attempts):
             self.calls.pop(call.id, None)
 
     def count(self, name: int, amount: float, lives: float, told: Told) -> None:
@@ -178,12 +178,12 @@
         self.fleet.referee.note("arrive", self.index, call.id, call.customer.id, call.route.name)
         self.gateway.arrived(call)
 
-    def give_up(self, one: UpstreamTry, outcome: Outcome) -> None:
+    def give_up(self, one: Attempt, outcome: Outcome) -> None:
         if one.outcome is None:
             self.fleet.servers.abandon(one)
             self.end_try(one, outcome)
 
-    def end_try(self, one: UpstreamTry, outcome: Outcome) -> None:
+    def end_try(self, one: Attempt, outcome: Outcome) -> None:
         if self.alive and self.engine.now < self.wakes:
             self.engine.at(self.wakes, lambda: self.end_try(one, outcome))
             return
@@ -191,10 +191,10 @@
             return
         one.outcome = outcome
         self.fleet.referee.note("end", self.index, one.call.id, one.number, outcome.name)
-        final = one.call.rq is None
+        final = one.call.request is None
         if outcome is Outcome.OK and not final:
             self.fleet.answer(self, one.call, "proxied", 0.0, one)
             final = True
         self.gateway.try_ended(one, self.now - one.sent, final, 0.0, None, {})
-        if one.call.rq is None:
+        if one.call.request is None:
             self.release(one.call)
--- a/brookhub/emulator/rules.py
+++ b/brookhub/emulator/rules.py
@@ -59,8 +59,8 @@
             )
         from ..policy import NEVER_RAN  # the decisions' own list of outcomes that prove nothing ran
 
-        ran = [one for one in call.tries if one.outcome not in NEVER_RAN]
-        if not second_copies and any(one.outcome is None for one in call.tries):
+        ran = [one for one in call.attempts if one.outcome not in NEVER_RAN]
+        if not second_copies and any(one.outcome is None for one in call.attempts):
             self.breaks(2, f"call {call.id}: a second try out while second copies are off")
         if ran and call.route.repeat is not Repeat.IDEMPOTENT:
             if call.route.repeat is Repeat.NON_IDEMPOTENT:
@@ -75,7 +75,7 @@
     def rate_limiting(self, call) -> None:
         from ..policy import NEVER_RAN
 
-        ran = any(one.outcome not in NEVER_RAN for one in call.tries)
+        ran = any(one.outcome not in NEVER_RAN for one in call.attempts)
         safe = call.route.repeat is Repeat.IDEMPOTENT or call.route.group is Group.ALL
         if ran and not safe:
             self.breaks(2, f"call {call.id} rate-limited after a try that may have run")
--- a/brookhub/emulator/site.py
+++ b/brookhub/emulator/site.py
@@ -339,7 +339,7 @@
         return not any(
             one.server.id in mine and one.outcome is None
             for call in self.fleet.seats[int(name[1:])].calls.values()
-            for one in call.tries
+            for one in call.attempts
         )
 
     # the baselines
--- a/brookhub/interface.py
+++ b/brookhub/interface.py
@@ -106,7 +106,7 @@
 
 @dataclass(eq=False)
 class ApiCall:
-    """One API call of a client, up to its one final answer. `rq` is the decisions' own record of it."""
+    """One API call of a client, up to its one final answer. `request` is the decisions' own record of it."""
 
     id: int
     customer: Customer
@@ -117,12 +117,12 @@
     first_gateway: int = 0
     repeated: bool = False
     write: bool = False
-    tries: list["UpstreamTry"] = field(default_factory=list)
-    rq: Any = None
+    attempts: list["Attempt"] = field(default_factory=list)
+    request: Any = None
 
 
 @dataclass(eq=False)
-class UpstreamTry:
+class Attempt:
     """One sending of an API call to a server."""
 
     call: ApiCall
@@ -148,10 +148,10 @@
 
     now: float
 
-    def send(self, call: ApiCall, server: Server, timeout: float) -> UpstreamTry:
+    def send(self, call: ApiCall, server: Server, timeout: float) -> Attempt:
         """Start an upstream try; a timeout of 0 waits until the client leaves."""
 
-    def cancel(self, upstream: UpstreamTry) -> None:
+    def cancel(self, upstream: Attempt) -> None:
         """Stop waiting for a try; its end is still told."""
 
     def rate_limit(self, call: ApiCall, retry_after: float) -> None:
--- a/brookhub/policy.py
+++ b/brookhub/policy.py
@@ -49,16 +49,16 @@
 NEVER_RAN = (Outcome.FULL, Outcome.UNCONNECTED, Outcome.UNSENT)  # outcomes that prove that nothing ran
 
 
-class Dice:  # chance: a linear congruential generator, of which the high bits are used
+class RandomGenerator:  # chance: a linear congruential generator, of which the high bits are used
     def __init__(self, seed):
         self.state = seed
 
-    def roll(self):
+    def uniform(self):
         self.state = (self.state * 6364136223846793005 + 1442695040888963407) % 2 ** 64
         return (self.state >> 33) / 2 ** 31
 
 
-class Fading:  # a sum that fades over MEMORY, brought up to date when read
+class DecayingSum:  # a sum that fades over MEMORY, brought up to date when read
     sum = at = 0.0
 
     def add(self, now, amount=0.0):
@@ -68,7 +68,7 @@
     read = add
 
 
-class Store:  # units that refill at a rate up to a depth
+class TokenBucket:  # units that refill at a rate up to a depth
     def __init__(self, rate, depth, level, now):
         self.rate, self.depth, self.level, self.at, self.spilt = rate, depth, level, now, 0.0
 
@@ -81,7 +81,7 @@
         return max(0.0, units - self.read(now)) / max(self.rate, 1e-9)
 
 
-class Rq:  # one API call on its way
+class Request:  # one API call on its way
     def __init__(self, call, account, now):
         self.call, self.account, self.target_at = call, account, min(now + call.route.target, call.expires)
         self.counted = self.drawn = self.wait = 0.0  # units out of quota and ceiling; s to come back in
@@ -92,7 +92,7 @@
         self.turn = inf  # when it may go by its number in the window's count
 
     def may_have_run(self):
-        return [one for one in self.call.tries if one.outcome not in NEVER_RAN]
+        return [one for one in self.call.attempts if one.outcome not in NEVER_RAN]
 
 
 class Account:  # what this gateway knows of a customer: the quota as told, its share, loans of its room
@@ -100,10 +100,10 @@
     def __init__(self, customer, gateways, largest, now, launched, counted, granted):
         plan, self.counted, self.credit, self.used, self.granted = customer.plan, counted, 0.0, inf, granted
         self.customer, self.plan, self.active, self.largest = customer, plan, now, largest
-        self.store = Store(plan.rate, plan.burst, plan.burst, now)
+        self.store = TokenBucket(plan.rate, plan.burst, plan.burst, now)
         # A launch may be a restart: what an earlier life spent is unknown, so the own shares are empty then.
         since = now if plan.burst / gateways < largest else launched
-        self.share, self.alone, self.ceiling = (Store(0.0, 0.0, 0.0, since if n < 2 else launched) for n in range(3))
+        self.share, self.alone, self.ceiling = (TokenBucket(0.0, 0.0, 0.0, since if n < 2 else launched) for n in range(3))
         self.divide(gateways)
         self.credit = self.most_credit
         self.window, self.total, self.unsaid, self.told_at, self.hold = None, 0.0, 0.0, -FORGET, 0.0
@@ -131,8 +131,8 @@
 
 
 class Stage:
-    def ended(self, rq, answer):
-        self.before.ended(rq, answer)
+    def ended(self, request, answer):
+        self.before.ended(request, answer)
 
 
 class Intake(Stage):  # sees that each API call gets one final answer, in time
@@ -140,113 +140,113 @@
     def __init__(self, port, line, longest_retry_after):
         self.port, self.line, self.longest = port, line, longest_retry_after
 
-    def take(self, rq):
-        rq.call.rq, rq.wait = rq, self.line.too_long(rq)  # before counting: it should not use up the quota
-        self.ended(rq, "rate-limit") if rq.wait else self.next.take(rq)
-        left = max(0.0, rq.call.expires - self.port.now)
-        rq.done or self.port.later(left, lambda: self.line.next.give_up(rq))
+    def take(self, request):
+        request.call.request, request.wait = request, self.line.too_long(request)  # before counting: it should not use up the quota
+        self.ended(request, "rate-limit") if request.wait else self.next.take(request)
+        left = max(0.0, request.call.expires - self.port.now)
+        request.done or self.port.later(left, lambda: self.line.next.give_up(request))
 
-    def ended(self, rq, answer):
-        route, rq.done, rq.call.rq = rq.call.route, True, None
+    def ended(self, request, answer):
+        route, request.done, request.call.request = request.call.route, True, None
         safe = route.repeat is Repeat.IDEMPOTENT or (route.repeat, route.group) == (Repeat.TOKENED, Group.ALL)
-        if answer == "rate-limit" and (safe or not rq.may_have_run()):
-            self.port.rate_limit(rq.call, min(rq.wait, self.longest))
+        if answer == "rate-limit" and (safe or not request.may_have_run()):
+            self.port.rate_limit(request.call, min(request.wait, self.longest))
         elif answer != "proxied":
-            self.port.error(rq.call)
+            self.port.error(request.call)
 
 
 class Quota(Stage):  # each unit passed is added to the customer's count for a window of burst over rate
 
-    def __init__(self, port, dice, counter_wait, largest, gateways):
-        self.port, self.dice, self.counter_wait, self.largest = port, dice, counter_wait, largest
+    def __init__(self, port, random, counter_wait, largest, gateways):
+        self.port, self.random, self.counter_wait, self.largest = port, random, counter_wait, largest
         # All may start at one moment, and what they call for at once they all hear late: each has an Nth.
-        self.pace, self.slowed, self.began = Store(PACE / gateways, AT_ONCE, 1.0, port.now), 0.0, port.now
-        self.wanted, self.unheard, self.said, self.granted = Fading(), Fading(), Fading(), 1.0  # asks; units
+        self.pace, self.slowed, self.began = TokenBucket(PACE / gateways, AT_ONCE, 1.0, port.now), 0.0, port.now
+        self.wanted, self.unheard, self.said, self.granted = DecayingSum(), DecayingSum(), DecayingSum(), 1.0  # asks; units
 
-    def take(self, rq):
-        account, units, now = rq.account, rq.call.units, self.port.now
+    def take(self, request):
+        account, units, now = request.account, request.call.units, self.port.now
         if account.plan.rate <= 0:
-            return self.next.take(rq)
-        self.turn(account)
+            return self.next.take(request)
+        self.turn_window(account)
         inside = account.share.read(now) >= units and now - account.told_at < FRESH
         inside = inside and (not account.joint or account.ceiling.read(now) >= units)
-        held = now < account.hold and (rq.call.repeated or not self.may_ask(0.5))
+        held = now < account.hold and (request.call.repeated or not self.may_ask(0.5))
         if held or account.store.read(now) < units:
-            return self.beyond(rq)
-        self.wanted.add(now, 0.0 if inside or rq.asks_by else 1.0)
+            return self.beyond(request)
+        self.wanted.add(now, 0.0 if inside or request.asks_by else 1.0)
         # Where calls are scarce a repeat, refused just now, comes last, and soft plans before it.
-        spare = 0.5 if rq.call.repeated else 0.25 * rq.soft
-        asks, rq.asks_by = not inside and self.may_ask(spare), rq.asks_by or now + self.counter_wait
+        spare = 0.5 if request.call.repeated else 0.25 * request.soft
+        asks, request.asks_by = not inside and self.may_ask(spare), request.asks_by or now + self.counter_wait
         turn = self.pace.wait(now, 1 + spare * self.pace.depth)
-        if not inside and not asks and now + turn < rq.asks_by:  # a moment's crowd passes; word is worth the wait
-            return self.port.later(turn + 0.001, lambda: rq.done or self.take(rq))
-        rq.window = account.window
-        self.spend(rq, units, not asks)
+        if not inside and not asks and now + turn < request.asks_by:  # a moment's crowd passes; word is worth the wait
+            return self.port.later(turn + 0.001, lambda: request.done or self.take(request))
+        request.window = account.window
+        self.spend(request, units, not asks)
         if inside:  # pass, and add in the background
-            self.next.take(rq)
+            self.next.take(request)
         elif asks:  # beyond the share: add first, and pass while the total leaves room
-            self.say(account, units, lambda outcome: rq.done or self.decide(rq, outcome))
+            self.add_to_count(account, units, lambda outcome: request.done or self.decide(request, outcome))
         else:
-            self.decide(rq, Outcome.UNSENT)
+            self.decide(request, Outcome.UNSENT)
 
     def may_ask(self, spare=0.0):  # at a pace that the counter answers: a crowd of calls would only time out
         return self.counter_wait > 0 and self.pace.read(self.port.now) >= 1 + spare * self.pace.depth
 
-    def decide(self, rq, outcome):
-        account, plan, now = rq.account, rq.account.plan, self.port.now
+    def decide(self, request, outcome):
+        account, plan, now = request.account, request.account.plan, self.port.now
         fits = account.store.read(now) >= 0
         if outcome is not Outcome.OK:
             alone = account.alone  # no word: what this gateway may let in alone, or its credit
-            if fits and alone.read(now) < 0 and account.credit >= rq.counted and not rq.call.repeated:
-                alone.level, account.credit = alone.level + rq.counted, 0.0
+            if fits and alone.read(now) < 0 and account.credit >= request.counted and not request.call.repeated:
+                alone.level, account.credit = alone.level + request.counted, 0.0
             fits = fits and alone.level >= 0
         elif not fits:
             # Until the own share of the rate has saved up half a call, all others will have used what comes.
-            wait = min(HOLD, rq.call.units * account.gateways / plan.rate / 2)
-            account.hold = now + wait * (0.5 + self.dice.roll())
+            wait = min(HOLD, request.call.units * account.gateways / plan.rate / 2)
+            account.hold = now + wait * (0.5 + self.random.uniform())
         if not fits:
-            self.spend(rq, -rq.counted, outcome is not Outcome.TIMEOUT)  # or it might be taken off unadded
-        if fits and outcome is Outcome.OK and account.joint and rq.window == account.window:
+            self.spend(request, -request.counted, outcome is not Outcome.TIMEOUT)  # or it might be taken off unadded
+        if fits and outcome is Outcome.OK and account.joint and request.window == account.window:
             after, window = account.used / account.joint, plan.burst / plan.rate
-            rq.turn = (rq.window - account.customer.id * GOLDEN % 1.0) * window + after if after <= window else inf
-        self.next.take(rq) if fits else self.beyond(rq)
+            request.turn = (request.window - account.customer.id * GOLDEN % 1.0) * window + after if after <= window else inf
+        self.next.take(request) if fits else self.beyond(request)
 
-    def beyond(self, rq):
-        wait = rq.account.store.wait(self.port.now, rq.call.units)
-        rq.beyond, rq.wait = True, max(wait, rq.account.hold - self.port.now)
-        self.next.take(rq)
+    def beyond(self, request):
+        wait = request.account.store.wait(self.port.now, request.call.units)
+        request.beyond, request.wait = True, max(wait, request.account.hold - self.port.now)
+        self.next.take(request)
 
-    def spend(self, rq, units, say=True):  # book units, below 0: give them back; say: have them added later
-        account, rq.counted = rq.account, rq.counted + units
+    def spend(self, request, units, say=True):  # book units, below 0: give them back; say: have them added later
+        account, request.counted = request.account, request.counted + units
         for one in (account.store, account.share, account.alone):
             one.level = one.read(self.port.now) - units
-        self.owe(account, units if say else 0.0)
+        self.add_later(account, units if say else 0.0)
 
-    def owe(self, account, units):  # to be added in the background
+    def add_later(self, account, units):  # to be added in the background
         if units and not account.unsaid:
-            self.port.later(BATCH * (0.5 + self.dice.roll()), lambda: self.flush(account))
+            self.port.later(BATCH * (0.5 + self.random.uniform()), lambda: self.flush(account))
         account.unsaid += units
 
     def flush(self, account):  # as far as the pace leaves room beside the asks
         if account.unsaid:
             again = lambda: self.flush(account)
             # What is given back goes first: until then it is refused to who has room.
-            self.say(account, 0.0) if self.may_ask(0.5 * (account.unsaid > 0)) else self.port.later(BATCH, again)
+            self.add_to_count(account, 0.0) if self.may_ask(0.5 * (account.unsaid > 0)) else self.port.later(BATCH, again)
 
-    def turn(self, account):  # to the current window (customers out of step), reading how the last one ended
+    def turn_window(self, account):  # to the current window (customers out of step), reading how the last one ended
         now, window = self.port.now, account.plan.burst / account.plan.rate
         at = now / window + account.customer.id * GOLDEN % 1.0
         if floor(at) != account.window:
             account.store.read(max(account.store.at, now - at % 1.0 * window))
             if floor(at) - 1 == account.window and self.may_ask(0.5):
-                self.say(account, 0.0)
+                self.add_to_count(account, 0.0)
             self.unheard.add(now, account.unsaid)
             account.window, account.total, account.unsaid, account.store.spilt = floor(at), 0.0, 0.0, 0.0
             account.used = inf  # until told
             if now - account.active < window:
-                self.port.later((account.window + 1 - at) * window + 0.001, lambda: self.turn(account))
+                self.port.later((account.window + 1 - at) * window + 0.001, lambda: self.turn_window(account))
 
-    def say(self, account, amount, then=lambda outcome: None):
+    def add_to_count(self, account, amount, then=lambda outcome: None):
         """Add to the count, with whatever waits to be added; the total that comes back is what all added."""
         window, before, amount, account.unsaid = account.window, account.total, amount + account.unsaid, 0.0
         spilt = account.store.spilt
@@ -267,7 +267,7 @@
                 self.learn(account, total, total - (account.total if current else before) - amount, None if current else spilt)
                 account.total = total if current else account.total
             elif outcome not in (Outcome.TIMEOUT, Outcome.NOTED) and current:  # else it may have been added, or will be
-                self.owe(account, amount)
+                self.add_later(account, amount)
             pace.depth = max(AT_ONCE, pace.rate * self.counter_wait)
             then(outcome)
 
@@ -293,10 +293,10 @@
         account.alone.level, account.alone.at = store.level * account.part, now
         account.credit = account.most_credit if 2 * store.level > store.depth else 0.0
 
-    def ended(self, rq, answer):
+    def ended(self, request, answer):
         # What was added in a window before is not taken off this one's count: it would make room for others in it.
-        self.spend(rq, 0.0 if rq.sent else -rq.counted, rq.window == rq.account.window)
-        self.before.ended(rq, answer)
+        self.spend(request, 0.0 if request.sent else -request.counted, request.window == request.account.window)
+        self.before.ended(request, answer)
 
 
 class Loans(Stage):  # idle customers' room, lent whole to soft-plan customers, for a horizon at most
@@ -304,22 +304,22 @@
     def __init__(self, port, line, accounts, horizon):
         self.port, self.line, self.accounts, self.horizon = port, line, accounts, horizon
 
-    def take(self, rq):
-        self.before.ended(rq, "rate-limit") if rq.beyond and not self.lend(rq) else self.next.take(rq)
+    def take(self, request):
+        self.before.ended(request, "rate-limit") if request.beyond and not self.lend(request) else self.next.take(request)
 
-    def lend(self, rq):
-        now, units, loan = self.port.now, rq.call.units, []
-        fits = rq.soft and rq.call.route.target <= self.horizon and self.next.room(rq)
-        if not fits or self.line.waiting or not self.line.next.pick(rq):
+    def lend(self, request):
+        now, units, loan = self.port.now, request.call.units, []
+        fits = request.soft and request.call.route.target <= self.horizon and self.next.room(request)
+        if not fits or self.line.waiting or not self.line.next.choose_server(request):
             return False  # loans only fill what is free: they never wait before those inside their quota
         quiet = takewhile(lambda one: now - one.active > IDLE * self.horizon, self.accounts)
         idle = [one for one in islice(quiet, LENDERS) if not one.out and self.free(one) > 0]
         for lender in sorted(idle, key=self.free, reverse=True):
             loan.append((lender, min(self.free(lender), units)))
             units -= loan[-1][1]
-        rq.loan = loan if units <= 0 else None
-        self.book(rq.loan or (), 1)
-        return rq.loan
+        request.loan = loan if units <= 0 else None
+        self.book(request.loan or (), 1)
+        return request.loan
 
     def free(self, account):  # of a guarantee, the gateway's slice of the rate times the horizon
         return account.plan.rate / account.gateways * self.horizon - account.lent
@@ -328,12 +328,12 @@
         for lender, part in loan:
             lender.lent += sign * part
 
-    def ended(self, rq, answer):
-        if rq.loan:  # cut short, the work may go on at its server: the loan counts for one more horizon
-            wait = 0.0 if answer == "proxied" or not rq.may_have_run() else self.horizon
-            self.port.later(wait, lambda loan=rq.loan: self.book(loan, -1))
-            rq.loan = None
-        self.before.ended(rq, answer)
+    def ended(self, request, answer):
+        if request.loan:  # cut short, the work may go on at its server: the loan counts for one more horizon
+            wait = 0.0 if answer == "proxied" or not request.may_have_run() else self.horizon
+            self.port.later(wait, lambda loan=request.loan: self.book(loan, -1))
+            request.loan = None
+        self.before.ended(request, answer)
 
 
 class Ceiling(Stage):  # this gateway's share of a customer's hard ceiling and cap on tries out: work waits
@@ -341,82 +341,82 @@
     def __init__(self, port):
         self.port = port
 
-    def take(self, rq):
-        account, plan, rq.wait = rq.account, rq.account.plan, 0.0
+    def take(self, request):
+        account, plan, request.wait = request.account, request.account.plan, 0.0
         if plan.ceiling_rate > 0:
-            rq.wait = min(account.ceiling.wait(self.port.now, rq.call.units), max(0.0, rq.turn - self.port.now))
-        if not rq.wait:
-            rq.drawn = 0.0 if rq.turn <= self.port.now else rq.call.units
-            account.ceiling.level -= rq.drawn
-            self.next.take(rq)
-        elif rq.loan or self.port.now + rq.wait > rq.target_at:
-            self.before.ended(rq, "rate-limit")
+            request.wait = min(account.ceiling.wait(self.port.now, request.call.units), max(0.0, request.turn - self.port.now))
+        if not request.wait:
+            request.drawn = 0.0 if request.turn <= self.port.now else request.call.units
+            account.ceiling.level -= request.drawn
+            self.next.take(request)
+        elif request.loan or self.port.now + request.wait > request.target_at:
+            self.before.ended(request, "rate-limit")
         else:
-            self.port.later(rq.wait, lambda: rq.done or self.take(rq))
+            self.port.later(request.wait, lambda: request.done or self.take(request))
 
-    def ended(self, rq, answer):
-        rq.account.out -= rq.sent
-        rq.account.ceiling.level += 0.0 if rq.sent else rq.drawn
-        self.before.ended(rq, answer)
+    def ended(self, request, answer):
+        request.account.out -= request.sent
+        request.account.ceiling.level += 0.0 if request.sent else request.drawn
+        self.before.ended(request, answer)
 
-    def room(self, rq):  # asked as it is sent: what only waits in line does not fill the cap
-        account, cap = rq.account, rq.account.plan.open_cap
-        return not cap or rq.sent or account.out < max(1, round(cap / account.gateways))
+    def room(self, request):  # asked as it is sent: what only waits in line does not fill the cap
+        account, cap = request.account, request.account.plan.open_cap
+        return not cap or request.sent or account.out < max(1, round(cap / account.gateways))
 
 
 class Line(Stage):  # work waits here, and a server gets the next when one of its places comes free
     def __init__(self, port):
         self.port, self.waiting, self.look_at = port, deque(), 0.0
 
-    def too_long(self, rq):  # seconds of wait if the line can't meet the latency target, else 0
+    def too_long(self, request):  # seconds of wait if the line can't meet the latency target, else 0
         delay = self.next.delay()
         wait = len(self.waiting) * delay / max(1, self.next.out)
-        return wait if wait + delay > LINE * (rq.target_at - self.port.now) else 0.0
+        return wait if wait + delay > LINE * (request.target_at - self.port.now) else 0.0
 
-    def take(self, rq):
-        self.waiting.append(rq)
-        self.pump()
+    def take(self, request):
+        self.waiting.append(request)
+        self.dispatch()
 
-    def pump(self):
+    def dispatch(self):
         """Hand out what places are free; tell at once what can't meet its latency target any more."""
         waiting, self.waiting, blocked, delay = self.waiting, deque(), False, self.next.delay()
-        for rq in waiting:
-            if self.port.now > rq.call.expires:  # where this process stood still, timers that are due may not have come yet
-                self.next.give_up(rq)
-            view = self.next.pick(rq) if not rq.done and not blocked and self.before.room(rq) else None
+        for request in waiting:
+            if self.port.now > request.call.expires:  # where this process stood still, timers that are due may not have come yet
+                self.next.give_up(request)
+            view = self.next.choose_server(request) if not request.done and not blocked and self.before.room(request) else None
             if view:
-                self.next.launch(rq, view)
-            elif not rq.done and self.port.now + delay > rq.target_at:
-                rq.wait = delay
-                self.next.ended(rq, "rate-limit")
-            elif not rq.done:
-                self.waiting.append(rq)
-                blocked = blocked or not rq.may_have_run() and self.before.room(rq)
+                self.next.start_attempt(request, view)
+            elif not request.done and self.port.now + delay > request.target_at:
+                request.wait = delay
+                self.next.ended(request, "rate-limit")
+            elif not request.done:
+                self.waiting.append(request)
+                blocked = blocked or not request.may_have_run() and self.before.room(request)
         if self.waiting and self.port.now >= self.look_at:
             self.look_at = self.port.now + 0.9 * SWEEP
-            self.port.later(SWEEP, self.pump)
+            self.port.later(SWEEP, self.dispatch)
 
 
 class Upstream:  # what this gateway saw of a server
     def __init__(self, server, places, phase, now):
-        self.server, self.up_since, self.tries, self.places = server, server.up_since, [], places
+        self.server, self.up_since, self.attempts, self.places = server, server.up_since, [], places
         self.outcomes, self.good, self.free_at, self.seen = deque([True] * OUTCOMES, OUTCOMES), 1.0, 0.0, 0.0
         self.away = 0  # tries in a row that it took nothing of: it is full, drains or is gone, told or not
-        self.took, self.ends = Fading(), Fading()
-        self.cold = Store(0.0, 1.0, phase, now)  # tries while cold, first a part of one: no rush of crumbs
+        self.took, self.ends = DecayingSum(), DecayingSum()
+        self.cold = TokenBucket(0.0, 1.0, phase, now)  # tries while cold, first a part of one: no rush of crumbs
 
     def open(self, now):
         """Whether a place is free. Who fails gets a try at a time, after a rest; who is stuck, none."""
-        if now < self.free_at or any(now - one.sent > PATIENCE * one.call.route.target for one in self.tries):
+        if now < self.free_at or any(now - one.sent > PATIENCE * one.call.route.target for one in self.attempts):
             return False
-        return len(self.tries) < (int(self.places) if self.sound() else 1)
+        return len(self.attempts) < (int(self.places) if self.sound() else 1)
 
     def sound(self):
         return self.good >= FAILING and not self.away
 
     def delay(self, now, typical):  # seconds that an answer takes, or that the oldest try has waited
         mean = (self.took.read(now) + typical) / (self.ends.read(now) + 1)
-        return max(mean, now - self.tries[0].sent if self.tries else 0.0, 0.001)
+        return max(mean, now - self.attempts[0].sent if self.attempts else 0.0, 0.001)
 
 
 class Unshared:  # no word of other gateways: nothing is shunned, and nothing awaits this one's turn
@@ -426,14 +426,14 @@
 
 class Upstreams(Stage):  # chooses servers, sends, judges them, and decides on further tries
 
-    def __init__(self, port, dice, line, zone, start, gateways, max_tries, may_cancel, horizon, cold):
-        self.port, self.dice, self.line, self.gateways, self.sure = port, dice, line, gateways, gateways
+    def __init__(self, port, random, line, zone, start, gateways, max_tries, may_cancel, horizon, cold):
+        self.port, self.random, self.line, self.gateways, self.sure = port, random, line, gateways, gateways
         self.zone, self.start, self.max_tries, self.may_cancel = zone, start, max_tries, may_cancel
         self.horizon, (self.cold_from, self.warm_after, multiple) = horizon, cold
         self.cold_share = min(COLD_MOST, COLD_PART * multiple)
         self.servers, self.best, self.best_at, self.sure_at, self.out = [], 0.0, 0.0, port.now + SOON, 0
         self.window, self.part, self.peers, self.rivals, self.warm, self.drawn_at = 0.0, [], gateways, gateways, 0, 0.0
-        self.took, self.ends, self.further, self.helped, self.sends = (Fading() for _ in range(5))
+        self.took, self.ends, self.further, self.helped, self.sends = (DecayingSum() for _ in range(5))
         self.choices = Unshared()
 
     def delay(self):  # seconds that an answer takes in the mean, 0 while none is known
@@ -446,12 +446,12 @@
                 self.servers.remove(server.view)
                 server.view = None
             if server.view is None and server.state is State.READY:
-                server.view = Upstream(server, max(1.0, PLACES / self.peers), self.dice.roll(), self.port.now)
+                server.view = Upstream(server, max(1.0, PLACES / self.peers), self.random.uniform(), self.port.now)
                 self.servers.append(server.view)
         self.servers.sort(key=lambda view: view.server.id)
         self.choices.listed({view.server.id: view.server for view in self.servers})
         self.draw()
-        self.line.pump()
+        self.line.dispatch()
 
     def draw(self):
         """This gateway's part: a short stretch of the ring from its number on, or as the fleet chose; the sick are made up for."""
@@ -479,8 +479,8 @@
         view.cold.rate = warmth * self.cold_share * max(usual, 1 / max(self.delay(), 0.05) / self.rivals)
         return view.cold.level >= 1
 
-    def group_allows(self, rq, server, ran):  # whether a repeat may go there, after tries that may have run
-        route = rq.call.route
+    def group_allows(self, request, server, ran):  # whether a repeat may go there, after tries that may have run
+        route = request.call.route
         if not ran or route.repeat is Repeat.IDEMPOTENT:
             return True
         if route.repeat is Repeat.NON_IDEMPOTENT or self.port.now >= ran[0].sent + route.window:
@@ -488,54 +488,54 @@
         group, first = route.group, ran[0].server
         return group is Group.ALL or getattr(server, group.name.lower()) == getattr(first, group.name.lower())
 
-    def pick(self, rq):  # the free place where an answer should come soonest, or None
+    def choose_server(self, request):  # the free place where an answer should come soonest, or None
         now, typical, best, least = self.port.now, self.delay(), None, 0.0
-        ran, tried = rq.may_have_run(), [one.server for one in rq.call.tries]
+        ran, tried = request.may_have_run(), [one.server for one in request.call.attempts]
         if now - self.drawn_at >= REDRAW:
             self.draw()
         for view in self.part if self.out < self.window else ():
             server = view.server
             # Whose turn it is tries a sick server for all, with a call that may run again.
-            due = self.choices.due(server.id) and rq.call.route.repeat is Repeat.IDEMPOTENT and not tried
-            if view.open(now) and (due or not self.choices.shuns(server.id)) and self.group_allows(rq, server, ran) and (
+            due = self.choices.due(server.id) and request.call.route.repeat is Repeat.IDEMPOTENT and not tried
+            if view.open(now) and (due or not self.choices.shuns(server.id)) and self.group_allows(request, server, ran) and (
                     self.is_warm(view) or self.admits_cold(view)):
                 good = max(0.1, view.good, min(1.0, (now - view.seen) / MEMORY))  # long unseen: a new chance
-                cost = (len(view.tries) + 1) * view.delay(now, typical) / good * 4 ** tried.count(server)
-                cost *= (not due) * (CROSS if server.zone != self.zone else 1.0) * (1 + 0.05 * self.dice.roll())
+                cost = (len(view.attempts) + 1) * view.delay(now, typical) / good * 4 ** tried.count(server)
+                cost *= (not due) * (CROSS if server.zone != self.zone else 1.0) * (1 + 0.05 * self.random.uniform())
                 if best is None or cost < least:
                     best, least = view, cost
         return best
 
-    def launch(self, rq, view):
-        rq.account.out += not rq.sent
-        rq.sent = True
+    def start_attempt(self, request, view):
+        request.account.out += not request.sent
+        request.sent = True
         view.cold.level -= 1
         self.sends.add(self.port.now, 1)
         self.choices.tried(view.server.id)
-        self.further.add(self.port.now, 1 if rq.call.tries else 0)
-        one = self.port.send(rq.call, view.server, self.horizon if rq.loan else 0.0)
+        self.further.add(self.port.now, 1 if request.call.attempts else 0)
+        one = self.port.send(request.call, view.server, self.horizon if request.loan else 0.0)
         one.view = view
-        view.tries.append(one)
+        view.attempts.append(one)
         self.out += 1
-        self.port.later(PATIENCE * rq.call.route.target, lambda: self.doubt(rq, one))
+        self.port.later(PATIENCE * request.call.route.target, lambda: self.reconsider(request, one))
 
     def ended_try(self, one, took, final):
         """Book the end of a try, then answer or try further."""
-        rq = one.call.rq
-        one.view.tries.remove(one)
+        request = one.call.request
+        one.view.attempts.remove(one)
         self.out -= 1
-        self.judge(one.view, one, took)
-        if rq:
+        self.record_outcome(one.view, one, took)
+        if request:
             if final:
                 self.helped.add(self.port.now, 1 if one.number else 0)
-                self.ended(rq, "proxied")
-            elif one.outcome is Outcome.CANCELLED or self.may_try(rq):
-                self.line.waiting.appendleft(rq)  # a further try goes to the head of the line
+                self.ended(request, "proxied")
+            elif one.outcome is Outcome.CANCELLED or self.may_try(request):
+                self.line.waiting.appendleft(request)  # a further try goes to the head of the line
             else:
-                self.ended(rq, "error")
-        self.line.pump()
+                self.ended(request, "error")
+        self.line.dispatch()
 
-    def judge(self, view, one, took):
+    def record_outcome(self, view, one, took):
         now, outcome, good = self.port.now, one.outcome, one.outcome is Outcome.OK
         patience = PATIENCE * one.call.route.target
         if outcome is Outcome.UNSENT or outcome is Outcome.CANCELLED and took < patience:
@@ -564,30 +564,30 @@
             self.window *= WIDEN
         view.seen, view.free_at = now, now if good else now + REST * (1 - view.good / FAILING)
         if away:  # all gateways meet it: by chance they don't come back together, and the part is made up for
-            wait = min(AWAY_MOST, AWAY * 2 ** min(view.away - 1, 9)) * (0.5 + self.dice.roll())
+            wait = min(AWAY_MOST, AWAY * 2 ** min(view.away - 1, 9)) * (0.5 + self.random.uniform())
             view.free_at, self.drawn_at = max(view.free_at, now + wait), -REDRAW
 
-    def may_try(self, rq):  # whether rules, time and recent luck allow a further try
-        now, ran = self.port.now, rq.may_have_run()
-        allowed = any(self.group_allows(rq, view.server, ran) for view in self.part)
-        if len(rq.call.tries) >= self.max_tries or now + self.delay() > rq.target_at or not allowed:
+    def may_try(self, request):  # whether rules, time and recent luck allow a further try
+        now, ran = self.port.now, request.may_have_run()
+        allowed = any(self.group_allows(request, view.server, ran) for view in self.part)
+        if len(request.call.attempts) >= self.max_tries or now + self.delay() > request.target_at or not allowed:
             return False
-        if all(one.outcome in NEVER_RAN for one in rq.call.tries):
+        if all(one.outcome in NEVER_RAN for one in request.call.attempts):
             return True  # nothing ran: the next costs nothing but its time
-        return self.dice.roll() < (self.helped.read(now) + 1) / (self.further.read(now) + 1)
+        return self.random.uniform() < (self.helped.read(now) + 1) / (self.further.read(now) + 1)
 
-    def doubt(self, rq, one):  # a try out for PATIENCE is given up if another server should do better
-        now, busy = self.port.now, rq.loan or rq.began or self.line.waiting or not self.may_cancel
-        view = None if one.outcome or rq.done or busy or not self.may_try(rq) else self.pick(rq)
-        if view and view is not one.view and now + 2 * view.delay(now, self.delay()) < rq.target_at:
+    def reconsider(self, request, one):  # a try out for PATIENCE is given up if another server should do better
+        now, busy = self.port.now, request.loan or request.began or self.line.waiting or not self.may_cancel
+        view = None if one.outcome or request.done or busy or not self.may_try(request) else self.choose_server(request)
+        if view and view is not one.view and now + 2 * view.delay(now, self.delay()) < request.target_at:
             self.port.cancel(one)
 
-    def give_up(self, rq, left=False):
+    def give_up(self, request, left=False):
         """The client's patience is over, or it left: stop what is out and say so."""
-        if not rq.done and (left or not rq.began):
-            for one in rq.call.tries if self.may_cancel else ():
+        if not request.done and (left or not request.began):
+            for one in request.call.attempts if self.may_cancel else ():
                 one.outcome or self.port.cancel(one)
-            self.ended(rq, "error")
+            self.ended(request, "error")
 
 
 class Gateway:  # the chain, and what it is told
@@ -600,11 +600,11 @@
             if not value > 0:
                 raise ValueError(f"{name} must be above 0, not {value}")
         self.port, self.launched, self.trued_up, self.ask_within = port, port.now, trued_up, ask_within
-        dice, horizon = Dice(seed), max((route.target for route in routes), default=1.0)
-        self.line, self.quota = Line(port), Quota(port, dice, counter_wait, largest, gateways)
+        random, horizon = RandomGenerator(seed), max((route.target for route in routes), default=1.0)
+        self.line, self.quota = Line(port), Quota(port, random, counter_wait, largest, gateways)
         self.gateways = self.sure = gateways
         self.intake, self.accounts = Intake(port, self.line, longest_retry_after), {}  # in order of last use
-        self.upstreams = Upstreams(port, dice, self.line, zone, slot * GOLDEN % 1.0, gateways, max_tries,
+        self.upstreams = Upstreams(port, random, self.line, zone, slot * GOLDEN % 1.0, gateways, max_tries,
                                    may_cancel, horizon, (cold_from, warm_after, fall_multiple))
         loans = Loans(port, self.line, self.accounts, horizon)
         chain = [self.intake, self.quota, loans, Ceiling(port), self.line, self.upstreams]
@@ -659,22 +659,22 @@
                                        self.quota.counter_wait > 0, self.quota.granted)
             customer.account.told = call.gateways
         self.touch(customer.account)
-        self.intake.take(Rq(call, customer.account, now))
+        self.intake.take(Request(call, customer.account, now))
 
     def answer_began(self, one, took):  # it is the client's from here on; no time is up for it
-        if one.call.rq:
-            one.call.rq.began = True
+        if one.call.request:
+            one.call.request.began = True
 
     def try_ended(self, one, took, final, charged, used, report):
-        rq = one.call.rq
-        if rq:
-            self.touch(rq.account)
-            self.quota.spend(rq, charged - rq.counted if self.trued_up and charged and rq.counted else 0.0)
+        request = one.call.request
+        if request:
+            self.touch(request.account)
+            self.quota.spend(request, charged - request.counted if self.trued_up and charged and request.counted else 0.0)
         self.upstreams.ended_try(one, took, final)
 
     def client_left(self, call):
-        if call.rq:
-            self.upstreams.give_up(call.rq, left=True)
+        if call.request:
+            self.upstreams.give_up(call.request, left=True)
 
     def servers_unheard(self):
         self.port.later(self.ask_within / 10, lambda: self.port.follow_servers(True))
--- a/brookhub/routing/port.py
+++ b/brookhub/routing/port.py
@@ -8,7 +8,7 @@
 from time import monotonic
 from typing import Callable
 
-from ..interface import ApiCall, Outcome, Server, Told, UpstreamTry
+from ..interface import ApiCall, Attempt, Outcome, Server, Told
 from ..protocol import calls
 
 
@@ -89,16 +89,16 @@
             self.looks_at = 0.0  # rung once is enough
             self.bell.release()
 
-    def send(self, call: ApiCall, server: Server, timeout: float) -> UpstreamTry:
-        one = UpstreamTry(call, server, len(call.tries), self.now)
-        call.tries.append(one)
+    def send(self, call: ApiCall, server: Server, timeout: float) -> Attempt:
+        one = Attempt(call, server, len(call.attempts), self.now)
+        call.attempts.append(one)
         left = call.expires - self.now
         left = min(timeout, left) if timeout > 0 else left
         self.servers.send(one, self.now + left)
         self.later(left, lambda: self.give_up(one, Outcome.TIMEOUT))
         return one
 
-    def cancel(self, upstream: UpstreamTry) -> None:
+    def cancel(self, upstream: Attempt) -> None:
         if upstream.outcome is None:
             self.servers.abandon(upstream)
             self.soon.append(lambda: self.end_try(upstream, Outcome.CANCELLED))
@@ -123,14 +123,14 @@
 
     # how tries end
 
-    def give_up(self, one: UpstreamTry, outcome: Outcome) -> None:
+    def give_up(self, one: Attempt, outcome: Outcome) -> None:
         if one.outcome is None:
             self.servers.abandon(one)
             self.end_try(one, outcome)
 
     def end_try(
         self,
-        one: UpstreamTry,
+        one: Attempt,
         outcome: Outcome,
         value: bytes | None = None,
         charged: float = 0.0,
@@ -140,7 +140,7 @@
         if one.outcome is not None:
             return
         one.outcome = outcome
-        final = one.call.rq is None
+        final = one.call.request is None
         if outcome is Outcome.OK and not final:
             one.call.slot.answer(*calls.proxied(value))
             self.watched(one.call, True)
--- a/brookhub/routing/servers.py
+++ b/brookhub/routing/servers.py
@@ -5,7 +5,7 @@
 from time import monotonic
 from typing import Callable
 
-from ..interface import Outcome, Server, State, UpstreamTry
+from ..interface import Attempt, Outcome, Server, State
 from ..protocol import resp
 from ..protocol.calls import ServerAnswer
 from ..transport.sockets import dial
@@ -24,7 +24,7 @@
 class Link:
     """One connection to a server, and the thread that dials and reads it."""
 
-    def __init__(self, servers: Servers, pool: Pool, server: Server, one: UpstreamTry):
+    def __init__(self, servers: Servers, pool: Pool, server: Server, one: Attempt):
         self.servers, self.pool, self.server, self.one = servers, pool, server, one
         self.stream, self.ended, self.idle_at, self.until, self.served = None, None, 0.0, 0.0, 0
         self.reader, self.gathered = resp.Reader(servers.largest), 0
@@ -85,7 +85,7 @@
         )  # bytes of a value, of all that are on their way
         self.gathered = 0
         self.pools: dict[int, Pool] = {}
-        self.out: dict[UpstreamTry, Link] = {}
+        self.out: dict[Attempt, Link] = {}
         self.living = 0  # connections whose descriptor is not yet given back
         self.idle: dict[Link, None] = {}  # those that are free, the longest idle first
 
@@ -104,7 +104,7 @@
         if server.state is State.GONE:
             self.pools.pop(server.id, None)
 
-    def send(self, one: UpstreamTry, until: float) -> None:
+    def send(self, one: Attempt, until: float) -> None:
         pool = self.pools[one.server.id]
         link = self.free_link(pool)
         if link:
@@ -141,7 +141,7 @@
     def closed(self) -> None:
         self.living -= 1
 
-    def attach(self, link: Link, one: UpstreamTry, until: float) -> None:
+    def attach(self, link: Link, one: Attempt, until: float) -> None:
         link.one, link.until, self.out[one] = one, until, link
 
     def write(self, link: Link) -> None:
@@ -155,7 +155,7 @@
             one = link.one
             self.drop(link, "unlisted")
             self.port.end_try(one, Outcome.UNSENT)
-        elif link.one.call.rq is None:  # so ended while it was dialled: nothing more goes out for it
+        elif link.one.call.request is None:  # so ended while it was dialled: nothing more goes out for it
             one = link.one
             self.free(link)
             self.port.end_try(one, Outcome.UNSENT)
@@ -225,7 +225,7 @@
             link.one = None
         self.port.todo.append((link.end, reason))
 
-    def abandon(self, one: UpstreamTry) -> None:
+    def abandon(self, one: Attempt) -> None:
         link = self.out.get(one)
         if link:
             self.drop(link, "abandoned")
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -13,6 +13,7 @@
 from brookhub.config import Experiment
 from brookhub.interface import (
     ApiCall,
+    Attempt,
     Customer,
     Group,
     Outcome,
@@ -21,7 +22,6 @@
     Route,
     Server,
     State,
-    UpstreamTry,
 )
 from brookhub.policy import NEVER_RAN, Gateway
 from brookhub.stand_ins import CounterStandIn, DiscoveryStandIn, ServerStandIn, host, read_value
@@ -65,18 +65,18 @@
     def send(self, call, server, timeout):
         assert call not in self.answers and self.now <= call.expires, "sent after the final answer"
         assert server.state is State.READY, "sent to a server that drains or is gone"
-        ran = [other for other in call.tries if other.outcome not in NEVER_RAN]
-        assert self.terms["second_copies"] or all(other.outcome for other in call.tries), "two tries out"
+        ran = [other for other in call.attempts if other.outcome not in NEVER_RAN]
+        assert self.terms["second_copies"] or all(other.outcome for other in call.attempts), "two tries out"
         if ran and call.route.repeat is not Repeat.IDEMPOTENT:
             assert call.route.repeat is Repeat.TOKENED, "a non-idempotent call sent twice"
             assert self.now < ran[0].sent + call.route.window, "a repeat after its window"
             assert call.route.group is not Group.ZONE or server.zone == ran[0].server.zone, (
                 "a repeat left its zone"
             )
-        assert len(call.tries) < self.terms["max_tries"]
-        one = UpstreamTry(call, server, len(call.tries), self.now)
+        assert len(call.attempts) < self.terms["max_tries"]
+        one = Attempt(call, server, len(call.attempts), self.now)
         one.timeout = timeout
-        call.tries.append(one)
+        call.attempts.append(one)
         self.sent.append(one)
         self.out.append(one)
         self.later(min(timeout or 1e9, call.expires - self.now), lambda: self.end(one, Outcome.TIMEOUT))
@@ -86,7 +86,7 @@
         self.later(0.001, lambda: self.end(one, Outcome.CANCELLED))
 
     def rate_limit(self, call, retry_after):
-        ran = [one for one in call.tries if one.outcome not in NEVER_RAN]
+        ran = [one for one in call.attempts if one.outcome not in NEVER_RAN]
         assert not ran or call.route.repeat is Repeat.IDEMPOTENT or call.route.group is Group.ALL
         self.answer(call, "rate-limited")
 
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -134,7 +134,7 @@
     for world in worlds:
         world.run(0.3)
     for world, call in calls:
-        if call.tries or world.answers.get(call, ("",))[0] == "proxied":
+        if call.attempts or world.answers.get(call, ("",))[0] == "proxied":
             passed.append(call)
     return calls, passed
 
@@ -351,7 +351,7 @@
     sent = len(world.sent)
     world.end(out[0], Outcome.OK)  # a place is free; World.send asserts that a call's time is not over
     assert len(world.sent) == sent
-    assert all(call in world.answers for call in calls if not call.tries)
+    assert all(call in world.answers for call in calls if not call.attempts)
 
 
 @pytest.mark.parametrize("seed", range(3))
--- a/tests/test_routing.py
+++ b/tests/test_routing.py
@@ -125,9 +125,9 @@
 def call(port, patience=2.0):
     words = words_of(1)
     made = ApiCall(1, Customer(7, Plan("wide")), Route("look", 1.0, 2.0), port.now + patience)
-    made.wording, made.rq, made.said = calls.Wording(words), object(), []
+    made.wording, made.request, made.said = calls.Wording(words), object(), []
     made.slot = SimpleNamespace(
-        answer=lambda *said: (made.said.append(b"".join(said)), setattr(made, "rq", None))
+        answer=lambda *said: (made.said.append(b"".join(said)), setattr(made, "request", None))
     )
     return made
 
@@ -192,7 +192,7 @@
 def test_a_try_dialled_while_its_call_ended_or_its_server_drained_is_never_written(port):
     where, ended, drained = server(port), call(port), call(port)
     tries(port, (ended, where), (drained, where))
-    ended.rq = None
+    ended.request = None
     first = come_up(port, port.dialled[0])
     where.state = State.DRAINING
     second = come_up(port, port.dialled[1])
@@ -337,7 +337,7 @@
         advance(port, chance.choice([0.0, 0.01, 0.1]))
         for link in [link for link in port.servers.idle if chance.random() < 0.05]:
             at(port, port.servers.broke, link)
-        open_calls = [one for one in open_calls if one.rq and port.now < one.expires]
+        open_calls = [one for one in open_calls if one.request and port.now < one.expires]
         # Each try ends once, no connection carries two, what is free carries none, an answer goes out once.
         ended = [one for one, _, _ in port.gateway.ends]
         assert len(ended) == len(set(map(id, ended)))
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -94,15 +94,17 @@
         # Loans: never more than a guarantee, never without an owner, all whole, inside the horizon.
         for account in gateway.accounts:
             assert -1e-6 <= account.lent <= account.plan.rate / account.gateways * loans.horizon + 1e-6
-            out = sum(1 for call in calls if call.rq and call.rq.sent and call.rq.account is account)
+            out = sum(
+                1 for call in calls if call.request and call.request.sent and call.request.account is account
+            )
             assert account.out == out
             if account.plan.open_cap:
                 assert out <= max(1, 4 // spread)
         assert gateway.upstreams.out == len(world.out)
         for call in calls:
-            if call.rq and call.rq.loan:
-                assert abs(sum(part for _, part in call.rq.loan) - call.units) < 1e-6
-                assert all(one.timeout <= loans.horizon for one in call.tries)
+            if call.request and call.request.loan:
+                assert abs(sum(part for _, part in call.request.loan) - call.units) < 1e-6
+                assert all(one.timeout <= loans.horizon for one in call.attempts)
     world.run(10.0)
     assert all(call in world.answers for call in calls), "an API call without its final answer"
     assert all(account.lent < 1e-6 and account.out == 0 for account in gateway.accounts)
@@ -159,7 +161,7 @@
     assert next(iter(world.gateway.accounts)).lent > 0
     assert (
         sum(one.timeout == 1.0 for one in world.sent)
-        == sum(bool(call.rq and call.rq.loan) for call in calls)
+        == sum(bool(call.request and call.request.loan) for call in calls)
         > 0
     )
     lent = next(iter(world.gateway.accounts)).lent
@@ -451,7 +453,7 @@
     met = world.customer(2)
     later = [world.call(met) for _ in range(8)]
     world.run(0.2)
-    assert sum(bool(call.tries) for call in later) == int(
+    assert sum(bool(call.attempts) for call in later) == int(
         8 * UNHEARD / 2
     )  # this gateway's half of the burst, and more
 
