--- /dev/null
+++ b/tests/test_entry.py
@@ -0,0 +1,28 @@
+"""One entry, whether started as a module or as the installed command."""
+
+import subprocess
+import sys
+
+import pytest
+
+
+@pytest.mark.parametrize("arguments", [["--help"], ["run", "--help"], ["check-config", "--help"]])
+def test_the_module_and_the_command_have_one_help_text(arguments):
+    command = [sys.executable, "-c", "from brookhub.cli import main; main(prog_name='brookhub')", *arguments]
+    told = subprocess.run(command, capture_output=True, text=True)
+    ran = subprocess.run([sys.executable, "-m", "brookhub", *arguments], capture_output=True, text=True)
+    assert (
+        ran.returncode == told.returncode == 0
+        and ran.stdout == told.stdout
+        and "Usage: brookhub" in told.stdout
+    )
+
+
+def test_an_unknown_command_is_one_error_and_exit_2():
+    ran = subprocess.run([sys.executable, "-m", "brookhub", "serve"], capture_output=True, text=True)
+    assert ran.returncode == 2 and "No such command 'serve'" in ran.stderr and "Traceback" not in ran.stderr
+
+
+def test_serving_loads_nothing_of_the_command_line():
+    probe = "import sys; import brookhub.__main__, brookhub.program.run; sys.exit('click' in sys.modules)"
+    assert subprocess.run([sys.executable, "-c", probe]).returncode == 0
