--- a/brookhub/membership/baseline.py
+++ b/brookhub/membership/baseline.py
@@ -7,6 +7,7 @@
 from typing import Iterable
 
 from . import messages
+from .core import MembershipPort
 from .members import ABSENT, ALIVE, DEAD, Member
 from .messages import NEWS, Message, encode
 
@@ -16,9 +17,18 @@
 class Heartbeats:
     """Each member sends to each other once a period, and counts as dead at who has not heard it for MISSED of them."""
 
-    def __init__(self, port, fleet: str, name: str, peers: Iterable[str], seed: int, period: float = 0.25):
+    def __init__(
+        self,
+        port: MembershipPort,
+        fleet: str,
+        name: str,
+        peers: Iterable[str],
+        seed: int,
+        period: float = 0.25,
+    ):
         self.port, self.fleet, self.name, self.period = port, fleet, name, period
-        self.rng, self.counts, self.over = Random(f"{seed}/{name}"), Counter(), False
+        self.rng, self.over = Random(f"{seed}/{name}"), False
+        self.counts: Counter[str] = Counter()
         self.names = sorted(set(peers) - {name})
         self.members = {one: Member(one) for one in self.names}
         self.present: set[str] = set()
--- a/brookhub/membership/core.py
+++ b/brookhub/membership/core.py
@@ -10,11 +10,11 @@
 from heapq import nsmallest
 from math import ceil, log, log10
 from random import Random
-from typing import Callable, Iterable, Protocol
+from typing import Any, Callable, Iterable, Protocol
 
 from . import messages
 from .members import ABSENT, ALIVE, DEAD, LEFT, PRESENT, SUSPECT, UNHEARD, Member
-from .messages import ACK, HELLO, NACK, NEWS, PING, PING_FOR, TABLE, WORD, Message, encode, weight
+from .messages import ACK, HELLO, NACK, NEWS, PING, PING_FOR, TABLE, WORD, Message, Piece, encode, weight
 
 ANSWER = 0.4  # periods until a probe without an answer is made again, and by others
 HELPERS = 3  # members asked to probe for one: with 10% loss one in 25 such rounds fails
@@ -71,14 +71,15 @@
         lifeguard: bool = True,
     ):
         self.port, self.fleet, self.name, self.period, self.lifeguard = port, fleet, name, period, lifeguard
-        self.rng, self.members = Random(f"{seed}/{name}"), {}
+        self.rng = Random(f"{seed}/{name}")
+        self.members: dict[str, Member] = {}
         self.incarnation, self.state, self.health = 0, ALIVE, 0
         self.order: list[Member] = []  # those to probe, in turn; shuffled each round
         self.turn = self.number = 0
         self.probed: Member | None = None  # whose answer is out, and with which number
         self.probe_number = self.nacks = self.helpers = 0
         self.asked: dict[int, tuple[str, int]] = {}  # number of a probe for another -> who asked, its number
-        self.news: dict[str, list] = {}  # name -> [times told, piece]
+        self.news: dict[str, list[Any]] = {}  # name -> [times told, piece]
         self.suspects: dict[str, Member] = {}
         self.pulsing = self.over = False
         self.numbers: tuple[int, int, int] | None = None  # as last told: live, rank, sure
@@ -87,7 +88,9 @@
             port.now,
             -GROGGY,
         )  # s: when the next probe is to be made; when it last had slept
-        self.counts: Counter = Counter()  # datagrams and bytes sent, messages dropped and why, refutations
+        self.counts: Counter[str] = (
+            Counter()
+        )  # datagrams and bytes sent, messages dropped and why, refutations
         self.present: set[str] = set()
         self.names: list[str] = []
         self.relist(peers)
@@ -172,7 +175,7 @@
                 peer, whole=True
             )  # with what is thought of it: only the member itself can put that right
         if table and message.number:  # it sent a part of its table: what is newer here goes back
-            newer = [self.piece(name) for name, *told in message.news if self.newer(name, *told)]
+            newer = [self.piece(piece[0]) for piece in message.news if self.newer(*piece)]
             if newer:
                 self.send(peer, TABLE, 0, news=newer)
         if held in ABSENT and message.kind in (PING, ACK):  # met again: what each knows of all others
@@ -237,7 +240,10 @@
             if self.lifeguard:
                 self.send(waits[0], NACK, waits[1])
             self.asked[-number] = waits  # an answer that comes later is still passed on
-            self.port.later(self.period, lambda: self.asked.pop(-number, None))
+            self.port.later(self.period, lambda: self.forget_asked(-number))
+
+    def forget_asked(self, number: int) -> None:
+        self.asked.pop(number, None)
 
     def answered(self, peer: str, message: Message) -> None:
         number = message.number
@@ -252,7 +258,7 @@
         silent = self.helpers - self.nacks
         self.health = min(HEALTH_MOST, self.health + (silent if self.helpers else 1)) if self.lifeguard else 0
         target = self.probed
-        if target.state in PRESENT:
+        if target is not None and target.state in PRESENT:
             self.hear(target.name, SUSPECT, target.incarnation, self.name)
 
     def slept(self) -> None:
@@ -414,13 +420,13 @@
 
     # what is sent
 
-    def piece(self, name: str) -> tuple:
+    def piece(self, name: str) -> Piece:
         if name == self.name:
             return (name, self.state, self.incarnation, "")
         member = self.members[name]
         return (name, member.state, max(0, member.incarnation), next(iter(member.by), ""))
 
-    def yours(self, peer: str) -> list[tuple]:
+    def yours(self, peer: str) -> list[Piece]:
         """What is wrongly thought of the one talked to goes first: it can put that right (Lifeguard's buddies)."""
         member = self.members.get(peer)
         told = member is not None and member.state in (SUSPECT, DEAD, LEFT) and self.lifeguard
@@ -432,7 +438,7 @@
         kind: int,
         number: int = 0,
         about: str = "",
-        news: list | None = None,
+        news: list[Piece] | None = None,
         room: int = PIGGYBACK,
         chosen: bool = False,
     ) -> None:
@@ -450,14 +456,14 @@
         self.counts["bytes"] += len(data)
         self.port.send(peer, data)
 
-    def pick_news(self, pieces: list, room: int) -> None:
+    def pick_news(self, pieces: list[Piece], room: int) -> None:
         """The news told least often first, as much as fits; what was told often enough is dropped."""
         if not self.news:
             return
         most = ceil(RETELL * log10(len(self.present) + 10))
         room -= sum(map(weight, pieces))
-        items = self.news.items()
-        if len(items) > 8:
+        items: Iterable[tuple[str, list[Any]]] = self.news.items()
+        if len(self.news) > 8:
             items = nsmallest(room // 20 + 1, items, key=lambda item: item[1][0])
         for key, held in sorted(items, key=lambda item: item[1][0]):
             room -= weight(held[1])
@@ -496,14 +502,13 @@
         if member.state in PRESENT:
             self.set_counted(member, True, True)
         else:
-            self.port.later(
-                SHRINK,
-                lambda: (
-                    moves == member.moves
-                    and not self.over
-                    and (self.set_counted(member, False, member.state != LEFT) or self.count())
-                ),
-            )
+            self.port.later(SHRINK, lambda: self.shrink(member, moves))
+
+    def shrink(self, member: Member, moves: int) -> None:
+        """Count one that went as away, unless its presence has changed since it had moved so often."""
+        if moves == member.moves and not self.over:
+            self.set_counted(member, False, member.state != LEFT)
+            self.count()
 
     def set_counted(self, member: Member, counted: bool, sure: bool) -> None:
         if self.members.get(member.name) is member:
--- a/brookhub/membership/messages.py
+++ b/brookhub/membership/messages.py
@@ -45,7 +45,7 @@
 _encoder, _decoder = msgspec.msgpack.Encoder(), msgspec.msgpack.Decoder(Message)
 
 
-def weight(piece: tuple) -> int:
+def weight(piece: Piece) -> int:
     """Bytes that a piece of news takes at the most."""
     return len(piece[0].encode()) + len(piece[3].encode()) + 14
 
