--- a/brookhub/choices/__init__.py
+++ b/brookhub/choices/__init__.py
@@ -4,10 +4,22 @@
 ones with other views do harm that is bounded.
 """
 
-from .carriers import TOPIC, ByCounter, ByPeers, Unusable, unpack
+from .carriers import TOPIC, ByCounter, ByPeers, UnusableError, unpack
 from .parts import Parts, Shared
 from .signals import Signals
 from .subsets import Subsets, size
 from .turns import Turns
 
-__all__ = ["TOPIC", "ByCounter", "ByPeers", "Parts", "Shared", "Signals", "Subsets", "Turns", "Unusable", "size", "unpack"]
+__all__ = [
+    "TOPIC",
+    "ByCounter",
+    "ByPeers",
+    "Parts",
+    "Shared",
+    "Signals",
+    "Subsets",
+    "Turns",
+    "UnusableError",
+    "size",
+    "unpack",
+]
--- a/brookhub/choices/carriers.py
+++ b/brookhub/choices/carriers.py
@@ -21,25 +21,25 @@
 SPARE = 1 << 62  # added to the names of windows: no customer's count has such a name
 
 
-class Unusable(ValueError):
+class UnusableError(ValueError):
     """A datagram's data that is no list of words."""
 
 
-Word = tuple[Annotated[int, msgspec.Meta(ge=0, le=2 ** 62)], Annotated[int, msgspec.Meta(ge=1, le=2)]]
+Word = tuple[Annotated[int, msgspec.Meta(ge=0, le=2**62)], Annotated[int, msgspec.Meta(ge=1, le=2)]]
 _decoder = msgspec.msgpack.Decoder(Annotated[list[Word], msgspec.Meta(max_length=MOST_WORDS)])
 
 
 def pack(words: list[tuple[int, int]]) -> list[bytes]:
     """The words as data of one datagram or more."""
-    return [msgspec.msgpack.encode(words[at:at + MOST_WORDS]) for at in range(0, len(words), MOST_WORDS)]
+    return [msgspec.msgpack.encode(words[at : at + MOST_WORDS]) for at in range(0, len(words), MOST_WORDS)]
 
 
 def unpack(data: bytes) -> list[tuple[int, int]]:
-    """The words of a datagram; raises Unusable."""
+    """The words of a datagram; raises UnusableError."""
     try:
         return _decoder.decode(data)
     except (msgspec.DecodeError, RecursionError) as bad:
-        raise Unusable(str(bad)) from None
+        raise UnusableError(str(bad)) from None
 
 
 class ByPeers:
@@ -67,7 +67,8 @@
 class ByCounter:
     """Words as counts of witnesses in windows of FADE s: who was failed adds one and hears how many there are by now; who
     was not asks nothing, and learns nothing. `port`: interface.Port, whose `count` is used at most ASKS times a second
-    and not for QUIET s after a late answer; `key`: the fleet's, the same at all."""
+    and not for QUIET s after a late answer; `key`: the fleet's, the same at all.
+    """
 
     def __init__(self, port, key: int):
         self.port, self.key, self.signals = port, key, None
@@ -97,8 +98,12 @@
                 continue
             self.allowed -= 1
             self.asked += 1
-            self.port.count(self.name(server), 1.0, 2 * FADE, lambda outcome, total, took, server=server:
-                            self.told(server, outcome, total, took))
+            self.port.count(
+                self.name(server),
+                1.0,
+                2 * FADE,
+                lambda outcome, total, took, server=server: self.told(server, outcome, total, took),
+            )
 
     def told(self, server: int, outcome: Outcome, total: float, took: float) -> None:
         if outcome is not Outcome.OK or took >= LATE:
--- a/brookhub/drill/host.py
+++ b/brookhub/drill/host.py
@@ -7,14 +7,22 @@
 from typing import BinaryIO, Callable
 
 from .. import terms
-from ..interface import ApiCall, Outcome, Server, State, Told, UpstreamTry
+from ..interface import ApiCall, Attempt, Outcome, Server, State, Told
 from ..policy import Gateway
 from ..roster import Customers, Roster
 from . import frames
 from .frames import Batch, Reply, WireError
 
-OUTCOMES = {10: Outcome.OK, 20: Outcome.ERROR, 30: Outcome.FULL, 40: Outcome.TIMEOUT, 50: Outcome.UNCONNECTED,
-            60: Outcome.RESET, 70: Outcome.CANCELLED, 80: Outcome.UNSENT}
+OUTCOMES = {
+    10: Outcome.OK,
+    20: Outcome.ERROR,
+    30: Outcome.FULL,
+    40: Outcome.TIMEOUT,
+    50: Outcome.UNCONNECTED,
+    60: Outcome.RESET,
+    70: Outcome.CANCELLED,
+    80: Outcome.UNSENT,
+}
 STATES = {0: State.READY, 1: State.GONE, 2: State.DRAINING}
 DELTA, FULL, CACHED, FAILED = 0, 2, 3, 4
 REPEATED, WRITE = 2, 4
@@ -57,13 +65,13 @@
     def act(self, code: int, *fields) -> None:
         self.reply.add(code, self.instance, *fields)
 
-    def send(self, call: ApiCall, server: Server, timeout: float) -> UpstreamTry:
-        upstream = UpstreamTry(call, server, len(call.tries), self.now)
-        call.tries.append(upstream)
+    def send(self, call: ApiCall, server: Server, timeout: float) -> Attempt:
+        upstream = Attempt(call, server, len(call.attempts), self.now)
+        call.attempts.append(upstream)
         self.act(frames.FORWARD, call.id, server.id, timeout)
         return upstream
 
-    def cancel(self, upstream: UpstreamTry) -> None:
+    def cancel(self, upstream: Attempt) -> None:
         self.act(frames.WITHDRAW, upstream.call.id, upstream.number)
 
     def rate_limit(self, call: ApiCall, retry_after: float) -> None:
@@ -105,16 +113,35 @@
 
     def release(self, call: ApiCall) -> None:
         """Forget an answered API call once none of its tries is out."""
-        if all(upstream.outcome for upstream in call.tries):
+        if all(upstream.outcome for upstream in call.attempts):
             self.calls.pop(call.id, None)
 
-    def arrival(self, ident: int, expires: float, units: float, plan: int, customer: int, spread: float,
-                first: float, bits: int, route: int) -> None:
+    def arrival(
+        self,
+        ident: int,
+        expires: float,
+        units: float,
+        plan: int,
+        customer: int,
+        spread: float,
+        first: float,
+        bits: int,
+        route: int,
+    ) -> None:
         if plan >= len(self.plans) or route >= len(self.routes):
             raise WireError(f"API call {ident}: plan {plan} or route {route} is not in the settings")
         payer = self.customers.find(customer, self.plans[plan])
-        call = ApiCall(ident, payer, self.routes[route], expires, units, max(1, round(spread)), round(first),
-                       bool(bits & REPEATED), bool(bits & WRITE))
+        call = ApiCall(
+            ident,
+            payer,
+            self.routes[route],
+            expires,
+            units,
+            max(1, round(spread)),
+            round(first),
+            bool(bits & REPEATED),
+            bool(bits & WRITE),
+        )
         self.calls[ident] = call
         self.gateway.arrived(call)
 
@@ -123,23 +150,32 @@
         if upstream:
             self.gateway.answer_began(upstream, took)
 
-    def try_end(self, ident: int, number: int, server: int, code: int, took: float, final: int, used: int,
-                charged: int, columns: int, *values: float) -> None:
+    def try_end(
+        self,
+        ident: int,
+        number: int,
+        server: int,
+        code: int,
+        took: float,
+        final: int,
+        used: int,
+        charged: int,
+        columns: int,
+        *values: float,
+    ) -> None:
         upstream = self.find(ident, number)
         if upstream is None:
             return
         upstream.outcome = named(OUTCOMES, code, "outcome")
-        report = dict(zip(self.columns, values[:columns]))
+        report = dict(zip(self.columns, values[:columns], strict=False))
         use = used - 1 if used else None
         self.gateway.try_ended(upstream, took, bool(final), float(charged), use, report)
-        if final:
-            self.release(upstream.call)
-        elif upstream.call.id in self.calls and upstream.call.rq is None:
+        if final or upstream.call.id in self.calls and upstream.call.request is None:
             self.release(upstream.call)
 
-    def find(self, ident: int, number: int) -> UpstreamTry | None:
+    def find(self, ident: int, number: int) -> Attempt | None:
         call = self.calls.get(ident)
-        return call.tries[number] if call and number < len(call.tries) else None
+        return call.attempts[number] if call and number < len(call.attempts) else None
 
     def hangup(self, ident: int) -> None:
         call = self.calls.get(ident)
@@ -163,8 +199,10 @@
 
     def probed(self, code: int, server: int, took: float, columns: int, *values: float) -> None:
         if server in self.roster.servers:
-            report = dict(zip(self.columns, values[:columns]))
-            self.gateway.probed(self.roster.servers[server], named(OUTCOMES, code, "probe outcome"), took, report)
+            report = dict(zip(self.columns, values[:columns], strict=False))
+            self.gateway.probed(
+                self.roster.servers[server], named(OUTCOMES, code, "probe outcome"), took, report
+            )
 
     def server_list(self, scope: int, entries: list[tuple]) -> None:
         if scope == FAILED:
@@ -172,8 +210,10 @@
             return
         if scope not in (DELTA, FULL, CACHED):
             raise WireError(f"unknown scope {scope} of a server list")
-        told = self.roster.update([(*entry[:4], named(STATES, entry[4], "server state"), *entry[5:])
-                                   for entry in entries], scope != DELTA)
+        told = self.roster.update(
+            [(*entry[:4], named(STATES, entry[4], "server state"), *entry[5:]) for entry in entries],
+            scope != DELTA,
+        )
         self.gateway.servers_told(told)
 
 
--- a/brookhub/emulator/limiter.py
+++ b/brookhub/emulator/limiter.py
@@ -8,12 +8,11 @@
 import random
 from typing import Callable
 
-from ..interface import ApiCall, Outcome, Server, State, Told, UpstreamTry
+from ..interface import ApiCall, Attempt, Outcome, Server, State, Told
 from ..recovery import Ledger, Recovery
 from ..recovery import Settings as RecoverySettings
 from ..roster import Customers, Roster
 
-
 CONNECT_WITHIN = 0.25  # s that a dial over a cut link is waited for
 
 
@@ -41,9 +40,15 @@
 
     def __init__(self, fleet, index: int, zone: int, seed: int, terms: dict):
         self.fleet, self.engine, self.index, self.zone = fleet, fleet.engine, index, zone
-        self.alive, self.closing, self.wakes = True, False, 0.0  # while stalled nothing of it runs; what came waits, in order
+        self.alive, self.closing, self.wakes = (
+            True,
+            False,
+            0.0,
+        )  # while stalled nothing of it runs; what came waits, in order
         self.recovery: Recovery | None = None
-        self.peer = self.signals = None  # its membership's place and its part in the shared signals, where the fleet has them
+        self.peer = self.signals = (
+            None  # its membership's place and its part in the shared signals, where the fleet has them
+        )
         self.off: set[int] = set()  # servers that a plan of work keeps it off
         self.cut: dict[int, float] = {}  # servers that its links do not reach, each until when (s)
         self.roster, self.customers = Roster(), Customers()
@@ -65,12 +70,12 @@
 
     # the port
 
-    def send(self, call: ApiCall, server: Server, timeout: float) -> UpstreamTry:
+    def send(self, call: ApiCall, server: Server, timeout: float) -> Attempt:
         model = self.fleet.servers.models[server.id]
-        self.fleet.referee.note("send", self.index, call.id, server.id, len(call.tries))
+        self.fleet.referee.note("send", self.index, call.id, server.id, len(call.attempts))
         self.fleet.referee.sending(call, server, self.fleet.second_copies, model.drained_at, self.fleet.grace)
-        one = UpstreamTry(call, server, len(call.tries), self.now)
-        call.tries.append(one)
+        one = Attempt(call, server, len(call.attempts), self.now)
+        call.attempts.append(one)
         left = call.expires - self.now
         left = min(timeout, left) if timeout > 0 else left
         if self.now < self.cut.get(server.id, 0.0):  # a dial that never comes up
@@ -80,7 +85,7 @@
         self.later(left, lambda: self.give_up(one, Outcome.TIMEOUT))
         return one
 
-    def cancel(self, upstream: UpstreamTry) -> None:
+    def cancel(self, upstream: Attempt) -> None:
         if upstream.outcome is None:
             self.fleet.servers.abandon(upstream)
             self.later(0.0, lambda: self.end_try(upstream, Outcome.CANCELLED))
@@ -96,7 +101,7 @@
 
     def release(self, call: ApiCall) -> None:
         """Forget an answered call once none of its tries is out (one refused unsent was kept for ever)."""
-        if all(one.outcome for one in call.tries):
+        if all(one.outcome for one in call.attempts):
             self.calls.pop(call.id, None)
 
     def count(self, name: int, amount: float, lives: float, told: Told) -> None:
@@ -107,8 +112,13 @@
 
     def recover(self, spec, limiters: int, ledger: Ledger | None) -> None:
         """Recovery between the decisions and the counter; its port is this seat."""
-        self.recovery = Recovery(Counted(self, random.Random(f"recovery/{self.fleet.seed}/{self.index}/{self.now}")), self.index, limiters,
-                                 RecoverySettings(spec.beat_s), ledger)
+        self.recovery = Recovery(
+            Counted(self, random.Random(f"recovery/{self.fleet.seed}/{self.index}/{self.now}")),
+            self.index,
+            limiters,
+            RecoverySettings(spec.beat_s),
+            ledger,
+        )
         self.recovery.start()
 
     def probe(self, server: Server) -> None:
@@ -144,13 +154,22 @@
 
     def servers(self, entries: list[tuple], whole: bool) -> None:
         if self.alive:
-            off = [(*entry[:4], State.DRAINING, *entry[5:]) if entry[0] in self.off and entry[4] is State.READY else entry
-                   for entry in entries]
+            off = [
+                (*entry[:4], State.DRAINING, *entry[5:])
+                if entry[0] in self.off and entry[4] is State.READY
+                else entry
+                for entry in entries
+            ]
             self.gateway.servers_told(self.roster.update(off, whole))
 
     def arrive(self, call: ApiCall) -> None:
-        if self.engine.now < self.wakes:  # it waits in the system; woken too late, its connection is ended unread
-            self.engine.at(self.wakes, lambda: self.arrive(call) if self.engine.now < call.expires else self.fleet.lost(call))
+        if (
+            self.engine.now < self.wakes
+        ):  # it waits in the system; woken too late, its connection is ended unread
+            self.engine.at(
+                self.wakes,
+                lambda: self.arrive(call) if self.engine.now < call.expires else self.fleet.lost(call),
+            )
             return
         if not self.alive:
             return self.fleet.lost(call)
@@ -159,12 +178,12 @@
         self.fleet.referee.note("arrive", self.index, call.id, call.customer.id, call.route.name)
         self.gateway.arrived(call)
 
-    def give_up(self, one: UpstreamTry, outcome: Outcome) -> None:
+    def give_up(self, one: Attempt, outcome: Outcome) -> None:
         if one.outcome is None:
             self.fleet.servers.abandon(one)
             self.end_try(one, outcome)
 
-    def end_try(self, one: UpstreamTry, outcome: Outcome) -> None:
+    def end_try(self, one: Attempt, outcome: Outcome) -> None:
         if self.alive and self.engine.now < self.wakes:
             self.engine.at(self.wakes, lambda: self.end_try(one, outcome))
             return
@@ -172,10 +191,10 @@
             return
         one.outcome = outcome
         self.fleet.referee.note("end", self.index, one.call.id, one.number, outcome.name)
-        final = one.call.rq is None
+        final = one.call.request is None
         if outcome is Outcome.OK and not final:
             self.fleet.answer(self, one.call, "proxied", 0.0, one)
             final = True
         self.gateway.try_ended(one, self.now - one.sent, final, 0.0, None, {})
-        if one.call.rq is None:
+        if one.call.request is None:
             self.release(one.call)
--- a/brookhub/emulator/rules.py
+++ b/brookhub/emulator/rules.py
@@ -15,7 +15,7 @@
 LATE = 1e-9  # s by which an answer may pass the client timeout: float rounding of the same instant
 
 
-class RuleBroken(AssertionError):
+class RuleBrokenError(AssertionError):
     """A rule (1 to 5) was broken; `trail` holds the events that led to it, oldest first."""
 
     def __init__(self, rule: int, text: str, trail: list[str]):
@@ -45,7 +45,7 @@
         self.broken[rule] = self.broken.get(rule, 0) + 1
         self.first_break = self.first_break or f"rule {rule}: {text}"
         if self.strict:
-            raise RuleBroken(rule, text, list(self.trail))
+            raise RuleBrokenError(rule, text, list(self.trail))
 
     # rule 2, and the one try out where second copies are off; rule 3 by the true state of the server
 
@@ -54,10 +54,13 @@
         if now > call.expires + LATE:
             self.breaks(1, f"call {call.id} sent on after its client timeout")
         if drained_at is not None and now > drained_at + grace:
-            self.breaks(3, f"call {call.id} sent to server {server.id}, draining or gone since {drained_at:.3f}")
+            self.breaks(
+                3, f"call {call.id} sent to server {server.id}, draining or gone since {drained_at:.3f}"
+            )
         from ..policy import NEVER_RAN  # the decisions' own list of outcomes that prove nothing ran
-        ran = [one for one in call.tries if one.outcome not in NEVER_RAN]
-        if not second_copies and any(one.outcome is None for one in call.tries):
+
+        ran = [one for one in call.attempts if one.outcome not in NEVER_RAN]
+        if not second_copies and any(one.outcome is None for one in call.attempts):
             self.breaks(2, f"call {call.id}: a second try out while second copies are off")
         if ran and call.route.repeat is not Repeat.IDEMPOTENT:
             if call.route.repeat is Repeat.NON_IDEMPOTENT:
@@ -71,7 +74,8 @@
 
     def rate_limiting(self, call) -> None:
         from ..policy import NEVER_RAN
-        ran = any(one.outcome not in NEVER_RAN for one in call.tries)
+
+        ran = any(one.outcome not in NEVER_RAN for one in call.attempts)
         safe = call.route.repeat is Repeat.IDEMPOTENT or call.route.group is Group.ALL
         if ran and not safe:
             self.breaks(2, f"call {call.id} rate-limited after a try that may have run")
@@ -80,4 +84,6 @@
         if answered:
             self.breaks(1, f"call {call.id} answered twice")
         elif self.now > call.expires + LATE:
-            self.breaks(1, f"call {call.id} answered {self.now - call.expires:.3f} s after its client timeout")
+            self.breaks(
+                1, f"call {call.id} answered {self.now - call.expires:.3f} s after its client timeout"
+            )
--- a/brookhub/lab/plot.py
+++ b/brookhub/lab/plot.py
@@ -8,9 +8,14 @@
 from .canvas import panels, saved
 from .sweep import read
 
-PANELS = [("served_share", "proxied share"), ("rate_limited_share", "rate-limited share"),
-          ("p50_ms", "p50 latency, ms"), ("p99_ms", "p99 latency, ms"),
-          ("quota_overshoot", "mean quota overshoot"), ("ceiling_overshoot", "worst ceiling overshoot")]
+PANELS = [
+    ("served_share", "proxied share"),
+    ("rate_limited_share", "rate-limited share"),
+    ("p50_ms", "p50 latency, ms"),
+    ("p99_ms", "p99 latency, ms"),
+    ("quota_overshoot", "mean quota overshoot"),
+    ("ceiling_overshoot", "worst ceiling overshoot"),
+]
 
 
 def series(rows: list[dict]) -> tuple[str, dict]:
@@ -28,15 +33,17 @@
     lines = {}
     for second, by_x in sorted(groups.items(), key=lambda item: str(item[0])):
         label = ", ".join(f"{name}={value}" for name, value in second) or "all"
-        lines[label] = [(x, {key: sum(m[key] for m in ms) / len(ms) for key, _ in PANELS})
-                        for x, ms in sorted(by_x.items())]
+        lines[label] = [
+            (x, {key: sum(m[key] for m in ms) / len(ms) for key, _ in PANELS})
+            for x, ms in sorted(by_x.items())
+        ]
     return first, lines
 
 
 def plot(out: Path, title: str, png: Path | None = None) -> Path:
     first, lines = series(read(out))
     figure, axes = panels(3, (13, 7), rows=2)
-    for (key, label), axis in zip(PANELS, axes.flat):
+    for (key, label), axis in zip(PANELS, axes.flat, strict=False):
         for name, points in lines.items():
             axis.plot([x for x, _ in points], [values[key] for _, values in points], marker="o", label=name)
         axis.set_title(label)
--- a/brookhub/maintenance/__init__.py
+++ b/brookhub/maintenance/__init__.py
@@ -4,8 +4,24 @@
 """
 
 from .core import Maintenance, MaintenancePort, Settings
-from .messages import FILLING, LEAVING, OPEN, TOPIC, Report, Table, Unreadable, pack, unpack
+from .messages import FILLING, LEAVING, OPEN, TOPIC, Report, Table, UnreadableError, pack, unpack
 from .plan import Machine, Plan, fits, order
 
-__all__ = ["FILLING", "LEAVING", "Machine", "Maintenance", "MaintenancePort", "OPEN", "Plan", "Report", "Settings", "TOPIC",
-           "Table", "Unreadable", "fits", "order", "pack", "unpack"]
+__all__ = [
+    "FILLING",
+    "LEAVING",
+    "Machine",
+    "Maintenance",
+    "MaintenancePort",
+    "OPEN",
+    "Plan",
+    "Report",
+    "Settings",
+    "TOPIC",
+    "Table",
+    "UnreadableError",
+    "fits",
+    "order",
+    "pack",
+    "unpack",
+]
--- a/brookhub/maintenance/messages.py
+++ b/brookhub/maintenance/messages.py
@@ -1,4 +1,4 @@
-"""What the limiters tell each other about a plan: msgspec structs as msgpack, tagged; what does not fit raises Unreadable."""
+"""What the limiters tell each other about a plan: msgspec structs as msgpack, tagged; what does not fit raises UnreadableError."""
 
 from __future__ import annotations
 
@@ -7,19 +7,23 @@
 import msgspec
 
 TOPIC = 2  # of maintenance among membership's words
-LEAVING, OPEN, FILLING = 1, 2, 3  # a machine's steps: permitted, safe to work on, back and filled as a cold one
+LEAVING, OPEN, FILLING = (
+    1,
+    2,
+    3,
+)  # a machine's steps: permitted, safe to work on, back and filled as a cold one
 NOTHING_SAID = (0, "", 0)
 PIECE = 900  # bytes of a plan in a message, below membership.WORD_MOST with its head
 MOST_PIECES = 64
 
 Name = Annotated[str, msgspec.Meta(max_length=32)]
-Count = Annotated[int, msgspec.Meta(ge=0, le=2 ** 40)]
+Count = Annotated[int, msgspec.Meta(ge=0, le=2**40)]
 Digest = Annotated[str, msgspec.Meta(max_length=16)]
 Ballot = tuple[Count, Name]
 Mark = tuple[Count, Name, Count]  # ballot and serial: the order of tables
 
 
-class Unreadable(ValueError):
+class UnreadableError(ValueError):
     """A word that is no message of maintenance."""
 
 
@@ -29,7 +33,8 @@
 
 class Table(msgspec.Struct, frozen=True, array_like=True):
     """What a majority holds: the plan by version and digest, machines out with their step, those done (bits by their place in
-    the plan), why it is halted ("" where it goes on), who votes."""
+    the plan), why it is halted ("" where it goes on), who votes.
+    """
 
     version: Count = 0
     digest: Digest = ""
@@ -38,7 +43,9 @@
     halted: Annotated[str, msgspec.Meta(max_length=120)] = ""
     voters: tuple[Name, ...] = ()
     resume: Count = 0
-    load: tuple[tuple[Annotated[str, msgspec.Meta(max_length=32)], float], ...] = ()  # by zone, when the plan began
+    load: tuple[
+        tuple[Annotated[str, msgspec.Meta(max_length=32)], float], ...
+    ] = ()  # by zone, when the plan began
 
     def step(self, name: str) -> int:
         return dict(self.outs).get(name, 0)
@@ -55,11 +62,13 @@
 
 class Ask(Struct):
     """May I lead?"""
+
     ballot: Ballot
 
 
 class Grant(Struct):
     """For a lease's time, with the table that I hold."""
+
     ballot: Ballot
     mark: Mark
     table: Table
@@ -67,12 +76,14 @@
 
 class Deny(Struct):
     """Another leads, or leads by a later ballot."""
+
     ballot: Ballot
     promised: Ballot
 
 
 class Write(Struct):
     """Hold this table, and the lease anew."""
+
     mark: Mark
     table: Table
 
@@ -84,6 +95,7 @@
 
 class Read(Struct):
     """What do you hold? Asked by one that started with nothing."""
+
     number: Count
 
 
@@ -98,6 +110,7 @@
 
 class Pass(Struct):
     """Between two of which one does not hear the other: a third hands it on."""
+
     origin: Name
     to: Name
     message: Union[Read, State]
@@ -105,18 +118,21 @@
 
 class Told(Struct):
     """A table that a majority holds, for those that do not vote."""
+
     mark: Mark
     table: Table
 
 
 class Heard(Struct):
     """The answer to Told."""
+
     mark: Mark
     report: Report
 
 
 class Offer(Struct):
     """I have this plan."""
+
     version: Count
     digest: Digest
 
@@ -142,8 +158,8 @@
 
 
 def unpack(data: bytes) -> Message:
-    """Raises Unreadable."""
+    """Raises UnreadableError."""
     try:
         return _decoder.decode(data)
     except (msgspec.DecodeError, UnicodeDecodeError, RecursionError) as bad:
-        raise Unreadable(str(bad)) from None
+        raise UnreadableError(str(bad)) from None
--- a/brookhub/membership/core.py
+++ b/brookhub/membership/core.py
@@ -10,17 +10,19 @@
 from heapq import nsmallest
 from math import ceil, log, log10
 from random import Random
-from typing import Callable, Iterable, Protocol
+from typing import Any, Callable, Iterable, Protocol
 
 from . import messages
 from .members import ABSENT, ALIVE, DEAD, LEFT, PRESENT, SUSPECT, UNHEARD, Member
-from .messages import ACK, HELLO, NACK, NEWS, PING, PING_FOR, TABLE, WORD, Message, encode, weight
+from .messages import ACK, HELLO, NACK, NEWS, PING, PING_FOR, TABLE, WORD, Message, Piece, encode, weight
 
 ANSWER = 0.4  # periods until a probe without an answer is made again, and by others
 HELPERS = 3  # members asked to probe for one: with 10% loss one in 25 such rounds fails
 CONFIRM = 3  # further members whose suspicion brings its time down to the least
 LEAST, LEAST_LOG = 3.0, 1.2  # periods of the shortest suspicion: at least, and for each factor of ten members
-LONGER = 4.0  # times the shortest that an unconfirmed suspicion lasts: a lost refutation has time to come again
+LONGER = (
+    4.0  # times the shortest that an unconfirmed suspicion lasts: a lost refutation has time to come again
+)
 ASKS = 0.5  # of a suspicion's time from which the suspect itself is asked: it may have put it right, unheard here
 HEALTH_MOST = 8  # of own doubts: a period and a wait for answers are up to so many times longer, plus one
 SLEPT = 2.0  # periods that a timer may come late before this member takes itself for the one that was away
@@ -33,7 +35,9 @@
 REACH_FIRST, HURRY = 0.15, 3.0  # s between them at first, while most are unheard, and how long
 EXCHANGE = 2.0  # s between sendings of a part of the table to one member: what news missed, with flat cost
 SLICE = 450  # bytes of that part
-GROGGY = 1.0  # s after it slept in which a member takes news of deaths for suspicions: they waited, and may be old
+GROGGY = (
+    1.0  # s after it slept in which a member takes news of deaths for suspicions: they waited, and may be old
+)
 SHRINK = 5.0  # s that a fleet grown smaller counts as it was: longer than a stall or a flap is
 LEAVES_TO = 8  # members told directly of a planned end
 
@@ -53,25 +57,40 @@
 class Membership:
     """One member's view. `peers`: the names listed beside its own; `lifeguard` False is plain SWIM, a baseline.
 
-    Tell it `received` (decoded messages with the listed name they came from), `relist`, `leave`; start it once."""
-
-    def __init__(self, port: MembershipPort, fleet: str, name: str, peers: Iterable[str], seed: int, period: float = 0.25,
-                 lifeguard: bool = True):
+    Tell it `received` (decoded messages with the listed name they came from), `relist`, `leave`; start it once.
+    """
+
+    def __init__(
+        self,
+        port: MembershipPort,
+        fleet: str,
+        name: str,
+        peers: Iterable[str],
+        seed: int,
+        period: float = 0.25,
+        lifeguard: bool = True,
+    ):
         self.port, self.fleet, self.name, self.period, self.lifeguard = port, fleet, name, period, lifeguard
-        self.rng, self.members = Random(f"{seed}/{name}"), {}
+        self.rng = Random(f"{seed}/{name}")
+        self.members: dict[str, Member] = {}
         self.incarnation, self.state, self.health = 0, ALIVE, 0
         self.order: list[Member] = []  # those to probe, in turn; shuffled each round
         self.turn = self.number = 0
         self.probed: Member | None = None  # whose answer is out, and with which number
         self.probe_number = self.nacks = self.helpers = 0
         self.asked: dict[int, tuple[str, int]] = {}  # number of a probe for another -> who asked, its number
-        self.news: dict[str, list] = {}  # name -> [times told, piece]
+        self.news: dict[str, list[Any]] = {}  # name -> [times told, piece]
         self.suspects: dict[str, Member] = {}
         self.pulsing = self.over = False
         self.numbers: tuple[int, int, int] | None = None  # as last told: live, rank, sure
         self.cursor, self.started = 0, port.now
-        self.due, self.woke = port.now, -GROGGY  # s: when the next probe is to be made; when it last had slept
-        self.counts: Counter = Counter()  # datagrams and bytes sent, messages dropped and why, refutations
+        self.due, self.woke = (
+            port.now,
+            -GROGGY,
+        )  # s: when the next probe is to be made; when it last had slept
+        self.counts: Counter[str] = (
+            Counter()
+        )  # datagrams and bytes sent, messages dropped and why, refutations
         self.present: set[str] = set()
         self.names: list[str] = []
         self.relist(peers)
@@ -115,7 +134,8 @@
 
     def say(self, topic: int, data: bytes, peers: Iterable[str] | None = None) -> None:
         """Another part's word to these members, or to all that are present: one datagram each, lost like any other.
-        Raises ValueError for more than messages.WORD_MOST bytes."""
+        Raises ValueError for more than messages.WORD_MOST bytes.
+        """
         for name in sorted(self.present) if peers is None else peers:
             if name in self.members and not self.over:
                 self.post(name, Message(self.fleet, messages.VERSION, WORD, self.name, topic, data=data))
@@ -136,7 +156,12 @@
             wronged = wronged or piece[0] == self.name and piece[1] != ALIVE
             self.hear(*piece, table=table)
         if message.kind == PING:  # who thinks wrongly of this member hears at once how it is, new or not
-            self.send(peer, ACK, message.number, news=self.yours(peer) + ([self.piece(self.name)] if wronged else []))
+            self.send(
+                peer,
+                ACK,
+                message.number,
+                news=self.yours(peer) + ([self.piece(self.name)] if wronged else []),
+            )
         elif message.kind == ACK:
             self.answered(peer, message)
         elif message.kind == PING_FOR:
@@ -146,9 +171,11 @@
         elif message.kind == WORD:
             self.port.said(peer, message.number, message.data)
         elif message.kind == HELLO:
-            self.table(peer, whole=True)  # with what is thought of it: only the member itself can put that right
+            self.table(
+                peer, whole=True
+            )  # with what is thought of it: only the member itself can put that right
         if table and message.number:  # it sent a part of its table: what is newer here goes back
-            newer = [self.piece(name) for name, *told in message.news if self.newer(name, *told)]
+            newer = [self.piece(piece[0]) for piece in message.news if self.newer(*piece)]
             if newer:
                 self.send(peer, TABLE, 0, news=newer)
         if held in ABSENT and message.kind in (PING, ACK):  # met again: what each knows of all others
@@ -213,7 +240,10 @@
             if self.lifeguard:
                 self.send(waits[0], NACK, waits[1])
             self.asked[-number] = waits  # an answer that comes later is still passed on
-            self.port.later(self.period, lambda: self.asked.pop(-number, None))
+            self.port.later(self.period, lambda: self.forget_asked(-number))
+
+    def forget_asked(self, number: int) -> None:
+        self.asked.pop(number, None)
 
     def answered(self, peer: str, message: Message) -> None:
         number = message.number
@@ -228,7 +258,7 @@
         silent = self.helpers - self.nacks
         self.health = min(HEALTH_MOST, self.health + (silent if self.helpers else 1)) if self.lifeguard else 0
         target = self.probed
-        if target.state in PRESENT:
+        if target is not None and target.state in PRESENT:
             self.hear(target.name, SUSPECT, target.incarnation, self.name)
 
     def slept(self) -> None:
@@ -243,7 +273,8 @@
 
     def hear(self, name: str, state: int, incarnation: int, by: str = "", table: bool = False) -> None:
         """One piece of news. A death from a table, or heard while waking, is only a suspicion: it may be as old as a
-        split or a sleep."""
+        split or a sleep.
+        """
         if name == self.name:
             return self.refute(state, incarnation)
         member = self.members.get(name)
@@ -255,8 +286,13 @@
             state, by = SUSPECT, self.name
         if member.overrides(state, incarnation):
             self.become(member, state, incarnation, by)
-        elif (state == SUSPECT == member.state and incarnation == member.incarnation and by not in member.by
-              and len(member.by) <= CONFIRM and self.lifeguard):
+        elif (
+            state == SUSPECT == member.state
+            and incarnation == member.incarnation
+            and by not in member.by
+            and len(member.by) <= CONFIRM
+            and self.lifeguard
+        ):
             member.by[by] = None
             self.tell(name, SUSPECT, incarnation, by)
 
@@ -275,8 +311,12 @@
             self.weigh(member)
         self.tell(name, state, incarnation, by)
         if before not in PRESENT and state in PRESENT:
-            self.order.insert(self.rng.randrange(self.turn, len(self.order) + 1) if self.turn <= len(self.order)
-                              else len(self.order), member)
+            self.order.insert(
+                self.rng.randrange(self.turn, len(self.order) + 1)
+                if self.turn <= len(self.order)
+                else len(self.order),
+                member,
+            )
         if before != state:
             self.port.changed(name, state)
             self.count()
@@ -310,7 +350,9 @@
             if waited >= patience:
                 self.hear(member.name, DEAD, member.incarnation, self.name)
             elif self.lifeguard and waited > ASKS * patience and now - member.asked >= self.period:
-                member.asked = now  # its word may have missed this one alone: asked itself before it counts as dead
+                member.asked = (
+                    now  # its word may have missed this one alone: asked itself before it counts as dead
+                )
                 self.send(member.name, PING, 0, news=self.yours(member.name))
         if self.news:
             for name in self.some(FANOUT, self.present):
@@ -322,7 +364,7 @@
             self.port.later(PULSE, self.pulse)
 
     def patience(self, member: Member) -> float:
-        """s that a suspicion lasts: the more members confirm it, the shorter, down to the least."""
+        """S that a suspicion lasts: the more members confirm it, the shorter, down to the least."""
         tens = log10(max(10, len(self.present) + 1))
         least = max(LEAST, LEAST_LOG * tens) * self.period
         confirms = min(CONFIRM, len(self.present) - 1)
@@ -370,25 +412,36 @@
 
     def newer(self, name: str, state: int, incarnation: int, by: str) -> bool:
         member = self.members.get(name)
-        return member is not None and member.state != UNHEARD and Member(name, state, incarnation).overrides(
-            member.state, member.incarnation)
+        return (
+            member is not None
+            and member.state != UNHEARD
+            and Member(name, state, incarnation).overrides(member.state, member.incarnation)
+        )
 
     # what is sent
 
-    def piece(self, name: str) -> tuple:
+    def piece(self, name: str) -> Piece:
         if name == self.name:
             return (name, self.state, self.incarnation, "")
         member = self.members[name]
         return (name, member.state, max(0, member.incarnation), next(iter(member.by), ""))
 
-    def yours(self, peer: str) -> list[tuple]:
+    def yours(self, peer: str) -> list[Piece]:
         """What is wrongly thought of the one talked to goes first: it can put that right (Lifeguard's buddies)."""
         member = self.members.get(peer)
         told = member is not None and member.state in (SUSPECT, DEAD, LEFT) and self.lifeguard
         return [self.piece(peer)] if told else []
 
-    def send(self, peer: str, kind: int, number: int = 0, about: str = "", news: list | None = None,
-             room: int = PIGGYBACK, chosen: bool = False) -> None:
+    def send(
+        self,
+        peer: str,
+        kind: int,
+        number: int = 0,
+        about: str = "",
+        news: list[Piece] | None = None,
+        room: int = PIGGYBACK,
+        chosen: bool = False,
+    ) -> None:
         pieces = list(news or ())
         if kind == HELLO:
             pieces.append(self.piece(self.name))
@@ -403,14 +456,14 @@
         self.counts["bytes"] += len(data)
         self.port.send(peer, data)
 
-    def pick_news(self, pieces: list, room: int) -> None:
+    def pick_news(self, pieces: list[Piece], room: int) -> None:
         """The news told least often first, as much as fits; what was told often enough is dropped."""
         if not self.news:
             return
         most = ceil(RETELL * log10(len(self.present) + 10))
         room -= sum(map(weight, pieces))
-        items = self.news.items()
-        if len(items) > 8:
+        items: Iterable[tuple[str, list[Any]]] = self.news.items()
+        if len(self.news) > 8:
             items = nsmallest(room // 20 + 1, items, key=lambda item: item[1][0])
         for key, held in sorted(items, key=lambda item: item[1][0]):
             room -= weight(held[1])
@@ -425,7 +478,9 @@
         """So many of these at random (drawn over a sorted list: sets have no order to rely on)."""
         if len(among) <= most:
             return sorted(among)
-        if len(among) > len(self.names) // 2:  # draw names until enough are among them: no sorting of a large fleet
+        if (
+            len(among) > len(self.names) // 2
+        ):  # draw names until enough are among them: no sorting of a large fleet
             found: dict[str, None] = {}
             while len(found) < most:
                 name = self.names[self.rng.randrange(len(self.names))]
@@ -447,8 +502,13 @@
         if member.state in PRESENT:
             self.set_counted(member, True, True)
         else:
-            self.port.later(SHRINK, lambda: moves == member.moves and not self.over and (
-                self.set_counted(member, False, member.state != LEFT) or self.count()))
+            self.port.later(SHRINK, lambda: self.shrink(member, moves))
+
+    def shrink(self, member: Member, moves: int) -> None:
+        """Count one that went as away, unless its presence has changed since it had moved so often."""
+        if moves == member.moves and not self.over:
+            self.set_counted(member, False, member.state != LEFT)
+            self.count()
 
     def set_counted(self, member: Member, counted: bool, sure: bool) -> None:
         if self.members.get(member.name) is member:
--- a/brookhub/program/log.py
+++ b/brookhub/program/log.py
@@ -10,7 +10,8 @@
 
 class LossyFile:
     """A log file that never fails its writer: a line that can't be written (nobody reads the pipe any more, the disk is
-    full) is dropped and counted. Threads that serve write here, and no request is to end for want of a log."""
+    full) is dropped and counted. Threads that serve write here, and no request is to end for want of a log.
+    """
 
     def __init__(self, file: TextIO):
         self._file = file
@@ -31,14 +32,21 @@
 
 def setup(form: str = "json") -> None:
     """One log configuration for every sub-command: JSON lines (`json`) or a terminal's (`console`), on stderr."""
-    render = structlog.dev.ConsoleRenderer(colors=False) if form == "console" else structlog.processors.JSONRenderer()
+    render = (
+        structlog.dev.ConsoleRenderer(colors=False)
+        if form == "console"
+        else structlog.processors.JSONRenderer()
+    )
     structlog.configure(
-        processors=[structlog.processors.add_log_level,
-                    structlog.processors.TimeStamper(fmt="iso", utc=True),
-                    structlog.processors.format_exc_info,
-                    render],
+        processors=[
+            structlog.processors.add_log_level,
+            structlog.processors.TimeStamper(fmt="iso", utc=True),
+            structlog.processors.format_exc_info,
+            render,
+        ],
         logger_factory=structlog.WriteLoggerFactory(file=LossyFile(sys.stderr)),
-        cache_logger_on_first_use=True)
+        cache_logger_on_first_use=True,
+    )
 
 
 def open_log(name: str):
@@ -56,4 +64,6 @@
 
     def __call__(self, peer: str, reason: str, server, seconds: float, answers: int) -> None:
         more = {"server": f"{server.id:x}"} if server else {}
-        self.log.info("connection ended", peer=peer, reason=reason, seconds=round(seconds, 3), answers=answers, **more)
+        self.log.info(
+            "connection ended", peer=peer, reason=reason, seconds=round(seconds, 3), answers=answers, **more
+        )
--- a/brookhub/protocol/hosts.py
+++ b/brookhub/protocol/hosts.py
@@ -4,9 +4,10 @@
 
 import json
 from hashlib import sha256
+from typing import Any
 
 from ..interface import State
-from .resp import Malformed
+from .resp import MalformedError
 
 STATES = {"Ready": State.READY, "Terminating": State.DRAINING, "Gone": State.GONE}
 
@@ -16,16 +17,16 @@
 
     __slots__ = ("name", "address", "zone", "kind", "cell", "state", "weight", "born")
 
-    def __init__(self, item: dict):
+    def __init__(self, item: dict[str, Any]):
         self.name = text(item, "host")
         try:
             self.address = address(text(item, "dial"))
         except ValueError as bad:
-            raise Malformed(f"{self.name}: {bad}") from None
+            raise MalformedError(f"{self.name}: {bad}") from None
         self.zone, self.kind = text(item, "site", ""), text(item, "class", "")
         self.cell = int(figure(item, "block", 0))
         if item.get("health") not in STATES:
-            raise Malformed(f"the health of {self.name} is unknown")
+            raise MalformedError(f"the health of {self.name} is unknown")
         self.state = STATES[item["health"]]
         self.weight, self.born = figure(item, "share", 1.0), figure(item, "born_ms", 0) / 1000
 
@@ -46,29 +47,29 @@
     return host.strip("[]"), int(port)
 
 
-def text(item: dict, name: str, absent: str | None = None) -> str:
+def text(item: dict[str, Any], name: str, absent: str | None = None) -> str:
     value = item.get(name, absent)
     if not isinstance(value, str):
-        raise Malformed(f"{name} of a server is no text")
+        raise MalformedError(f"{name} of a server is no text")
     return value
 
 
-def figure(item: dict, name: str, absent: float) -> float:
+def figure(item: dict[str, Any], name: str, absent: float) -> float:
     value = item.get(name, absent)
     if isinstance(value, bool) or not isinstance(value, (int, float)) or not -1e15 < value < 1e15:
-        raise Malformed(f"{name} of a server is no number")
+        raise MalformedError(f"{name} of a server is no number")
     return value
 
 
 class News:
     """A list of servers, whole or what changed in it."""
 
-    def __init__(self, told):
+    def __init__(self, told: Any):
         if not isinstance(told, dict) or not isinstance(told.get("hosts"), list):
-            raise Malformed("a server list without hosts")
+            raise MalformedError("a server list without hosts")
         self.version, self.whole = int(figure(told, "seq", 0)), told.get("whole") is True
         if not all(isinstance(item, dict) for item in told["hosts"]):
-            raise Malformed("a server that is no object")
+            raise MalformedError("a server that is no object")
         self.hosts = [Host(item) for item in told["hosts"]]
 
 
@@ -76,5 +77,5 @@
     try:
         told = json.loads(line)
     except (ValueError, RecursionError):
-        raise Malformed("a server list that is not JSON") from None
+        raise MalformedError("a server list that is not JSON") from None
     return News(told)
--- a/brookhub/recovery/__init__.py
+++ b/brookhub/recovery/__init__.py
@@ -5,8 +5,19 @@
 """
 
 from .core import Recovery, RecoveryPort, Settings
-from .disk import Record, Unusable, append, scan, snapshot
+from .disk import Record, UnusableError, append, scan, snapshot
 from .epochs import Epochs
 from .ledger import Ledger
 
-__all__ = ["Epochs", "Ledger", "Record", "Recovery", "RecoveryPort", "Settings", "Unusable", "append", "scan", "snapshot"]
+__all__ = [
+    "Epochs",
+    "Ledger",
+    "Record",
+    "Recovery",
+    "RecoveryPort",
+    "Settings",
+    "UnusableError",
+    "append",
+    "scan",
+    "snapshot",
+]
--- a/brookhub/recovery/disk.py
+++ b/brookhub/recovery/disk.py
@@ -18,7 +18,7 @@
 HEAD = Struct("<HI")  # length of what follows, its checksum (xxh32)
 
 
-class Unusable(ValueError):
+class UnusableError(ValueError):
     """A file that holds no record at all, though it isn't empty."""
 
 
@@ -52,12 +52,15 @@
 
 def snapshot(ledger: Ledger, now: float, calendar: float) -> bytes:
     """The whole ledger in as few records; `now` and `calendar`: the same moment (s) on the ledger's clock and the calendar."""
-    return b"".join(append(Record(str(name), one.own, one.lives, one.dies - now + calendar, True))
-                    for name, one in sorted(ledger.entries.items()) if one.dies > now and one.own)
+    return b"".join(
+        append(Record(str(name), one.own, one.lives, one.dies - now + calendar, True))
+        for name, one in sorted(ledger.entries.items())
+        if one.dies > now and one.own
+    )
 
 
 def scan(data: bytes, now: float, calendar: float) -> Scanned:
-    """Read a file; names that died meanwhile are left out. Raises Unusable where nothing in it is a record."""
+    """Read a file; names that died meanwhile are left out. Raises UnusableError where nothing in it is a record."""
     found, at, whole = Scanned(Ledger()), 0, True  # whole: the one before ended where this begins
     entries = found.ledger.entries
     while True:
@@ -74,7 +77,7 @@
             found.torn = len(data) - begins
             break
         length, checksum = HEAD.unpack_from(data, at)
-        body = data[at + HEAD.size:at + HEAD.size + length]
+        body = data[at + HEAD.size : at + HEAD.size + length]
         if len(body) < length and data.find(MARK, at) < 0:
             found.torn = len(data) - begins
             break
@@ -93,6 +96,6 @@
             entry = entries[name] = Entry(record.lives, record.dies - calendar + now)
         entry.own = record.amount if record.whole else entry.own + record.amount
     if data and not found.records and not found.torn:
-        raise Unusable("no record in it")
+        raise UnusableError("no record in it")
     found.ledger.sweep(now)
     return found
--- a/brookhub/recovery/epochs.py
+++ b/brookhub/recovery/epochs.py
@@ -16,7 +16,12 @@
 
 ERA = LIVES / 3  # s of a register, so that two are alive in its second half
 TOKEN = 99_999  # the largest token: a few add up to seven digits at most, which the counter keeps exactly
-REGISTER, ROLL, CLAIM, EPOCH = 1 << 100, 2 << 100, 3 << 100, 70  # names beyond the decisions' 64 bits; where an epoch stands in one
+REGISTER, ROLL, CLAIM, EPOCH = (
+    1 << 100,
+    2 << 100,
+    3 << 100,
+    70,
+)  # names beyond the decisions' 64 bits; where an epoch stands in one
 
 
 class Epochs:
@@ -52,13 +57,15 @@
 
     def carries(self, clock: float) -> bool:
         """Whether it is this limiter's turn, or past it, to carry the epoch into the next era (one after another, so that one
-        that is gone is made up for)."""
+        that is gone is made up for).
+        """
         turn = (self.slot - floor(clock / ERA)) % self.limiters
         return self.epoch > 0 and clock % ERA >= ERA / 2 * (1 + (turn + 1) / (self.limiters + 1))
 
     def read(self, value: float) -> str:
         """What a register's value means: "same", "new", "empty" (a token is to be added) or "left" (an epoch that was left
-        came back: a token is to be added, so that nobody takes it for what it was)."""
+        came back: a token is to be added, so that nobody takes it for what it was).
+        """
         value = round(value)
         if value <= 0:
             return "empty"
@@ -77,10 +84,13 @@
         """The roll of the beat before that of `clock`, which is whole by now."""
         number = floor(clock / self.beat) - 1
         if number > self.since:
-            self.rolls = {at: many for at, many in self.rolls.items() if at >= number - 1} | {number: round(value)}
+            self.rolls = {at: many for at, many in self.rolls.items() if at >= number - 1} | {
+                number: round(value)
+            }
 
     def here(self, clock: float) -> int | None:
         """Limiters that see this keeper: the larger of the last two whole beats' rolls; None while none is known of a beat that
-        began since this epoch was entered, or none lately."""
+        began since this epoch was entered, or none lately.
+        """
         number = floor(clock / self.beat)
         return max((many for at, many in self.rolls.items() if at >= number - 3), default=None)
--- a/brookhub/routing/connections.py
+++ b/brookhub/routing/connections.py
@@ -7,7 +7,7 @@
 from time import monotonic
 from typing import Callable
 
-from ..protocol.resp import Malformed
+from ..protocol.resp import MalformedError
 from ..transport.sockets import dial
 from ..transport.threads import spawn
 
@@ -26,7 +26,7 @@
         return "silent"
     except OSError:
         return "reset"
-    except Malformed as bad:
+    except MalformedError as bad:
         return bad.reason if bad.reason in ("oversized", "turned-away") else "nonsense"
     except Exception as met:
         faults(met)
@@ -39,10 +39,12 @@
     Called outside the port's lock.
     """
     if not spawn(name, work):
-        port.run(monotonic(), port.later, THREAD_PAUSE, lambda: port.todo.append((spawn_surely, port, name, work)))
+        port.run(
+            monotonic(), port.later, THREAD_PAUSE, lambda: port.todo.append((spawn_surely, port, name, work))
+        )
 
 
-class Dialling:
+class Reconnector:
     """Keeps one peer's address dialled, from a thread of its own, until it is `over`.
 
     The pause between two dials doubles while no connection brings an answer, up to the longest of `pauses`. Each is
@@ -51,8 +53,17 @@
     The next dial begins at the latest `again_within` s after the peer was last heard, whatever pause is due.
     """
 
-    def __init__(self, peer: str, address: tuple[str, int], within: float, pauses: tuple[float, float],
-                 chance: Callable[[], float], log_end: Callable, faults: Callable, again_within: float = inf):
+    def __init__(
+        self,
+        peer: str,
+        address: tuple[str, int],
+        within: float,
+        pauses: tuple[float, float],
+        chance: Callable[[], float],
+        log_end: Callable,
+        faults: Callable,
+        again_within: float = inf,
+    ):
         self.peer, self.address, self.within, self.pauses, self.chance = peer, address, within, pauses, chance
         self.log_end, self.faults, self.again_within = log_end, faults, again_within
         self.over, self.asked = Event(), 0.0
--- a/brookhub/routing/peers.py
+++ b/brookhub/routing/peers.py
@@ -11,12 +11,15 @@
 
 from xxhash import xxh3_64_intdigest
 
-from ..choices import TOPIC, ByPeers, Parts, Shared, Signals, Turns, Unusable, unpack
-from ..membership import LARGEST, WORDS, Membership, Unreadable, decode
+from ..choices import TOPIC, ByPeers, Parts, Shared, Signals, Turns, UnusableError, unpack
+from ..membership import LARGEST, WORDS, Membership, UnreadableError, decode
 from ..transport.threads import spawn
 
 BUFFER = 256 * 1024  # bytes that the system holds of datagrams not yet read: a burst after a split heals
-SAYS, SAYS_DROPPED = 1.0, 5.0  # s between two log lines of the fleet's state at the least, of what was dropped
+SAYS, SAYS_DROPPED = (
+    1.0,
+    5.0,
+)  # s between two log lines of the fleet's state at the least, of what was dropped
 NAMED = 8  # absent members named in a log line
 
 
@@ -27,7 +30,8 @@
 
 class Peers:
     """The membership of one limiter on sockets. `spec`: config.models.MembershipFile; raises OSError where its
-    address can't be had. A membership.MembershipPort: its methods but `start` and `read` run under the port's lock."""
+    address can't be had. A membership.MembershipPort: its methods but `start` and `read` run under the port's lock.
+    """
 
     def __init__(self, port, log, spec, seed: int):
         self.port, self.log, self.fleet = port, log, spec.fleet
@@ -50,7 +54,9 @@
         self.turns = Turns(xxh3_64_intdigest(spec.fleet), spec.name)  # one key for a fleet, the same at all
         self.on_topic: dict[int, object] = {}  # what other parts take of the peers' words
         self.signals = Signals(ByPeers(self, self.core), self.turns) if spec.signals else None
-        self.parts = Parts(self.turns.key, spec.name, self.by_name, self.core.counted) if spec.subsets else None
+        self.parts = (
+            Parts(self.turns.key, spec.name, self.by_name, self.core.counted) if spec.subsets else None
+        )
         if self.signals or self.parts:
             port.gateway.choices_told(Shared(self.signals, self.parts))
         if self.signals:
@@ -86,7 +92,7 @@
                 continue
             try:
                 message = decode(data, self.fleet)
-            except Unreadable as bad:
+            except UnreadableError as bad:
                 self.drop(bad.reason)
                 continue
             self.port.run(monotonic(), self.core.received, peer, message)
@@ -135,7 +141,7 @@
             return
         try:
             self.signals.heard(peer, unpack(data))
-        except Unusable:
+        except UnusableError:
             self.drop("unreadable")
 
     def look(self) -> None:
@@ -145,8 +151,17 @@
         if shunned != self.shunned:
             self.shunned = shunned
             told, refused = signals.told, signals.refused
-            self.port.todo.append((lambda: self.log.info("servers left alone", servers=shunned[:NAMED],
-                                                         more=max(0, len(shunned) - NAMED), words=told, refused=refused),))
+            self.port.todo.append(
+                (
+                    lambda: self.log.info(
+                        "servers left alone",
+                        servers=shunned[:NAMED],
+                        more=max(0, len(shunned) - NAMED),
+                        words=told,
+                        refused=refused,
+                    ),
+                )
+            )
         self.later(SAYS, self.look)
 
     # the log
@@ -158,16 +173,35 @@
 
     def say(self) -> None:
         self.saying, self.said_at = False, self.now
-        absent = [f"{name} {WORDS[one.state]}" for name, one in sorted(self.core.members.items())
-                  if name not in self.core.present]
+        absent = [
+            f"{name} {WORDS[one.state]}"
+            for name, one in sorted(self.core.members.items())
+            if name not in self.core.present
+        ]
         live, rank, sure = self.numbers
-        self.port.todo.append((lambda: self.log.info(
-            "fleet", live=live, rank=rank, sure=sure, present=1 + len(self.core.present), absent=absent[:NAMED],
-            more=max(0, len(absent) - NAMED)),))
+        self.port.todo.append(
+            (
+                lambda: self.log.info(
+                    "fleet",
+                    live=live,
+                    rank=rank,
+                    sure=sure,
+                    present=1 + len(self.core.present),
+                    absent=absent[:NAMED],
+                    more=max(0, len(absent) - NAMED),
+                ),
+            )
+        )
 
     def say_dropped(self) -> None:
-        counts = {**self.dropped, **{name: self.core.counts[name] for name in ("foreign", "unlisted-member")
-                                     if self.core.counts[name]}}
+        counts = {
+            **self.dropped,
+            **{
+                name: self.core.counts[name]
+                for name in ("foreign", "unlisted-member")
+                if self.core.counts[name]
+            },
+        }
         if counts != self.dropped_told:
             self.dropped_told = counts
             self.port.todo.append((lambda: self.log.warning("peer datagrams dropped", **counts),))
--- a/brookhub/routing/port.py
+++ b/brookhub/routing/port.py
@@ -8,7 +8,7 @@
 from time import monotonic
 from typing import Callable
 
-from ..interface import ApiCall, Outcome, Server, Told, UpstreamTry
+from ..interface import ApiCall, Attempt, Outcome, Server, Told
 from ..protocol import calls
 
 
@@ -19,14 +19,23 @@
     has to be written, dialled, closed or logged goes to `todo`, which the same thread does after it.
     """
 
-    def __init__(self, faults: Callable[[BaseException], None], grain: float,
-                 log_woken: Callable[[float], None] = lambda seconds: None):
+    def __init__(
+        self,
+        faults: Callable[[BaseException], None],
+        grain: float,
+        log_woken: Callable[[float], None] = lambda seconds: None,
+    ):
         self.log_woken = log_woken
         self.now, self.lock, self.faults = monotonic(), Lock(), faults
         self.alarms, self.order, self.grain = [], 0, grain
-        self.bell, self.looks_at = Lock(), 0.0  # held while nobody rings; when the timers look next by themselves
+        self.bell, self.looks_at = (
+            Lock(),
+            0.0,
+        )  # held while nobody rings; when the timers look next by themselves
         self.todo, self.soon = [], deque()
-        self.watch: Callable[[ApiCall, float, bool], None] | None = None  # told of each final answer: s it took, proxied or not
+        self.watch: Callable[[ApiCall, float, bool], None] | None = (
+            None  # told of each final answer: s it took, proxied or not
+        )
         self.recovery = None  # stands before the counter where the operator's file has it
         self.gateway = self.servers = self.counter = self.discovery = None  # set where the program is wired
 
@@ -80,16 +89,16 @@
             self.looks_at = 0.0  # rung once is enough
             self.bell.release()
 
-    def send(self, call: ApiCall, server: Server, timeout: float) -> UpstreamTry:
-        one = UpstreamTry(call, server, len(call.tries), self.now)
-        call.tries.append(one)
+    def send(self, call: ApiCall, server: Server, timeout: float) -> Attempt:
+        one = Attempt(call, server, len(call.attempts), self.now)
+        call.attempts.append(one)
         left = call.expires - self.now
         left = min(timeout, left) if timeout > 0 else left
         self.servers.send(one, self.now + left)
         self.later(left, lambda: self.give_up(one, Outcome.TIMEOUT))
         return one
 
-    def cancel(self, upstream: UpstreamTry) -> None:
+    def cancel(self, upstream: Attempt) -> None:
         if upstream.outcome is None:
             self.servers.abandon(upstream)
             self.soon.append(lambda: self.end_try(upstream, Outcome.CANCELLED))
@@ -114,17 +123,24 @@
 
     # how tries end
 
-    def give_up(self, one: UpstreamTry, outcome: Outcome) -> None:
+    def give_up(self, one: Attempt, outcome: Outcome) -> None:
         if one.outcome is None:
             self.servers.abandon(one)
             self.end_try(one, outcome)
 
-    def end_try(self, one: UpstreamTry, outcome: Outcome, value: bytes | None = None, charged: float = 0.0,
-                used: float | None = None, report: dict | None = None) -> None:
+    def end_try(
+        self,
+        one: Attempt,
+        outcome: Outcome,
+        value: bytes | None = None,
+        charged: float = 0.0,
+        used: float | None = None,
+        report: dict | None = None,
+    ) -> None:
         if one.outcome is not None:
             return
         one.outcome = outcome
-        final = one.call.rq is None
+        final = one.call.request is None
         if outcome is Outcome.OK and not final:
             one.call.slot.answer(*calls.proxied(value))
             self.watched(one.call, True)
--- a/brookhub/routing/servers.py
+++ b/brookhub/routing/servers.py
@@ -5,7 +5,7 @@
 from time import monotonic
 from typing import Callable
 
-from ..interface import Outcome, Server, State, UpstreamTry
+from ..interface import Attempt, Outcome, Server, State
 from ..protocol import resp
 from ..protocol.calls import ServerAnswer
 from ..transport.sockets import dial
@@ -24,7 +24,7 @@
 class Link:
     """One connection to a server, and the thread that dials and reads it."""
 
-    def __init__(self, servers: Servers, pool: Pool, server: Server, one: UpstreamTry):
+    def __init__(self, servers: Servers, pool: Pool, server: Server, one: Attempt):
         self.servers, self.pool, self.server, self.one = servers, pool, server, one
         self.stream, self.ended, self.idle_at, self.until, self.served = None, None, 0.0, 0.0, 0
         self.reader, self.gathered = resp.Reader(servers.largest), 0
@@ -53,7 +53,9 @@
         port.run(monotonic(), servers.broke, self)
         self.stream.close()
         port.run(monotonic(), servers.closed)
-        servers.log_end("server", self.ended or self.stream.reason, self.server, monotonic() - began, self.served)
+        servers.log_end(
+            "server", self.ended or self.stream.reason, self.server, monotonic() - began, self.served
+        )
 
     def end(self, reason: str) -> None:
         self.ended = self.ended or reason
@@ -64,14 +66,26 @@
 class Servers:
     """All connections to servers. Its methods but for `Link.run` are called under the port's lock."""
 
-    def __init__(self, port, log_end: Callable, connect_within: float, idle_for: float, settles_for: float,
-                 most_links: int, largest: int, most_gathered: int):
+    def __init__(
+        self,
+        port,
+        log_end: Callable,
+        connect_within: float,
+        idle_for: float,
+        settles_for: float,
+        most_links: int,
+        largest: int,
+        most_gathered: int,
+    ):
         self.port, self.log_end, self.connect_within = port, log_end, connect_within
         self.idle_for, self.settles_for, self.most_links = idle_for, settles_for, most_links
-        self.largest, self.most_gathered = largest, most_gathered  # bytes of a value, of all that are on their way
+        self.largest, self.most_gathered = (
+            largest,
+            most_gathered,
+        )  # bytes of a value, of all that are on their way
         self.gathered = 0
         self.pools: dict[int, Pool] = {}
-        self.out: dict[UpstreamTry, Link] = {}
+        self.out: dict[Attempt, Link] = {}
         self.living = 0  # connections whose descriptor is not yet given back
         self.idle: dict[Link, None] = {}  # those that are free, the longest idle first
 
@@ -90,7 +104,7 @@
         if server.state is State.GONE:
             self.pools.pop(server.id, None)
 
-    def send(self, one: UpstreamTry, until: float) -> None:
+    def send(self, one: Attempt, until: float) -> None:
         pool = self.pools[one.server.id]
         link = self.free_link(pool)
         if link:
@@ -108,7 +122,8 @@
 
     def free_link(self, pool: Pool) -> Link | None:
         """The one used last, as the others may grow old and go; but one that has just brought an answer may yet bring
-        more than that, and one on which something came while nothing waited is of no further use."""
+        more than that, and one on which something came while nothing waited is of no further use.
+        """
         for link in reversed(list(pool.idle)):
             if not link.stream.quiet():
                 self.drop(link, "nonsense")
@@ -126,7 +141,7 @@
     def closed(self) -> None:
         self.living -= 1
 
-    def attach(self, link: Link, one: UpstreamTry, until: float) -> None:
+    def attach(self, link: Link, one: Attempt, until: float) -> None:
         link.one, link.until, self.out[one] = one, until, link
 
     def write(self, link: Link) -> None:
@@ -140,7 +155,7 @@
             one = link.one
             self.drop(link, "unlisted")
             self.port.end_try(one, Outcome.UNSENT)
-        elif link.one.call.rq is None:  # so ended while it was dialled: nothing more goes out for it
+        elif link.one.call.request is None:  # so ended while it was dialled: nothing more goes out for it
             one = link.one
             self.free(link)
             self.port.end_try(one, Outcome.UNSENT)
@@ -160,8 +175,8 @@
                 return self.drop(link, "nonsense")
             self.gather(link, len(link.reader.gathered))  # what was said is counted: it may yet come
             if self.gathered > self.most_gathered:
-                raise resp.Malformed("more than there is memory for", "oversized")
-        except resp.Malformed as bad:
+                raise resp.MalformedError("more than there is memory for", "oversized")
+        except resp.MalformedError as bad:
             self.drop(link, "oversized" if bad.reason == "oversized" else "nonsense")
             self.port.end_try(one, Outcome.ERROR)
         except OSError:
@@ -210,7 +225,7 @@
             link.one = None
         self.port.todo.append((link.end, reason))
 
-    def abandon(self, one: UpstreamTry) -> None:
+    def abandon(self, one: Attempt) -> None:
         link = self.out.get(one)
         if link:
             self.drop(link, "abandoned")
--- a/brookhub/stand_ins/counter.py
+++ b/brookhub/stand_ins/counter.py
@@ -16,7 +16,8 @@
 
     `split()` gives the limiters (by their address, `side`) different keepers; `wipe()` empties all, `lose()` a share of the
     names; `swap()` puts an empty keeper in its place and `restore()` the old one back; `lost` is the share of answers
-    that never come."""
+    that never come.
+    """
 
     def __init__(self, at: tuple[str, int] = ("127.0.0.1", 0), delay: float = 0.0):
         self.lost, self.rng, self.aside = 0.0, random.Random(1), None
@@ -70,8 +71,12 @@
                     self.asked += 1
                     keeper = self.keepers[self.side(limiter)]
                     total = keeper.add(words[1], float(words[2]), float(words[3]) / 1000, monotonic())
-                answer = {"ok": b"$%d\r\n%b\r\n" % (len(b"%.7g" % total), b"%.7g" % total), "busy": b"-BUSY\r\n",
-                          "nonsense": b"$3\r\nfoo\r\n", "silent": b""}.get(self.mode, b"")
+                answer = {
+                    "ok": b"$%d\r\n%b\r\n" % (len(b"%.7g" % total), b"%.7g" % total),
+                    "busy": b"-BUSY\r\n",
+                    "nonsense": b"$3\r\nfoo\r\n",
+                    "silent": b"",
+                }.get(self.mode, b"")
             if self.delay:
                 time.sleep(self.delay)
             if self.mode != "silent" and not (self.lost and self.rng.random() < self.lost):
--- a/brookhub/transport/stream.py
+++ b/brookhub/transport/stream.py
@@ -2,6 +2,7 @@
 
 from __future__ import annotations
 
+import contextlib
 import select
 import socket
 import sys
@@ -11,10 +12,13 @@
 from .ring import Ring
 from .threads import spawn
 
-
-ENDED = select.POLLRDHUP | select.POLLHUP | select.POLLERR  # the other side sends no more, or the connection broke
+ENDED = (
+    select.POLLRDHUP | select.POLLHUP | select.POLLERR
+)  # the other side sends no more, or the connection broke
 LAST_HEARD = 52  # place in Linux' struct tcp_info of the ms since the last bytes came (tcpi_last_data_recv)
-NOWHERE = bytearray(16 * 1024)  # bytes waited for at a time, at most: well within what the system holds of one
+NOWHERE = bytearray(
+    16 * 1024
+)  # bytes waited for at a time, at most: well within what the system holds of one
 # connection. Nothing is written there: they are counted, not taken
 
 
@@ -25,8 +29,19 @@
     system takes at once; what it does not take is written by a thread that lives as long as that needs.
     """
 
-    __slots__ = ("sock", "lock", "inbound", "outbound", "flushing", "reason", "told", "tried",
-                 "written", "drained", "last")
+    __slots__ = (
+        "sock",
+        "lock",
+        "inbound",
+        "outbound",
+        "flushing",
+        "reason",
+        "told",
+        "tried",
+        "written",
+        "drained",
+        "last",
+    )
 
     def __init__(self, sock: socket.socket, limit: int, drained: Callable[[], None] | None = None):
         self.sock, self.lock, self.drained = sock, Lock(), drained
@@ -43,9 +58,12 @@
 
     def wait(self, wanted: int = 1) -> bool:
         """Wait until so many bytes are there to read, or a fair part of many, and leave them where they are; False at
-        the end."""
+        the end.
+        """
         wanted = max(1, min(wanted, len(NOWHERE)))
-        return self.sock.recv_into(NOWHERE, wanted, socket.MSG_PEEK | socket.MSG_TRUNC | socket.MSG_WAITALL) > 0
+        return (
+            self.sock.recv_into(NOWHERE, wanted, socket.MSG_PEEK | socket.MSG_TRUNC | socket.MSG_WAITALL) > 0
+        )
 
     def read_at_once(self, wanted: int) -> bool:
         """Read what has come, of so many bytes; raises BlockingIOError where that is nothing."""
@@ -74,14 +92,16 @@
 
     def other_side_ended(self) -> bool:
         """Whether the other side has ended its sending or the connection broke, also where bytes that came before
-        that have not been read yet. Only for the thread that reads."""
+        that have not been read yet. Only for the thread that reads.
+        """
         look = select.poll()
         look.register(self.sock, select.POLLRDHUP)
         return any(events & ENDED for _, events in look.poll(0))
 
     def lain(self, at_most: float) -> float:
         """Seconds for which what nobody has read yet has been there, by the system's word; 0 where nothing has come.
-        `at_most` where the system does not tell."""
+        `at_most` where the system does not tell.
+        """
         if not len(self.inbound) and not self.unheard():
             return 0.0
         try:
@@ -90,7 +110,7 @@
             return at_most
         if len(told) < LAST_HEARD + 4:
             return at_most
-        return min(at_most, int.from_bytes(told[LAST_HEARD:LAST_HEARD + 4], sys.byteorder) / 1000)
+        return min(at_most, int.from_bytes(told[LAST_HEARD : LAST_HEARD + 4], sys.byteorder) / 1000)
 
     def put(self, data: bytes) -> bool:
         """Have it written after all before it; False where it does not fit."""
@@ -169,10 +189,8 @@
                 self._shut(socket.SHUT_WR)
 
     def _shut(self, how: int) -> None:
-        try:
+        with contextlib.suppress(OSError):
             self.sock.shutdown(how)
-        except OSError:
-            pass
 
     def close(self) -> None:
         self.sock.close()
