--- a/brookhub/transport/stream.py
+++ b/brookhub/transport/stream.py
@@ -3,7 +3,6 @@
 from __future__ import annotations
 
 import contextlib
-import select
 import socket
 import sys
 from threading import Lock
@@ -12,9 +11,6 @@
 from .ring import Ring
 from .threads import spawn
 
-ENDED = (
-    select.POLLRDHUP | select.POLLHUP | select.POLLERR
-)  # the other side sends no more, or the connection broke
 LAST_HEARD = 52  # place in Linux' struct tcp_info of the ms since the last bytes came (tcpi_last_data_recv)
 NOWHERE = bytearray(
     16 * 1024
@@ -91,12 +87,13 @@
             return False
 
     def other_side_ended(self) -> bool:
-        """Whether the other side has ended its sending or the connection broke, also where bytes that came before
-        that have not been read yet. Only for the thread that reads.
-        """
-        look = select.poll()
-        look.register(self.sock, select.POLLRDHUP)
-        return any(events & ENDED for _, events in look.poll(0))
+        """Whether the other side has ended its sending or the connection broke, where all that came before is read."""
+        try:
+            return not self.sock.recv(1, socket.MSG_PEEK | socket.MSG_DONTWAIT)
+        except BlockingIOError:
+            return False
+        except OSError:
+            return True
 
     def lain(self, at_most: float) -> float:
         """Seconds for which what nobody has read yet has been there, by the system's word; 0 where nothing has come.
