--- a/brookhub/choices/carriers.py
+++ b/brookhub/choices/carriers.py
@@ -11,7 +11,7 @@
 import xxhash
 
 from ..interface import Outcome
-from .signals import FADE, SICK, Signals
+from .signals import FADE, SICK, STILL_SICK, WELL, Signals
 
 TOPIC = 1  # of signals among membership's words
 MOST_WORDS = 60  # in a datagram: below membership.WORD_MOST with the longest ids
@@ -25,7 +25,9 @@
     """A datagram's data that is no list of words."""
 
 
-Word = tuple[Annotated[int, msgspec.Meta(ge=0, le=2**62)], Annotated[int, msgspec.Meta(ge=1, le=2)]]
+Word = tuple[
+    Annotated[int, msgspec.Meta(ge=0, le=2**62)], Annotated[int, msgspec.Meta(ge=SICK, le=STILL_SICK)]
+]
 _decoder = msgspec.msgpack.Decoder(Annotated[list[Word], msgspec.Meta(max_length=MOST_WORDS)])
 
 
@@ -94,7 +96,7 @@
         now = self.port.now
         self.allowed, self.at = min(ASKS, self.allowed + ASKS * (now - self.at)), now
         for server, what in words:
-            if what != SICK or now < self.quiet_until or self.allowed < 1:
+            if what == WELL or now < self.quiet_until or self.allowed < 1:
                 continue
             self.allowed -= 1
             self.asked += 1
--- a/brookhub/choices/signals.py
+++ b/brookhub/choices/signals.py
@@ -18,7 +18,11 @@
 from ..interface import Outcome
 from .turns import GRACE, Turns
 
-SICK, WELL = 1, 2  # what a word says of a server; on the wire
+SICK, WELL, STILL_SICK = (
+    1,
+    2,
+    3,
+)  # what a word says of a server; on the wire. STILL_SICK: the one whose turn it was tried it in vain
 WITNESSES = 2  # limiters whose word it takes: one alone may be the one at fault
 FADE = 5.0  # s that a word counts; also the least time that a server is left alone: longer than a death takes to be known
 HOLD_MOST = 20.0  # s that it is left alone at most without a new word: two turns' epochs; doubled up to it from FADE, as each try by
@@ -30,9 +34,6 @@
     2,
 )  # share and number of the servers that one limiter may find fault with and be believed
 AWAY = 0.3  # share of all servers that signals leave alone at the most: what is left has to carry the load
-SKEW = (
-    0.3  # s by which limiters' cases of one server may begin apart: words wait PULSE, and machines are busy
-)
 SLOW_USUAL, SLOW_OVER = (
     0.02,
     10.0,
@@ -68,6 +69,8 @@
     until: float = 0.0  # 0: not left alone
     hold: float = FADE
     try_at: float = 0.0
+    tried: bool = False  # this limiter has had its turn to try it, and has not told yet what came of it
+    extended_at: float = float("-inf")  # when a try by turn last failed (s)
     allowed: bool = False  # within AWAY
 
 
@@ -123,6 +126,7 @@
         """A try goes to it: if it was this one's turn, that was it for a while."""
         if self.due(server):
             self.cases[server].try_at = self.carrier.now + TRY_FOR
+            self.cases[server].tried = True
 
     def saw(self, server: int, outcome: Outcome) -> None:
         """How a try ended there, with nothing else to blame than the server or the way to it."""
@@ -142,8 +146,13 @@
         self.faults[server] = now
         if now < self.quiet_until or self.doubted(self.faults):
             return
-        # One that enough others told of, where this was no try by turn: nothing that they don't know.
-        if not case or self.by_turn(case) or self.me not in case.by and len(self.fresh(case)) < ENOUGH:
+        if case and case.tried:
+            case.tried = False
+            self.word(server, STILL_SICK)
+            self.attest(server, self.me, still=True)
+            return
+        # One that enough others told of is nothing new to them, unless it was left alone and has come back.
+        if not case or self.over(case) or self.me not in case.by and len(self.fresh(case)) < ENOUGH:
             self.word(server, SICK)
         self.attest(server, self.me)
 
@@ -163,13 +172,13 @@
             if what == WELL:
                 self.clear(server)
                 self.named.get(peer, {}).pop(server, None)
-            elif what == SICK:
+            elif what in (SICK, STILL_SICK):
                 named = self.named.setdefault(peer, {})
                 named[server] = self.carrier.now
                 if self.doubted(named):
                     self.disbelieve(peer)
                 else:
-                    self.attest(server, peer)
+                    self.attest(server, peer, still=what == STILL_SICK)
 
     def attested(self, server: int, witnesses: int) -> None:
         """Word of so many witnesses, without names (the counter's), this one among them."""
@@ -211,19 +220,24 @@
                 case.until = 0.0
         self.weigh()
 
-    def by_turn(self, case: Case) -> bool:
-        """Whether a fault that is told now comes from a try by turn, not from what was out when the case began."""
-        return case.until > 0 and self.carrier.now >= case.until - case.hold * (1 - TRY_AT) - SKEW
+    def over(self, case: Case) -> bool:
+        """Whether the server was left alone and is used again."""
+        return 0 < case.until <= self.carrier.now
 
-    def attest(self, server: int, witness: Hashable) -> None:
+    def attest(self, server: int, witness: Hashable, still: bool = False) -> None:
+        """Book a witness's word. `still`: it tried the server by turn, while all left it alone. Only the word says so: when each
+        limiter began to leave it alone differs by as long as a machine is busy.
+        """
         now = self.carrier.now
         case = self.cases.setdefault(server, Case())
-        if case.until and now >= case.until:  # it was left alone and came back: that case is over
+        if self.over(case):
             case = self.cases[server] = Case()
         case.by[witness] = now
         needed = min(WITNESSES, len(self.turns.present))
-        if self.by_turn(case):  # still sick, says who tried: longer from now on
-            case.hold = min(HOLD_MOST, 2 * case.hold)
+        longer = still and now - case.extended_at >= TRY_FOR  # tries that were out together count once
+        if longer:  # also where this one heard nothing of the beginning: the others leave it alone as long
+            case.hold, case.extended_at = min(HOLD_MOST, 2 * case.hold), now
+        if longer and case.until:
             self.leave_alone(case)
         elif not case.until and len(self.fresh(case)) >= needed:
             case.since = now
--- a/tests/test_signals.py
+++ b/tests/test_signals.py
@@ -14,7 +14,6 @@
     FADE,
     HOLD_MOST,
     SICK,
-    SKEW,
     SLOW_OVER,
     TRY_AT,
     TRY_FOR,
@@ -123,15 +122,19 @@
     assert crowd.shun(5) == set(crowd.all)
 
 
-def test_one_whose_case_began_a_moment_later_takes_the_holder_s_word_for_what_it_is():
-    """It took it for one more of the tries that were out when the case began, and came back after FADE: on processes in 1 of 23 runs."""
+@pytest.mark.parametrize("later", [0.24, 0.6, 2.0])
+def test_one_whose_case_began_later_takes_the_holder_s_word_for_what_it_is(later):
+    """It took it for one more of the tries that were out when the case began, and came back after FADE.
+
+    Seen on processes in 1 of 23 runs, and always where a limiter was busy for longer than what the clock was allowed.
+    """
     crowd = Crowd()
     for name in ("n1", "n2"):
         crowd.all[name].saw(5, BAD)
     crowd.run(0.1)
     name = crowd.all["n0"].turns.holders("sick/5", crowd.now + TRY_AT * FADE)[0]
     for case in (one.cases[5] for other, one in crowd.all.items() if other != name):
-        case.until, case.try_at = case.until + 0.8 * SKEW, case.try_at + 0.8 * SKEW
+        case.until, case.try_at = case.until + later, case.try_at + later
     crowd.run(TRY_AT * FADE - 0.05)
     holder = crowd.all[name]
     assert holder.due(5)
@@ -141,6 +144,23 @@
     assert crowd.shun(5) == set(crowd.all)
 
 
+def test_one_that_heard_nothing_of_the_beginning_keeps_away_as_long_as_the_others():
+    """It began anew with the word of the try, for FADE, and came back while the others stayed away twice as long."""
+    crowd = Crowd()
+    crowd.apart = lambda a, b: "n0" in (a, b)
+    for name in ("n1", "n2"):
+        crowd.all[name].saw(5, BAD)
+    crowd.run(TRY_AT * FADE + 0.1)
+    assert crowd.shun(5) == set(crowd.all) - {"n0"}
+    crowd.apart = lambda a, b: False
+    crowd.all["n0"].saw(5, BAD)
+    name = next(name for name, one in crowd.all.items() if name != "n0" and one.due(5))
+    crowd.all[name].tried(5)
+    crowd.all[name].saw(5, BAD)
+    crowd.run(FADE + 0.1)
+    assert crowd.shun(5) == set(crowd.all)
+
+
 def test_only_the_holder_of_the_turn_tries_it_and_its_word_keeps_it_away_longer_or_brings_all_back():
     crowd = Crowd()
     for name in ("n1", "n2"):
