--- a/brookhub/config/models.py
+++ b/brookhub/config/models.py
@@ -99,7 +99,7 @@
 
 
 class FleetSpec(Strict):
-    """The fleet: limiters, zones, servers, counter and the decision module's terms."""
+    """The fleet: limiters, zones, servers, counter and the settings that the decisions go by."""
 
     limiters: int = Field(10, ge=1)
     zones: int = Field(3, ge=1)
--- a/brookhub/config/site.py
+++ b/brookhub/config/site.py
@@ -1,7 +1,7 @@
 """Site files of the operators' bench: the parts that a gateway of the site is told about, checked and drawn.
 
 A site file gives ranges; the bench draws a day from them. `SiteFile.settings` states the middle of each range in the
-names of the settings that a gateway reads at its start (terms.py), so a site can be checked without the bench.
+names of the settings that a gateway reads at its start (settings.py), so a site can be checked without the bench.
 Keys that no gateway is told of are left to the bench: they are accepted here unread.
 """
 
--- a/brookhub/drill/host.py
+++ b/brookhub/drill/host.py
@@ -6,10 +6,10 @@
 import traceback
 from typing import BinaryIO, Callable
 
-from .. import terms
 from ..interface import ApiCall, Attempt, Outcome, Server, State, Told
 from ..policy import Gateway
 from ..roster import Customers, Roster
+from ..settings import SettingsError, parse_object, read_gateway_settings, read_section
 from . import frames
 from .frames import Batch, Reply, WireError
 
@@ -37,8 +37,8 @@
 
 def parse(text: bytes) -> dict:
     try:
-        return terms.parse(text)
-    except terms.TermsError as broken:
+        return parse_object(text)
+    except SettingsError as broken:
         raise WireError(str(broken)) from broken
 
 
@@ -53,10 +53,10 @@
         self.counts: dict[int, list[Told]] = {}
         self.mark = 0
         try:
-            self.columns = list(terms.part(info, "load_info").get("columns", []))
-            told = terms.terms(info)
-            self.routes, self.plans = told["routes"], told["plans"]
-            self.gateway = Gateway(self, seed, **told)
+            self.columns = list(read_section(info, "load_info").get("columns", []))
+            settings = read_gateway_settings(info)
+            self.routes, self.plans = settings.routes, settings.plans
+            self.gateway = Gateway(self, seed, settings)
         except ValueError as refused:
             raise WireError(f"settings: {refused}") from refused
 
--- a/brookhub/emulator/fleet.py
+++ b/brookhub/emulator/fleet.py
@@ -8,7 +8,7 @@
 
 import random
 import time
-from dataclasses import dataclass, field
+from dataclasses import dataclass, field, replace
 from types import ModuleType
 
 from hdrh.histogram import HdrHistogram
@@ -16,7 +16,7 @@
 from .. import policy
 from ..choices import TOPIC, ByCounter, ByPeers, Parts, Shared, Signals, Turns, unpack
 from ..config.models import Experiment, FaultSpec
-from ..interface import ApiCall, Group, Plan, Repeat, Route, State
+from ..interface import ApiCall, GatewaySettings, Group, Plan, Repeat, Route, State
 from ..membership import ALIVE, Membership
 from ..recovery import Ledger
 from .engine import Engine
@@ -201,26 +201,7 @@
             self.engine, random.Random(self.rng.getrandbits(64)), fleet.counter.delay_s, fleet.counter.wait_s
         )
         self.discovery = Discovery(self.engine, fleet.list_delay_s)
-        self.terms = {
-            "routes": self.routes,
-            "plans": self.plans,
-            "zone": 0,
-            "slot": 0,
-            "gateways": fleet.limiters,
-            "counter_wait": fleet.counter.wait_s if fleet.counter.on else 0.0,
-            "largest": 1.0,
-            "trued_up": False,
-            "max_tries": fleet.max_tries,
-            "second_copies": fleet.second_copies,
-            "may_cancel": fleet.may_cancel,
-            "longest_retry_after": fleet.longest_retry_after_s,
-            "cold_from": servers.cold_from,
-            "warm_after": servers.warm_after_s,
-            "fall_multiple": servers.fall_multiple,
-            "fall_within": servers.fall_within_s,
-            "asks_for_servers": False,
-            "ask_within": 10.0,
-        }
+        self.settings = self.gateway_settings()
         self.net = PeerNet(self.engine, self.seed) if fleet.membership.on else None
         self.heard: list[tuple] = []  # what recovery logged: (s, limiter, event, facts)
         self.kept: dict[int, Ledger | None] = {}  # ledgers on disks that last
@@ -236,10 +217,34 @@
 
     # building
 
+    def gateway_settings(self) -> GatewaySettings:
+        """The settings that all limiters share."""
+        fleet, servers = self.experiment.fleet, self.experiment.fleet.servers
+        return GatewaySettings(
+            routes=tuple(self.routes),
+            plans=tuple(self.plans),
+            zone=0,
+            slot=0,
+            gateways=fleet.limiters,
+            counter_wait=fleet.counter.wait_s if fleet.counter.on else 0.0,
+            largest=1.0,
+            trued_up=False,
+            max_tries=fleet.max_tries,
+            second_copies=fleet.second_copies,
+            may_cancel=fleet.may_cancel,
+            longest_retry_after=fleet.longest_retry_after_s,
+            cold_from=servers.cold_from,
+            warm_after=servers.warm_after_s,
+            fall_multiple=servers.fall_multiple,
+            fall_within=servers.fall_within_s,
+            asks_for_servers=False,
+            ask_within=10.0,
+        )
+
     def launch(self, index: int) -> Seat:
         zones = self.experiment.fleet.zones
         seat = Seat(
-            self, index, index % zones, self.rng.getrandbits(63), {**self.terms, "zone": index % zones}
+            self, index, index % zones, self.rng.getrandbits(63), replace(self.settings, zone=index % zones)
         )
         seat.servers(self.entries(), whole=True)
         if self.net:
--- a/brookhub/emulator/limiter.py
+++ b/brookhub/emulator/limiter.py
@@ -6,9 +6,10 @@
 from __future__ import annotations
 
 import random
+from dataclasses import replace
 from typing import Callable
 
-from ..interface import ApiCall, Attempt, Outcome, Server, State, Told
+from ..interface import ApiCall, Attempt, GatewaySettings, Outcome, Server, State, Told
 from ..recovery import Ledger, Recovery
 from ..recovery import Settings as RecoverySettings
 from ..roster import Customers, Roster
@@ -38,7 +39,7 @@
 class Seat:
     """A limiter's place in the fleet. After `kill()` nothing it scheduled runs, and its API calls are lost."""
 
-    def __init__(self, fleet, index: int, zone: int, seed: int, terms: dict):
+    def __init__(self, fleet, index: int, zone: int, seed: int, settings: GatewaySettings):
         self.fleet, self.engine, self.index, self.zone = fleet, fleet.engine, index, zone
         self.alive, self.closing, self.wakes = (
             True,
@@ -54,7 +55,7 @@
         self.roster, self.customers = Roster(), Customers()
         self.calls: dict[int, ApiCall] = {}
         self.logged = self.asked = self.served = 0
-        self.gateway = fleet.decisions.Gateway(self, seed, **{**terms, "slot": index})
+        self.gateway = fleet.decisions.Gateway(self, seed, replace(settings, slot=index))
 
     @property
     def now(self) -> float:
--- a/brookhub/interface.py
+++ b/brookhub/interface.py
@@ -81,6 +81,41 @@
     beyond_cost: float = 0.0
 
 
+@dataclass(frozen=True)
+class GatewaySettings:
+    """What one gateway of a site goes by from its start on. Times in seconds, quotas in units.
+
+    Raises ValueError where a value can't be worked with, by its name.
+    """
+
+    routes: tuple[Route, ...]
+    plans: tuple[Plan, ...]
+    zone: int
+    slot: int  # its place among the gateways, from 0
+    gateways: int  # that hold each quota together
+    counter_wait: float  # for an answer of the counter; 0: there is no counter
+    largest: float  # units of the largest API call
+    trued_up: bool  # whether servers tell what a call has used
+    max_tries: int
+    second_copies: bool
+    may_cancel: bool
+    longest_retry_after: float  # 0: no time to come back is told
+    cold_from: float  # of its capacity that a server has at its start
+    warm_after: float  # until it has all
+    fall_multiple: float  # of what it can do when cold, from which a server falls
+    fall_within: float
+    asks_for_servers: bool  # else the list is pushed
+    ask_within: float
+
+    def __post_init__(self) -> None:
+        needed: dict[str, float] = {"gateways": self.gateways, "max_tries": self.max_tries}
+        needed |= {route.name: route.target for route in self.routes}
+        needed |= {f"{plan.name}: burst": plan.burst for plan in self.plans if plan.rate}
+        for name, value in needed.items():
+            if not value > 0:
+                raise ValueError(f"{name} must be above 0, not {value}")
+
+
 @dataclass(eq=False)
 class Server:
     """One back-end server, as the server list tells it. `view` is the decisions' own record of it."""
--- a/brookhub/policy.py
+++ b/brookhub/policy.py
@@ -1,6 +1,6 @@
 """All decisions of brookhub, for one gateway process: fair-share-ceiling on each API call's path, and guards.
 
-Build one Gateway with a Port, a seed and the site's terms and tell it what happens; it acts by the port.
+Build one Gateway with a Port, a seed and the site's settings and tell it what happens; it acts by the port.
 Types: interface.py. Reasons: docs/design.md. An API call passes Intake, Quota, Loans, Ceiling, Line and then
 Upstreams; each passes it on, keeps it or ends it, and what comes back runs through them the other way.
 """
@@ -426,11 +426,10 @@
 
 class Upstreams(Stage):  # chooses servers, sends, judges them, and decides on further tries
 
-    def __init__(self, port, random, line, zone, start, gateways, max_tries, may_cancel, horizon, cold):
-        self.port, self.random, self.line, self.gateways, self.sure = port, random, line, gateways, gateways
-        self.zone, self.start, self.max_tries, self.may_cancel = zone, start, max_tries, may_cancel
-        self.horizon, (self.cold_from, self.warm_after, multiple) = horizon, cold
-        self.cold_share = min(COLD_MOST, COLD_PART * multiple)
+    def __init__(self, port, random, line, settings, horizon):
+        self.port, self.random, self.line, self.settings, self.horizon = port, random, line, settings, horizon
+        self.gateways = self.sure = gateways = settings.gateways
+        self.cold_share = min(COLD_MOST, COLD_PART * settings.fall_multiple)
         self.servers, self.best, self.best_at, self.sure_at, self.out = [], 0.0, 0.0, port.now + SOON, 0
         self.window, self.part, self.peers, self.rivals, self.warm, self.drawn_at = 0.0, [], gateways, gateways, 0, 0.0
         self.took, self.ends, self.further, self.helped, self.sends = (DecayingSum() for _ in range(5))
@@ -458,7 +457,7 @@
         now, count, sound = self.port.now, len(self.servers), 0
         size = max(PART, self.choices.least, self.sends.read(now) / MEMORY * SEEN)
         self.part, self.drawn_at = [], now
-        for view in self.choices.ring(self.servers, floor(self.start * count)):
+        for view in self.choices.ring(self.servers, floor(self.settings.slot * GOLDEN % 1.0 * count)):
             if sound < size:
                 self.part.append(view)
                 sound += view.sound() and not self.choices.shuns(view.server.id)
@@ -468,13 +467,13 @@
         self.part += [view for view in self.servers if self.choices.due(view.server.id) and view not in self.part]
 
     def is_warm(self, view):
-        return not view.up_since or self.port.now - view.up_since >= self.warm_after
+        return not view.up_since or self.port.now - view.up_since >= self.settings.warm_after
 
     def admits_cold(self, view):
         """Cold budget, own share alone: the least warmth, of what a warm server is sent or one core bears."""
         now = self.port.now
         usual = self.sends.read(now) / MEMORY / self.warm if self.warm else 0.0
-        warmth = self.cold_from + (1 - self.cold_from) * max(0.0, now - view.up_since) / self.warm_after
+        warmth = self.settings.cold_from + (1 - self.settings.cold_from) * max(0.0, now - view.up_since) / self.settings.warm_after
         view.cold.read(now)
         view.cold.rate = warmth * self.cold_share * max(usual, 1 / max(self.delay(), 0.05) / self.rivals)
         return view.cold.level >= 1
@@ -501,7 +500,7 @@
                     self.is_warm(view) or self.admits_cold(view)):
                 good = max(0.1, view.good, min(1.0, (now - view.seen) / MEMORY))  # long unseen: a new chance
                 cost = (len(view.attempts) + 1) * view.delay(now, typical) / good * 4 ** tried.count(server)
-                cost *= (not due) * (CROSS if server.zone != self.zone else 1.0) * (1 + 0.05 * self.random.uniform())
+                cost *= (not due) * (CROSS if server.zone != self.settings.zone else 1.0) * (1 + 0.05 * self.random.uniform())
                 if best is None or cost < least:
                     best, least = view, cost
         return best
@@ -570,14 +569,14 @@
     def may_try(self, request):  # whether rules, time and recent luck allow a further try
         now, ran = self.port.now, request.may_have_run()
         allowed = any(self.group_allows(request, view.server, ran) for view in self.part)
-        if len(request.call.attempts) >= self.max_tries or now + self.delay() > request.target_at or not allowed:
+        if len(request.call.attempts) >= self.settings.max_tries or now + self.delay() > request.target_at or not allowed:
             return False
         if all(one.outcome in NEVER_RAN for one in request.call.attempts):
             return True  # nothing ran: the next costs nothing but its time
         return self.random.uniform() < (self.helped.read(now) + 1) / (self.further.read(now) + 1)
 
     def reconsider(self, request, one):  # a try out for PATIENCE is given up if another server should do better
-        now, busy = self.port.now, request.loan or request.began or self.line.waiting or not self.may_cancel
+        now, busy = self.port.now, request.loan or request.began or self.line.waiting or not self.settings.may_cancel
         view = None if one.outcome or request.done or busy or not self.may_try(request) else self.choose_server(request)
         if view and view is not one.view and now + 2 * view.delay(now, self.delay()) < request.target_at:
             self.port.cancel(one)
@@ -585,33 +584,27 @@
     def give_up(self, request, left=False):
         """The client's patience is over, or it left: stop what is out and say so."""
         if not request.done and (left or not request.began):
-            for one in request.call.attempts if self.may_cancel else ():
+            for one in request.call.attempts if self.settings.may_cancel else ():
                 one.outcome or self.port.cancel(one)
             self.ended(request, "error")
 
 
 class Gateway:  # the chain, and what it is told
 
-    def __init__(self, port, seed, *, routes, plans, zone, slot, gateways, counter_wait, largest, trued_up,
-                 max_tries, second_copies, may_cancel, longest_retry_after, cold_from, warm_after,
-                 fall_multiple, fall_within, asks_for_servers, ask_within):
-        needed = {"gateways": gateways, "max_tries": max_tries} | {one.name: one.target for one in routes}
-        for name, value in (needed | {f"{one.name}: burst": one.burst for one in plans if one.rate}).items():
-            if not value > 0:
-                raise ValueError(f"{name} must be above 0, not {value}")
-        self.port, self.launched, self.trued_up, self.ask_within = port, port.now, trued_up, ask_within
-        random, horizon = RandomGenerator(seed), max((route.target for route in routes), default=1.0)
-        self.line, self.quota = Line(port), Quota(port, random, counter_wait, largest, gateways)
+    def __init__(self, port, seed, settings):
+        gateways, wait = settings.gateways, settings.counter_wait
+        self.port, self.launched, self.settings = port, port.now, settings
+        random, horizon = RandomGenerator(seed), max((route.target for route in settings.routes), default=1.0)
+        self.line, self.quota = Line(port), Quota(port, random, wait, settings.largest, gateways)
         self.gateways = self.sure = gateways
-        self.intake, self.accounts = Intake(port, self.line, longest_retry_after), {}  # in order of last use
-        self.upstreams = Upstreams(port, random, self.line, zone, slot * GOLDEN % 1.0, gateways, max_tries,
-                                   may_cancel, horizon, (cold_from, warm_after, fall_multiple))
+        self.intake, self.accounts = Intake(port, self.line, settings.longest_retry_after), {}  # in order of last use
+        self.upstreams = Upstreams(port, random, self.line, settings, horizon)
         loans = Loans(port, self.line, self.accounts, horizon)
         chain = [self.intake, self.quota, loans, Ceiling(port), self.line, self.upstreams]
         for one, following in zip(chain, chain[1:]):
             one.next, following.before = following, one
         self.servers_told = self.upstreams.listed
-        if asks_for_servers:
+        if settings.asks_for_servers:
             port.follow_servers(True)
 
     def touch(self, account):
@@ -669,7 +662,7 @@
         request = one.call.request
         if request:
             self.touch(request.account)
-            self.quota.spend(request, charged - request.counted if self.trued_up and charged and request.counted else 0.0)
+            self.quota.spend(request, charged - request.counted if self.settings.trued_up and charged and request.counted else 0.0)
         self.upstreams.ended_try(one, took, final)
 
     def client_left(self, call):
@@ -677,6 +670,6 @@
             self.upstreams.give_up(call.request, left=True)
 
     def servers_unheard(self):
-        self.port.later(self.ask_within / 10, lambda: self.port.follow_servers(True))
+        self.port.later(self.settings.ask_within / 10, lambda: self.port.follow_servers(True))
 
     probed = told = lambda self, *heard: None  # unused: API calls tell more, and gateways talk by the counter
--- a/brookhub/program/run.py
+++ b/brookhub/program/run.py
@@ -10,6 +10,7 @@
 from random import Random
 from time import monotonic, sleep, time
 
+from ..interface import GatewaySettings
 from ..policy import Gateway
 from ..routing.clients import Clients
 from ..routing.connections import Reconnector
@@ -54,14 +55,14 @@
 # most, and some more; SIGKILL may come 0.7 s after that
 
 
-def list_pauses(terms: dict) -> tuple[float, float]:
+def list_pauses(settings: GatewaySettings) -> tuple[float, float]:
     """The pauses (s) between two dials of discovery, the first and the longest. Where lists are asked for, its line is
     that of the whole fleet, and what all ask at one moment it answers late or not at all: each waits for its part.
     """
-    if not terms["asks_for_servers"]:
+    if not settings.asks_for_servers:
         return PAUSES
-    first = max(PAUSES[0], min(LIST_TAKES * terms["gateways"], LIST_SOON * terms["ask_within"]))
-    return first, max(first, PAUSES[1], LIST_LATE * terms["ask_within"])
+    first = max(PAUSES[0], min(LIST_TAKES * settings.gateways, LIST_SOON * settings.ask_within))
+    return first, max(first, PAUSES[1], LIST_LATE * settings.ask_within)
 
 
 class Program:
@@ -69,7 +70,7 @@
 
     def __init__(self, start: Start):
         self.log = log.open_log(start.name)
-        self.longest = max((route.client_timeout for route in start.terms["routes"]), default=LONGEST)
+        self.longest = max((route.client_timeout for route in start.gateway_settings.routes), default=LONGEST)
         ends = log.Ends(self.log)
         self.port = port = SocketPort(self.fault, GRAIN, self.woken)
         servers_most = max(8, int(start.sockets * SERVER_PART))
@@ -91,7 +92,7 @@
                 "discovery",
                 address,
                 DISCOVERY_CONNECT,
-                list_pauses(start.terms),
+                list_pauses(start.gateway_settings),
                 chance,
                 ends,
                 self.fault,
@@ -108,17 +109,17 @@
                 lambda address: Reconnector(
                     "counter", address, COUNTER_CONNECT, PAUSES, chance, ends, self.fault
                 ),
-                start.terms["counter_wait"],
+                start.gateway_settings.counter_wait,
                 COUNTER_LINKS,
                 COUNTER_SILENT,
             )
         self.clients = Clients(
             port,
             ends,
-            start.terms["routes"],
-            start.terms["plans"],
-            start.terms["gateways"],
-            start.terms["largest"],
+            start.gateway_settings.routes,
+            start.gateway_settings.plans,
+            start.gateway_settings.gateways,
+            start.gateway_settings.largest,
             self.discovery.fit,
             clients_most,
             SPARE // 2,
@@ -131,7 +132,7 @@
             IDLE,
         )
         try:
-            port.gateway = Gateway(port, start.seed, **start.terms)
+            port.gateway = Gateway(port, start.seed, start.gateway_settings)
         except ValueError as refused:
             raise StartError(f"settings: {refused}") from None
         self.recovering = self.recover(start)
@@ -179,8 +180,8 @@
         made = Recovering(
             self.port,
             self.log,
-            start.terms["slot"],
-            start.terms["gateways"],
+            start.gateway_settings.slot,
+            start.gateway_settings.gateways,
             Settings(spec.beat_s, spec.missing_most),
             Path(spec.ledger) if spec.ledger else None,
             Random(start.seed ^ 1).random,
@@ -254,7 +255,7 @@
             self.port.run(monotonic(), self.peers.relist, peers)
         if plan:
             self.port.run(monotonic(), self.given, self.keeper, plan)
-        waits = start.terms != self.start.terms or start.listen != self.start.listen
+        waits = start.gateway_settings != self.start.gateway_settings or start.listen != self.start.listen
         self.log.info(
             "reloaded",
             discovery="%s:%d" % start.discovery,
--- a/brookhub/program/startfile.py
+++ b/brookhub/program/startfile.py
@@ -7,7 +7,7 @@
 
 from ..protocol import hosts
 from ..protocol.resp import MalformedError
-from ..terms import TermsError, number, parse, part, terms
+from ..settings import SettingsError, parse_object, read_gateway_settings, read_number, read_section
 
 
 class StartError(Exception):
@@ -22,19 +22,19 @@
         self.listen = address(environment.get("NODE_LISTEN") or told.get("listen"), "listen")
         variable, said = environment.get("NODE_DISCOVERY"), told.get("discovery")
         self.discovery = address((said or variable) if again else (variable or said), "discovery")
-        settings = part(told, "settings")
+        settings = read_section(told, "settings")
         if not settings:
             raise StartError("settings are missing")
-        self.terms, limits = terms(settings), part(settings, "limits")
+        self.gateway_settings, limits = read_gateway_settings(settings), read_section(settings, "limits")
         self.counter = None
-        if self.terms["counter_wait"] > 0:
+        if self.gateway_settings.counter_wait > 0:
             self.counter = address(told.get("counter"), "counter")
         self.zones, self.kinds = names(settings, "areas"), names(settings, "kinds")
-        self.connect_within = number(limits, "connect_timeout_s", 1.0)
-        self.server_idle_for = number(limits, "conn_idle_s", 60.0)
-        self.most_calls = int(number(limits, "open_cap", 20000)) or 20000
-        self.sockets = int(number(part(told, "limits"), "sockets", 1024))
-        self.memory = number(part(told, "limits"), "memory_mb", 192) * 1024 * 1024
+        self.connect_within = read_number(limits, "connect_timeout_s", 1.0)
+        self.server_idle_for = read_number(limits, "conn_idle_s", 60.0)
+        self.most_calls = int(read_number(limits, "open_cap", 20000)) or 20000
+        self.sockets = int(read_number(read_section(told, "limits"), "sockets", 1024))
+        self.memory = read_number(read_section(told, "limits"), "memory_mb", 192) * 1024 * 1024
         try:
             self.seed = int(str(told.get("seed", "0")), 16)
         except ValueError:
@@ -132,7 +132,7 @@
     except OSError as broken:
         raise StartError(f"{path}: {broken.strerror}") from None
     try:
-        told = toml(text, path) if path.endswith(".toml") else parse(text)
+        told = toml(text, path) if path.endswith(".toml") else parse_object(text)
         return Start(told, environment, again)
-    except (TermsError, StartError) as broken:
+    except (SettingsError, StartError) as broken:
         raise StartError(f"{path}: {broken}") from None
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -9,12 +9,14 @@
 import sys
 import threading
 import time
+from dataclasses import replace
 
 from brookhub.config import Experiment
 from brookhub.interface import (
     ApiCall,
     Attempt,
     Customer,
+    GatewaySettings,
     Group,
     Outcome,
     Plan,
@@ -26,37 +28,38 @@
 from brookhub.policy import NEVER_RAN, Gateway
 from brookhub.stand_ins import CounterStandIn, DiscoveryStandIn, ServerStandIn, host, read_value
 
+DEFAULT_SETTINGS = GatewaySettings(
+    routes=(Route("read", 1.0, 4.0),),
+    plans=(Plan("hard", 4.0, 8.0),),
+    zone=0,
+    slot=0,
+    gateways=2,
+    counter_wait=0.05,
+    largest=1.0,
+    trued_up=False,
+    max_tries=3,
+    second_copies=False,
+    may_cancel=True,
+    longest_retry_after=2.0,
+    cold_from=0.2,
+    warm_after=10.0,
+    fall_multiple=2.0,
+    fall_within=1.0,
+    asks_for_servers=False,
+    ask_within=10.0,
+)
+
 
 class World:
     """One gateway, its port, and all it did."""
 
-    def __init__(self, seed=1, now=100.0, servers=3, counter="ok", **terms):
+    def __init__(self, seed=1, now=100.0, servers=3, counter="ok", **settings):
         self.now, self.alarms, self.order = now, [], 0
         self.counter, self.totals, self.counts = counter, {}, []
         self.sent, self.out, self.answers, self.told_gone = [], [], {}, {}
         self.calls, self.late = 0, False  # late: it stood still, so late answers are the adapter's to drop
-        self.terms = {
-            "routes": [Route("read", 1.0, 4.0)],
-            "plans": [Plan("hard", 4.0, 8.0)],
-            "zone": 0,
-            "slot": 0,
-            "gateways": 2,
-            "counter_wait": 0.05,
-            "largest": 1.0,
-            "trued_up": False,
-            "max_tries": 3,
-            "second_copies": False,
-            "may_cancel": True,
-            "longest_retry_after": 2.0,
-            "cold_from": 0.2,
-            "warm_after": 10.0,
-            "fall_multiple": 2.0,
-            "fall_within": 1.0,
-            "asks_for_servers": False,
-            "ask_within": 10.0,
-            **terms,
-        }
-        self.gateway = Gateway(self, seed, **self.terms)
+        self.settings = replace(DEFAULT_SETTINGS, **settings)
+        self.gateway = Gateway(self, seed, self.settings)
         self.servers = [Server(index, zone=index % 3) for index in range(servers)]
         self.gateway.servers_told(self.servers)
 
@@ -66,14 +69,14 @@
         assert call not in self.answers and self.now <= call.expires, "sent after the final answer"
         assert server.state is State.READY, "sent to a server that drains or is gone"
         ran = [other for other in call.attempts if other.outcome not in NEVER_RAN]
-        assert self.terms["second_copies"] or all(other.outcome for other in call.attempts), "two tries out"
+        assert self.settings.second_copies or all(other.outcome for other in call.attempts), "two tries out"
         if ran and call.route.repeat is not Repeat.IDEMPOTENT:
             assert call.route.repeat is Repeat.TOKENED, "a non-idempotent call sent twice"
             assert self.now < ran[0].sent + call.route.window, "a repeat after its window"
             assert call.route.group is not Group.ZONE or server.zone == ran[0].server.zone, (
                 "a repeat left its zone"
             )
-        assert len(call.attempts) < self.terms["max_tries"]
+        assert len(call.attempts) < self.settings.max_tries
         one = Attempt(call, server, len(call.attempts), self.now)
         one.timeout = timeout
         call.attempts.append(one)
@@ -101,7 +104,7 @@
     def count(self, name, amount, lives, told):
         self.counts.append((name, amount))
         if self.counter == "silent":
-            self.later(self.terms["counter_wait"], lambda: told(Outcome.TIMEOUT, 0.0, 0.05))
+            self.later(self.settings.counter_wait, lambda: told(Outcome.TIMEOUT, 0.0, 0.05))
         elif self.counter == "full":
             self.later(0.001, lambda: told(Outcome.FULL, 0.0, 0.001))
         elif self.counter == "ok":
@@ -134,7 +137,7 @@
 
     def call(self, customer, route=0, units=1.0, gateways=2, patience=None):
         self.calls += 1
-        route = self.terms["routes"][route]
+        route = self.settings.routes[route]
         call = ApiCall(
             self.calls, customer, route, self.now + (patience or route.client_timeout), units, gateways
         )
@@ -142,7 +145,7 @@
         return call
 
     def customer(self, ident=1, plan=0):
-        return Customer(ident, self.terms["plans"][plan])
+        return Customer(ident, self.settings.plans[plan])
 
     def end(self, one, outcome, charged=0.0):
         if one.outcome is None:
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -139,7 +139,7 @@
     return calls, passed
 
 
-def fleet(count, seed, plan, wait=0.08, **terms):
+def fleet(count, seed, plan, wait=0.08, **settings):
     worlds = [
         World(
             seed + index,
@@ -149,7 +149,7 @@
             slot=index,
             counter_wait=wait,
             largest=4.0,
-            **terms,
+            **settings,
         )
         for index in range(count)
     ]
--- a/tests/test_lab.py
+++ b/tests/test_lab.py
@@ -40,7 +40,7 @@
     path = tmp_path / "gateway.toml"
     path.write_text(good)
     start = startfile.read({"NODE_CONFIG": str(path)})
-    assert start.listen == ("127.0.0.1", 7000) and start.terms["gateways"] == 2
+    assert start.listen == ("127.0.0.1", 7000) and start.gateway_settings.gateways == 2
     path.write_text(good.replace("listen", "listne"))
     with pytest.raises(startfile.StartError, match=r"gateway.toml: line 1: listne: unknown key"):
         startfile.read({"NODE_CONFIG": str(path)})
--- a/tests/test_routing.py
+++ b/tests/test_routing.py
@@ -4,6 +4,7 @@
 import socket
 import threading
 import time
+from dataclasses import replace
 from types import SimpleNamespace
 
 import pytest
@@ -29,6 +30,7 @@
 from brookhub.transport.ring import Ring
 from brookhub.transport.sockets import Listener
 from brookhub.transport.stream import Stream
+from helpers import DEFAULT_SETTINGS
 
 
 class Remembering:
@@ -685,8 +687,8 @@
 
     from brookhub.program.run import list_pauses
 
-    terms = {"asks_for_servers": True, "gateways": 40, "ask_within": 10.0}
-    first, longest = list_pauses(terms)
+    settings = replace(DEFAULT_SETTINGS, asks_for_servers=True, gateways=40, ask_within=10.0)
+    first, longest = list_pauses(settings)
     served, _waits, capacity, wait = [], [], 1 / 0.15, 2.0
     chances, again = [Random(index).random for index in range(40)], []
     due, free_at = [(0.0, index, first) for index in range(40)], 0.0
@@ -701,9 +703,9 @@
             due.append((at + wait + pause * (0.5 + chances[index]()), index, pause))
             again.append(at)
     assert len(served) == 40 and max(served) < 15.0 and len(again) < 60
-    assert list_pauses({**terms, "gateways": 3})[0] < 0.5
-    assert list_pauses({**terms, "gateways": 1000})[0] * 1.5 < 10.0, "asked again in the time to ask in"
-    assert list_pauses({**terms, "asks_for_servers": False}) == (0.05, 1.0)
+    assert list_pauses(replace(settings, gateways=3))[0] < 0.5
+    assert list_pauses(replace(settings, gateways=1000))[0] * 1.5 < 10.0, "asked again in the time to ask in"
+    assert list_pauses(replace(settings, asks_for_servers=False)) == (0.05, 1.0)
 
 
 def test_pauses_between_two_dials_differ_by_chance_and_heed_who_turned_away():
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -62,7 +62,9 @@
                 [Outcome.OK, Outcome.ERROR, Outcome.FULL, Outcome.RESET, Outcome.UNCONNECTED], [8, 2, 1, 1, 1]
             )[0]
             world.end(
-                chance.choice(world.out), end, charged=chance.choice([1.0, 2.0]) if gateway.trued_up else 0.0
+                chance.choice(world.out),
+                end,
+                charged=chance.choice([1.0, 2.0]) if world.settings.trued_up else 0.0,
             )
         elif step < 0.78:
             server = chance.choice(world.servers)
@@ -272,7 +274,7 @@
     assert 0 < sum(one.server is bad for one in late) < len(late) / 10
 
 
-def test_unworkable_terms_are_refused_by_name():
+def test_unworkable_settings_are_refused_by_name():
     with pytest.raises(ValueError, match="slow-lane"):
         World(routes=[Route("slow-lane", 0.0, 1.0)])
     with pytest.raises(ValueError, match="burst"):
--- a/tests/test_sites.py
+++ b/tests/test_sites.py
@@ -27,8 +27,8 @@
 
 @pytest.mark.parametrize("path", PATHS, ids=lambda path: path.stem)
 def test_a_site_makes_a_gateway_that_serves(path):
-    world = World(servers=4, **start_of(path, gateways=3).terms)
-    for index in range(len(world.terms["routes"])):
+    world = World(servers=4, **vars(start_of(path, gateways=3).gateway_settings))
+    for index in range(len(world.settings.routes)):
         call = world.call(world.customer(index + 1), route=index, gateways=2)
         world.run(0.05)
         while call not in world.answers and world.out:
@@ -37,13 +37,13 @@
 
 
 def test_the_sites_hold_what_they_were_written_for():
-    ticket, sensor = (start_of(SITES / name).terms for name in ("ticket-office.toml", "sensor-hub.toml"))
-    assert {route.repeat for route in ticket["routes"]} == set(Repeat) and not ticket["asks_for_servers"]
-    keyed = next(route for route in ticket["routes"] if route.repeat is Repeat.TOKENED)
-    assert keyed.window < keyed.client_timeout
-    assert (
-        sensor["asks_for_servers"] and min(plan.burst / sensor["gateways"] for plan in sensor["plans"]) < 0.05
+    ticket, sensor = (
+        start_of(SITES / name).gateway_settings for name in ("ticket-office.toml", "sensor-hub.toml")
     )
+    assert {route.repeat for route in ticket.routes} == set(Repeat) and not ticket.asks_for_servers
+    keyed = next(route for route in ticket.routes if route.repeat is Repeat.TOKENED)
+    assert keyed.window < keyed.client_timeout
+    assert sensor.asks_for_servers and min(plan.burst / sensor.gateways for plan in sensor.plans) < 0.05
 
 
 @pytest.mark.parametrize(
