--- a/brookhub/interface.py
+++ b/brookhub/interface.py
@@ -8,7 +8,7 @@
 
 from dataclasses import dataclass, field
 from enum import Enum
-from typing import Any, Callable, Protocol
+from typing import Any, Callable, Iterable, Protocol
 
 
 class Repeat(Enum):
@@ -41,6 +41,14 @@
     NOTED = "kept by the recovery, to be added later; there is no total"
 
 
+class Answer(Enum):
+    """The one final answer that a request gets."""
+
+    SERVED = "a server's answer"
+    REJECTED = "refused, with a time to come back in"
+    FAILED = "no answer in time, with no promise whether it ran"
+
+
 class State(Enum):
     """What the server list says of a server."""
 
@@ -175,6 +183,57 @@
         """So many gateways are there, this one's place among them (from 0), and so many have not surely left."""
 
 
+class Choices(Protocol):
+    """What the fleet knows and chooses together of its servers. Servers are named by their ids."""
+
+    least: int  # servers that this gateway uses at least
+
+    def listed(self, servers: dict[int, Server]) -> None:
+        """The servers that there are."""
+
+    def shuns(self, server: int) -> bool:
+        """Whether the fleet leaves it alone now."""
+
+    def due(self, server: int) -> bool:
+        """Whether it is this gateway's turn to try one that the fleet leaves alone."""
+
+    def tried(self, server: int) -> None:
+        """An attempt goes to it."""
+
+    def saw(self, server: int, outcome: Outcome) -> None:
+        """How an attempt ended there, with nothing else to blame than the server or the way to it."""
+
+    def ring(self, views: list[Any], start: int) -> Iterable[Any]:
+        """The servers' records in the order of this gateway's preference; `start`: where its own stretch begins."""
+
+
+class IndependentChoices:
+    """No word of other gateways: nothing is left alone, nothing awaits this one's turn."""
+
+    least = 0
+
+    def listed(self, servers: dict[int, Server]) -> None:
+        """Nothing to do."""
+
+    def shuns(self, server: int) -> bool:
+        """Never."""
+        return False
+
+    def due(self, server: int) -> bool:
+        """Never."""
+        return False
+
+    def tried(self, server: int) -> None:
+        """Nothing to do."""
+
+    def saw(self, server: int, outcome: Outcome) -> None:
+        """Nothing to do."""
+
+    def ring(self, views: list[Any], start: int) -> Iterable[Any]:
+        """All servers, from its own stretch on."""
+        return views[start:] + views[:start]
+
+
 Told = Callable[[Outcome, float, float], None]  # how a count ended, its total, how long it took
 
 
--- a/brookhub/lab/together.py
+++ b/brookhub/lab/together.py
@@ -233,7 +233,7 @@
             (seat.index, view.server.id)
             for seat in fleet.seats
             if seat.alive
-            for view in seat.gateway.upstreams.part
+            for view in seat.gateway.upstreams.subset
         }
 
     def script(fleet: Fleet) -> None:
--- /dev/null
+++ b/brookhub/structures/decaying_mean.py
@@ -0,0 +1,30 @@
+"""A mean in which old values fade."""
+
+from __future__ import annotations
+
+from .decaying_sum import DecayingSum
+
+FEWEST = 1e-6  # values by which a sum is divided at the least
+
+
+class DecayingMean:
+    """The mean of values, each weighted by how recent it is."""
+
+    __slots__ = ("values", "count")
+
+    def __init__(self, memory: float) -> None:
+        self.values = DecayingSum(memory)
+        self.count = DecayingSum(memory)
+
+    def add(self, now: float, value: float) -> None:
+        """Take in a value at a moment, not earlier than the last."""
+        self.values.add(now, value)
+        self.count.add(now, 1)
+
+    def read(self, now: float) -> float:
+        """The mean, 0 where nothing was taken in."""
+        return self.values.read(now) / max(FEWEST, self.count.read(now))
+
+    def read_with_prior(self, now: float, prior: float) -> float:
+        """The mean with one value more, `prior`: what it is taken for as long as little is known."""
+        return (self.values.read(now) + prior) / (self.count.read(now) + 1)
--- /dev/null
+++ b/brookhub/structures/token_bucket.py
@@ -0,0 +1,50 @@
+"""A token bucket: units that refill at a rate up to a depth."""
+
+from __future__ import annotations
+
+SLOWEST = 1e-9  # units a second that a bucket without refill is taken to have, so that a wait is finite
+
+
+class TokenBucket:
+    """Units that refill at `rate` a second up to `depth`. The level may be below 0: more was taken than was there.
+
+    `overflow` sums what found no room, times `overflow_weight`; who reads it takes off what is accounted for.
+    """
+
+    __slots__ = ("rate", "depth", "level", "at", "overflow", "overflow_weight")
+
+    def __init__(
+        self, rate: float, depth: float, level: float, now: float, overflow_weight: float = 1.0
+    ) -> None:
+        self.rate = rate
+        self.depth = depth
+        self.level = level
+        self.at = now  # s, when `level` was brought up to date
+        self.overflow = 0.0
+        self.overflow_weight = overflow_weight
+
+    def read(self, now: float) -> float:
+        """Refill up to a moment, not earlier than the last; the units that are there."""
+        level = self.level + self.rate * (now - self.at)
+        self.at = now
+        self.level = min(self.depth, level)
+        self.overflow += self.overflow_weight * max(0.0, level - self.depth)
+        return self.level
+
+    def take(self, now: float, units: float) -> None:
+        """Take units whether they are there or not; below 0 gives them back. What passes the depth stays till it is read."""
+        self.level = self.read(now) - units
+
+    def wait(self, now: float, units: float) -> float:
+        """Seconds until so many units are there."""
+        return max(0.0, units - self.read(now)) / max(self.rate, SLOWEST)
+
+    def resize(self, rate: float, depth: float) -> None:
+        """Change rate and depth from here on; what is in it stays, as far as it fits."""
+        self.rate = rate
+        self.depth = depth
+        self.level = min(self.level, depth)
+
+    def wait_for_full(self) -> float:
+        """Seconds until an empty one is full."""
+        return self.depth / max(self.rate, SLOWEST)
--- a/tests/test_emulator.py
+++ b/tests/test_emulator.py
@@ -1,9 +1,13 @@
 """The emulator: replay, the rules judged on a run with faults, a broken module caught, the clock's grain."""
 
 import importlib.util
+import shutil
+import sys
+from pathlib import Path
 
 import pytest
 
+from brookhub import policy
 from brookhub.config import Experiment, loads
 from brookhub.config.models import MembershipSpec
 from brookhub.emulator import Fleet, RuleBrokenError
@@ -85,11 +89,13 @@
     told = []
     fleet.engine.at(
         10.5,
-        lambda: told.append({(seat.gateway.upstreams.gateways, seat.gateway.sure) for seat in fleet.seats}),
+        lambda: told.append(
+            {(seat.gateway.upstreams.gateways, seat.gateway.sure_gateways) for seat in fleet.seats}
+        ),
     )
     fleet.run()
     assert told == [{(3, 6)}]  # each half of six sees three; both halves are still there
-    assert {(seat.gateway.upstreams.gateways, seat.gateway.sure) for seat in fleet.seats} == {(6, 6)}
+    assert {(seat.gateway.upstreams.gateways, seat.gateway.sure_gateways) for seat in fleet.seats} == {(6, 6)}
 
 
 def test_a_seed_replayed_gives_the_same_trail_and_another_seed_does_not():
@@ -157,26 +163,26 @@
     assert sum(len(seat.calls) for seat in fleet.seats) <= result.open
 
 
-def broken_copy():
-    """The decision module, copied with one line changed: every outcome counts as proof that nothing ran."""
-    spec = importlib.util.find_spec("brookhub.policy")
-    source = spec.loader.get_source("brookhub.policy")
+def broken_copy(folder):
+    """The decisions, copied with one line changed: every outcome counts as proof that nothing ran."""
+    copied = shutil.copytree(Path(policy.__file__).parent, folder / "policy_broken")
+    constants = copied / "constants.py"
     line = "NEVER_RAN = (Outcome.FULL, Outcome.UNCONNECTED, Outcome.UNSENT)"
-    assert line in source
-    source = source.replace(line, "NEVER_RAN = tuple(Outcome)")
-    module = importlib.util.module_from_spec(
-        importlib.util.spec_from_loader("brookhub.policy_broken", loader=None)
+    assert line in constants.read_text()
+    constants.write_text(constants.read_text().replace(line, "NEVER_RAN = tuple(Outcome)"))
+    spec = importlib.util.spec_from_file_location(
+        "brookhub.policy_broken", copied / "__init__.py", submodule_search_locations=[str(copied)]
     )
-    module.__package__ = "brookhub"
-    exec(compile(source, "policy_broken.py", "exec"), module.__dict__)
+    module = sys.modules[spec.name] = importlib.util.module_from_spec(spec)
+    spec.loader.exec_module(module)
     return module
 
 
-def test_a_broken_rule_in_a_copy_of_the_module_is_caught_with_its_trail():
+def test_a_broken_rule_in_a_copy_of_the_module_is_caught_with_its_trail(tmp_path):
     # Failing servers make errors; the broken copy then sends a non-idempotent call again: rule 2.
     spec = experiment(("1.0", "failing_servers"))
     with pytest.raises(RuleBrokenError) as caught:
-        Fleet(spec, decisions=broken_copy()).run()
+        Fleet(spec, decisions=broken_copy(tmp_path)).run()
     assert caught.value.rule == 2 and "sent again" in caught.value.text
     assert any(" send " in line for line in caught.value.trail) and "BROKEN" in caught.value.trail[-1]
     assert not Fleet(spec).run().broken  # the real module, on the same run, holds
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -57,13 +57,13 @@
 
 def test_one_server_that_turns_away_does_not_narrow_what_all_others_get():
     world = World(servers=6, plans=[WIDE], max_tries=5, counter_wait=0.0, gateways=2)
-    payer, before = world.customer(), world.gateway.upstreams.window
+    payer, before = world.customer(), world.gateway.upstreams.concurrency_limit
     for _ in range(60):
         world.call(payer)
         world.run(0.05)
         for one in list(world.out):
             world.end(one, Outcome.FULL if one.server.id < 3 else Outcome.OK)
-    assert world.gateway.upstreams.window >= before
+    assert world.gateway.upstreams.concurrency_limit >= before
 
 
 def test_cold_servers_that_answer_slowly_do_not_narrow_what_the_warm_get():
@@ -81,14 +81,14 @@
                 world.end(one, Outcome.OK)
         for view in world.gateway.upstreams.servers:
             view.up_since = world.now if cold else 0.0
-        before = world.gateway.upstreams.window
+        before = world.gateway.upstreams.concurrency_limit
         for _ in range(300):
             world.call(payer)
             world.run(0.05)
             for one in list(world.out):
                 if world.now - one.sent >= 0.8:
                     world.end(one, Outcome.OK)
-        return world.gateway.upstreams.window / before
+        return world.gateway.upstreams.concurrency_limit / before
 
     assert narrowed(cold=True) > 0.9 > narrowed(cold=False)
 
@@ -276,7 +276,7 @@
     account = customer.account
     before = {
         name: (getattr(account, name).rate, getattr(account, name).depth)
-        for name in ("share", "alone", "ceiling")
+        for name in ("share", "unconfirmed", "ceiling")
     }
     world.gateway.fleet_told(2, 0, 4)  # a split in halves: two are seen, none has left
     assert {name: (getattr(account, name).rate, getattr(account, name).depth) for name in before} == before
@@ -284,12 +284,14 @@
     world.gateway.fleet_told(2, 0, 2)  # two have left for good
     after = {name: getattr(account, name) for name in before}
     assert (
-        after["share"].rate == 20.0 and after["alone"].rate == 40.0 * 0.75 and after["ceiling"].rate == 24.0
+        after["share"].rate == 20.0
+        and after["unconfirmed"].rate == 40.0 * 0.75
+        and after["ceiling"].rate == 24.0
     )
     assert world.gateway.upstreams.rivals == cold / 2
     world.gateway.fleet_told(8, 0, 8)  # growth: what was there for fewer is cut at once
     assert account.share.level <= account.share.depth == 10.0 and account.ceiling.depth == 12.0
-    assert account.alone.depth == 80.0 * 1.5 / 8
+    assert account.unconfirmed.depth == 80.0 * 1.5 / 8
 
 
 def test_a_customer_of_some_gateways_only_keeps_its_own_number():
@@ -386,14 +388,14 @@
     customer = world.customer()
     world.call(customer, gateways=10)
     account = customer.account
-    whole = account.joint, account.store.rate, account.store.depth
+    whole = account.joint_rate, account.quota.rate, account.quota.depth
     world.gateway.counter_told(0.3)
-    assert (account.store.rate, account.store.depth) == (12.0, 24.0) and account.store.level <= 24.0
+    assert (account.quota.rate, account.quota.depth) == (12.0, 24.0) and account.quota.level <= 24.0
     later = world.customer(2)
     world.call(later, gateways=10)  # one that comes meanwhile has its part as well
-    assert later.account.store.rate == 12.0 and account.share.rate == 4.0  # own shares are an Nth in any case
+    assert later.account.quota.rate == 12.0 and account.share.rate == 4.0  # own shares are an Nth in any case
     world.gateway.counter_told(1.0)
-    assert (account.joint, account.store.rate, account.store.depth) == whole
+    assert (account.joint_rate, account.quota.rate, account.quota.depth) == whole
 
 
 @pytest.mark.parametrize("seed", range(3))
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -4,8 +4,9 @@
 
 import pytest
 
-from brookhub.interface import Group, Outcome, Plan, Repeat, Route, State
-from brookhub.policy import IDLE, UNHEARD, Loans, Unshared
+from brookhub.interface import Group, IndependentChoices, Outcome, Plan, Repeat, Route, State
+from brookhub.policy.capacity import Loans
+from brookhub.policy.constants import IDLE, UNHEARD
 from helpers import World
 
 ROUTES = [
@@ -99,17 +100,17 @@
             out = sum(
                 1 for call in calls if call.request and call.request.sent and call.request.account is account
             )
-            assert account.out == out
+            assert account.in_flight == out
             if account.plan.open_cap:
                 assert out <= max(1, 4 // spread)
-        assert gateway.upstreams.out == len(world.out)
+        assert gateway.upstreams.in_flight == len(world.out)
         for call in calls:
             if call.request and call.request.loan:
                 assert abs(sum(part for _, part in call.request.loan) - call.units) < 1e-6
                 assert all(one.timeout <= loans.horizon for one in call.attempts)
     world.run(10.0)
     assert all(call in world.answers for call in calls), "an API call without its final answer"
-    assert all(account.lent < 1e-6 and account.out == 0 for account in gateway.accounts)
+    assert all(account.lent < 1e-6 and account.in_flight == 0 for account in gateway.accounts)
 
 
 @pytest.mark.parametrize("seed", range(5))
@@ -325,7 +326,7 @@
 def test_asked_calls_leave_room_for_what_others_could_not_say():
     full, heard = (World(servers=30) for _ in range(2))
     full.gateway.quota.unheard.add(full.now, 30.0)
-    full.gateway.quota.said.add(full.now, 20.0)
+    full.gateway.quota.reported.add(full.now, 20.0)
     for world in (full, heard):
         payer = world.customer()
         world.call(payer)
@@ -385,7 +386,7 @@
 def test_the_parts_of_many_gateways_cover_the_fleet_evenly():
     uses = [0] * 70
     for slot in range(100):
-        for view in World(servers=70, gateways=100, slot=slot).gateway.upstreams.part:
+        for view in World(servers=70, gateways=100, slot=slot).gateway.upstreams.subset:
             uses[view.server.id] += 1
     assert max(uses) <= 1.5 * sum(uses) / 70 and min(uses) >= 0.5 * sum(uses) / 70
 
@@ -473,12 +474,14 @@
     ):
         world.count = lambda name, amount, lives, told: told(outcome, 1.0, took)
         world.run(1.0)
-        before = quota.pace.rate = 2.0  # what was used: from more than that a late answer goes back at once
+        before = quota.pace.bucket.rate = (
+            2.0  # what was used: from more than that a late answer goes back at once
+        )
         world.call(payer)
-        assert (quota.pace.rate < before) is slower
+        assert (quota.pace.bucket.rate < before) is slower
 
 
-class Word(Unshared):
+class Word(IndependentChoices):
     """What the fleet says of servers, as choices.Shared would."""
 
     def __init__(self):
