--- a/brookhub/chain.py
+++ b/brookhub/chain.py
@@ -4,7 +4,7 @@
 
 from typing import Any, Sequence
 
-from .interface import Answer
+from .interface import Answer, Port
 
 
 class Stage:
@@ -13,6 +13,9 @@
     next: Any = None  # the neighbours, set by `link`
     before: Any = None
 
+    def __init__(self, port: Port) -> None:
+        self.port = port
+
     def ended(self, request: Any, answer: Answer) -> None:
         """The request has its final answer: undo what was kept for it and tell `before`."""
         self.before.ended(request, answer)
--- a/brookhub/interface.py
+++ b/brookhub/interface.py
@@ -1,4 +1,4 @@
-"""What the decisions in policy.py are told, in which types, and the port through which they act.
+"""What the decisions (`policy`) are told, in which types, and the port through which they act.
 
 Nothing here decides. Times are seconds, with fractions. Ids are for the door: inside, objects point to each
 other.
--- a/brookhub/policy/accounts.py
+++ b/brookhub/policy/accounts.py
@@ -2,35 +2,29 @@
 
 from ..state import Account
 from ..structures import TokenBucket
-from .constants import FORGET, OVERFLOW_USED, UNHEARD
+from .constants import OVERFLOW_USED, UNHEARD
 
 
 def open_account(customer, gateways, settings, now, launched, granted):
-    """The record of a customer that this gateway knows nothing of."""
-    plan, largest, counted = customer.plan, settings.largest, settings.counter_wait > 0
+    plan, counted = customer.plan, settings.counter_wait > 0
     # A launch may be a restart: what an earlier life spent is unknown, so the own shares are empty then.
-    since = now if plan.burst / gateways < largest else launched
+    since = now if plan.burst / gateways < settings.largest else launched
     quota = TokenBucket(plan.rate, plan.burst, plan.burst, now, OVERFLOW_USED)
-    share, unconfirmed, ceiling = (TokenBucket(0.0, 0.0, 0.0, at) for at in (since, since, launched))
-    told_at = -FORGET
-    account = Account(
-        customer, plan, largest, counted, granted, now, told_at, quota, share, unconfirmed, ceiling
-    )
+    own = [TokenBucket(0.0, 0.0, 0.0, at) for at in (since, since, launched)]
+    account = Account(customer, plan, settings.largest, counted, granted, now, quota, *own)
     divide(account, gateways)
     account.credit = account.most_credit
     return account
 
 
-def divide(account, gateways):
-    """Set the parts where so many gateways hold the quota. What is in the buckets stays, as far as it fits."""
+def divide(account, gateways):  # where so many hold the quota; what they hold stays, if it fits
     plan, largest, nth, account.gateways = account.plan, account.largest, 1.0 / gateways, gateways
-    # Where an Nth is less than one API call, one may pass unasked if the counter can't be asked.
+    # Where an Nth is less than one request, one may pass unasked if the counter can't be asked.
     account.most_credit = largest if plan.burst * nth < largest else 0.0
     account.part = nth if account.most_credit or not account.granted else min(1.0, UNHEARD * nth)
-    # Where an Nth of a ceiling is thin it goes by the window's count, which numbers each unit for all gateways: the
-    # nth of a window may go n / joint_rate after its start. So no window holds more than comes in while it lasts,
-    # and a span that begins late in one holds that at once: at most the burst. Half stays with own parts while they
-    # hold a call.
+    # Where an Nth of a ceiling is thin it goes by the window's count, which numbers each unit: the nth
+    # may go n / joint_rate after the window's start, so no span holds more than a burst over what came in.
+    # Half stays with own parts while they hold a request.
     own = 0.5 if plan.ceiling_burst * nth / 2 >= largest else 0.0
     most = min(plan.ceiling_rate, plan.ceiling_burst * plan.rate / plan.burst) if plan.rate else 0.0
     joint = account.counted and account.most_credit
@@ -40,5 +34,4 @@
     account.share.resize(plan.rate * nth, max(plan.burst * nth, largest))
     account.unconfirmed.resize(plan.rate * account.part, max(plan.burst * account.part, largest))
     account.ceiling.resize(plan.ceiling_rate * ceiling_part, plan.ceiling_burst * ceiling_part)
-    buckets = (account.quota, account.share, account.ceiling)
-    account.refills_in = max(bucket.wait_for_full() for bucket in buckets)
+    account.refills_in = max(one.wait_for_full() for one in (account.quota, account.share, account.ceiling))
--- a/brookhub/policy/capacity.py
+++ b/brookhub/policy/capacity.py
@@ -15,10 +15,8 @@
         self.port, self.queue, self.accounts, self.horizon = port, queue, accounts, horizon
 
     def take(self, request):
-        if request.beyond_quota and not self.lend(request):
-            self.before.ended(request, Answer.REJECTED)
-        else:
-            self.next.take(request)
+        lacks_room = request.beyond_quota and not self.lend(request)
+        self.before.ended(request, Answer.REJECTED) if lacks_room else self.next.take(request)
 
     def lend(self, request):
         now, units, loan = self.port.now, request.call.units, []
@@ -34,8 +32,7 @@
         self.book(request.loan or (), 1)
         return request.loan
 
-    def free(self, account):
-        """Units of a guarantee, the gateway's part of the rate times the horizon, that are not lent."""
+    def free(self, account):  # of a guarantee: the gateway's part of the rate times the horizon
         return account.plan.rate / account.gateways * self.horizon - account.lent
 
     def book(self, loan, sign):
@@ -53,9 +50,6 @@
 class Ceiling(Stage):
     """This gateway's part of a customer's hard ceiling and of its cap on attempts: work waits for it."""
 
-    def __init__(self, port):
-        self.port = port
-
     def take(self, request):
         account, now, wait = request.account, self.port.now, 0.0
         if account.plan.ceiling_rate > 0:
@@ -75,7 +69,6 @@
         request.account.ceiling.level += 0.0 if request.sent else request.drawn
         self.before.ended(request, answer)
 
-    def has_room(self, request):
-        """Asked as it is sent: what only waits in the queue does not fill the cap."""
+    def has_room(self, request):  # asked as it is sent: what only waits in the queue does not fill the cap
         account, cap = request.account, request.account.plan.open_cap
         return not cap or request.sent or account.in_flight < max(1, round(cap / account.gateways))
--- a/brookhub/policy/queue.py
+++ b/brookhub/policy/queue.py
@@ -14,8 +14,7 @@
     def __init__(self, port):
         self.port, self.waiting, self.look_at = port, deque(), 0.0
 
-    def too_long(self, request):
-        """Seconds of wait if the queue can't meet the latency target, else 0."""
+    def too_long(self, request):  # seconds of wait if the queue can't meet the latency target, else 0
         delay = self.next.delay()
         wait = len(self.waiting) * delay / max(1, self.next.in_flight)
         return wait if wait + delay > QUEUE_PART * (request.target_at - self.port.now) else 0.0
@@ -24,24 +23,20 @@
         self.waiting.append(request)
         self.dispatch()
 
-    def dispatch(self):
-        """Hand out what places are free; tell at once what can't meet its latency target any more."""
+    def dispatch(self):  # hand out what places are free; tell at once what can't meet its target any more
         waiting, self.waiting, blocked, delay = self.waiting, deque(), False, self.next.delay()
         for request in waiting:
             if self.port.now > request.call.expires:  # where this process stood still, its timer is late
                 self.next.give_up(request)
-            if request.done:
-                continue
-            view = None if blocked or not self.before.has_room(request) else self.next.choose_server(request)
-            if view:
+            may_go = not request.done and not blocked and self.before.has_room(request)
+            if view := may_go and self.next.choose_server(request):
                 self.next.start_attempt(request, view)
-            elif self.port.now + delay > request.target_at:
+            elif not request.done and self.port.now + delay > request.target_at:
                 request.retry_after = delay
                 self.next.ended(request, Answer.REJECTED)
-            else:
+            elif not request.done:
                 self.waiting.append(request)
-                may_block = not attempts_that_may_have_run(request) and self.before.has_room(request)
-                blocked = blocked or may_block
+                blocked = blocked or not attempts_that_may_have_run(request) and self.before.has_room(request)
         if self.waiting and self.port.now >= self.look_at:
             self.look_at = self.port.now + 0.9 * SWEEP
             self.port.later(SWEEP, self.dispatch)
--- a/brookhub/policy/repeats.py
+++ b/brookhub/policy/repeats.py
@@ -5,13 +5,11 @@
 
 
 def attempts_that_may_have_run(request):
-    """The attempts of which it is not proven that nothing ran, the first one first."""
     return [one for one in request.call.attempts if one.outcome not in NEVER_RAN]
 
 
-def may_repeat_at(request, server, ran, now):
-    """Whether a server may get it, after attempts that may have run: keyed repeats stay in group and window."""
-    route = request.call.route
+def may_repeat_at(server, route, ran, now):
+    """Whether a server may get it after attempts that may have run: keyed ones stay in group and window."""
     if not ran or route.repeat is Repeat.IDEMPOTENT:
         return True
     if route.repeat is Repeat.NON_IDEMPOTENT or now >= ran[0].sent + route.window:
--- a/brookhub/routing/__init__.py
+++ b/brookhub/routing/__init__.py
@@ -1,1 +1,1 @@
-"""The port on sockets: who is connected, what is out to whom, and when. What to do is policy.py's to say."""
+"""The port on sockets: who is connected, what is out to whom, and when. What to do is for `policy` to say."""
--- a/brookhub/state.py
+++ b/brookhub/state.py
@@ -23,11 +23,11 @@
     counted: bool  # whether there is a counter
     granted: float  # part of the quota that is granted by the count seen from here
     active_at: float  # the last request or end of an attempt
-    told_at: float  # the counter's last word
     quota: TokenBucket  # of all gateways, as far as is known here
     share: TokenBucket  # this gateway's part, used before the counter is asked
     unconfirmed: TokenBucket  # what this gateway lets in without the counter's word
     ceiling: TokenBucket  # this gateway's part of the hard ceiling
+    told_at: float = -inf  # the counter's last word
     gateways: int = 1  # that hold the quota together
     told_gateways: int = 1  # the number that the customer's requests carry
     part: float = 1.0  # of the quota that `unconfirmed` holds
@@ -48,6 +48,16 @@
         """Seconds of a window of the counter: burst over rate."""
         return self.plan.burst / self.plan.rate
 
+    def refill(self, now: float) -> None:
+        """Bring all buckets up to a moment."""
+        for bucket in (self.quota, self.share, self.unconfirmed, self.ceiling):
+            bucket.read(now)
+
+    def take(self, now: float, units: float) -> None:
+        """Take units out of the quota, as known here; below 0 gives them back."""
+        for bucket in (self.quota, self.share, self.unconfirmed):
+            bucket.take(now, units)
+
 
 Loan = list[tuple[Account, float]]  # lenders, and the units of each
 
@@ -89,3 +99,12 @@
         0  # attempts in a row that it took nothing of: it is full, drains or is gone, told or not
     )
     attempts: list[Any] = field(default_factory=list)  # those out, the oldest first
+
+    @classmethod
+    def of(
+        cls, server: Server, places: float, phase: float, now: float, memory: float, outcomes: int
+    ) -> Upstream:
+        """The record of a server that nothing is known of; its slow start begins with `phase` of a token."""
+        slow_start = TokenBucket(0.0, 1.0, phase, now)
+        delays, successes = DecayingMean(memory), SuccessWindow(outcomes)
+        return cls(server, max(1.0, places), slow_start, delays, successes, server.up_since)
--- a/brookhub/structures/adaptive_rate.py
+++ b/brookhub/structures/adaptive_rate.py
@@ -16,15 +16,16 @@
     decrease: float  # factor for a late one
     least: float  # share of the wanted rate that is kept
     at_once: float  # calls at one stroke, at the least
-    hold: float  # s between two decreases; also the time whose calls the bucket holds
     memory: float  # s over which the wanted rate is averaged
 
 
 class AdaptiveRate:
     """Calls a second that grow with quick answers and shrink with late ones, from what was used."""
 
-    def __init__(self, limits: RateLimits, rate: float, now: float) -> None:
+    def __init__(self, limits: RateLimits, hold: float, rate: float, now: float) -> None:
+        """`hold`: s between two decreases, also the time whose calls the bucket holds; `rate`: at first."""
         self.limits = limits
+        self.hold = hold
         self.bucket = TokenBucket(rate, limits.at_once, 1.0, now)
         self.began_at = now
         self.held_until = 0.0
@@ -51,5 +52,5 @@
             bucket.rate += limits.increase
         elif late and now >= self.held_until:  # from what was used: less of more would be no less
             bucket.rate = max(limits.least * wanted, min(bucket.rate, 2 * wanted) * limits.decrease)
-            self.held_until = now + limits.hold
-        bucket.depth = max(limits.at_once, bucket.rate * limits.hold)
+            self.held_until = now + self.hold
+        bucket.depth = max(limits.at_once, bucket.rate * self.hold)
--- a/brookhub/structures/random_generator.py
+++ b/brookhub/structures/random_generator.py
@@ -4,9 +4,9 @@
 
 MULTIPLIER = 6364136223846793005  # of Knuth's MMIX
 INCREMENT = 1442695040888963407
-MODULUS = 2**64
+MODULUS = 1 << 64
 LOW_BITS = 33  # dropped: the low bits of a linear congruential generator repeat soon
-HIGH_BITS = 31  # kept
+HIGHEST = 1 << 31  # the high bits that are kept give numbers below this
 
 
 class RandomGenerator:
@@ -20,4 +20,4 @@
     def uniform(self) -> float:
         """The next number, evenly from 0 (inclusive) to 1 (exclusive)."""
         self.state = (self.state * MULTIPLIER + INCREMENT) % MODULUS
-        return (self.state >> LOW_BITS) / 2**HIGH_BITS
+        return (self.state >> LOW_BITS) / HIGHEST
--- a/brookhub/structures/token_bucket.py
+++ b/brookhub/structures/token_bucket.py
@@ -6,7 +6,7 @@
 
 
 class TokenBucket:
-    """Units that refill at `rate` a second up to `depth`. The level may be below 0: more was taken than was there.
+    """Units that refill at `rate` a second up to `depth`. Below 0, more was taken than was there.
 
     `overflow` sums what found no room, times `overflow_weight`; who reads it takes off what is accounted for.
     """
@@ -32,13 +32,18 @@
         return self.level
 
     def take(self, now: float, units: float) -> None:
-        """Take units whether they are there or not; below 0 gives them back. What passes the depth stays till it is read."""
+        """Take units whether they are there or not; below 0 gives them back."""
         self.level = self.read(now) - units
 
     def wait(self, now: float, units: float) -> float:
         """Seconds until so many units are there."""
         return max(0.0, units - self.read(now)) / max(self.rate, SLOWEST)
 
+    def change_rate(self, now: float, rate: float) -> None:
+        """Refill up to a moment at the old rate, and go on at another."""
+        self.read(now)
+        self.rate = rate
+
     def resize(self, rate: float, depth: float) -> None:
         """Change rate and depth from here on; what is in it stays, as far as it fits."""
         self.rate = rate
--- /dev/null
+++ b/tests/test_structures.py
@@ -0,0 +1,153 @@
+"""Generic data structures: what holds for any order of calls, drawn by hypothesis."""
+
+from math import exp, isclose
+
+import pytest
+from hypothesis import given
+from hypothesis import strategies as st
+
+from brookhub.structures import (
+    AdaptiveRate,
+    DecayingMean,
+    DecayingSum,
+    RandomGenerator,
+    RateLimits,
+    RisingMinimum,
+    SuccessWindow,
+    TokenBucket,
+)
+
+STEPS = st.lists(st.tuples(st.floats(0.0, 20.0), st.floats(0.0, 5.0)), min_size=1, max_size=30)
+EVEN_START = [0.423209, 0.509407, 0.648359]  # what seed 1 has given since the first version
+LIMITS = RateLimits(increase=1.5, decrease=0.8, least=0.2, at_once=2.0, memory=10.0)
+
+
+@given(STEPS)
+def test_a_decaying_sum_is_the_sum_of_its_parts_each_faded_by_its_age(steps):
+    kept, now, parts = DecayingSum(4.0), 0.0, []
+    for seconds, amount in steps:
+        now += seconds
+        kept.add(now, amount)
+        parts.append((now, amount))
+    expected = sum(amount * exp((at - now) / 4.0) for at, amount in parts)
+    assert isclose(kept.read(now), expected, rel_tol=1e-9, abs_tol=1e-12)
+    assert isclose(kept.read(now + 4.0), expected / exp(1), rel_tol=1e-9, abs_tol=1e-12)
+
+
+@given(STEPS, st.floats(0.1, 3.0))
+def test_a_decaying_mean_lies_between_the_extremes_and_at_its_prior_while_nothing_is_known(steps, prior):
+    mean, now = DecayingMean(4.0), 0.0
+    assert mean.read(now) == 0.0 and mean.read_with_prior(now, prior) == prior
+    for seconds, value in steps:
+        now += min(seconds, 4.0)  # what has faded to nothing has no mean any more
+        mean.add(now, value)
+    values = [value for _, value in steps]
+    assert min(values) - 1e-9 <= mean.read(now) <= max(values) + 1e-9
+    with_prior = mean.read_with_prior(now, prior)
+    assert min(*values, prior) - 1e-9 <= with_prior <= max(*values, prior) + 1e-9
+
+
+@given(st.floats(0.0, 50.0), st.floats(0.0, 100.0), STEPS)
+def test_a_token_bucket_gives_no_more_than_it_held_and_what_came_in(rate, depth, steps):
+    bucket, now, given_out = TokenBucket(rate, depth, depth, 0.0), 0.0, 0.0
+    for seconds, units in steps:
+        now += seconds
+        assert bucket.read(now) <= depth
+        if bucket.level >= units:
+            bucket.take(now, units)
+            given_out += units
+    total = given_out + bucket.read(now) + bucket.overflow
+    assert given_out <= depth + rate * now + 1e-6
+    assert isclose(total, depth + rate * now, rel_tol=1e-9, abs_tol=1e-6)  # nothing is lost, nothing is made
+
+
+@given(st.floats(0.1, 50.0), st.floats(1.0, 100.0), st.floats(-50.0, 1.0), st.floats(0.0, 1.0))
+def test_a_token_bucket_has_the_units_after_the_wait_that_it_names(rate, depth, level, share):
+    bucket, units = TokenBucket(rate, depth, level, 10.0), share * depth
+    wait = bucket.wait(10.0, units)
+    assert bucket.read(10.0 + wait) >= units - 1e-6
+
+
+def test_a_token_bucket_that_is_resized_keeps_what_fits_and_one_that_changes_its_rate_what_came_in():
+    bucket = TokenBucket(2.0, 10.0, 8.0, 0.0)
+    bucket.resize(1.0, 5.0)
+    assert (bucket.level, bucket.depth, bucket.wait_for_full()) == (5.0, 5.0, 5.0)
+    bucket.take(0.0, 5.0)
+    bucket.change_rate(2.0, 0.5)
+    assert bucket.level == 2.0 and bucket.read(4.0) == 3.0
+    assert TokenBucket(0.0, 1.0, 0.0, 0.0).wait(0.0, 1.0) < float("inf")
+
+
+def test_the_overflow_of_a_token_bucket_is_weighted():
+    bucket = TokenBucket(2.0, 10.0, 10.0, 0.0, overflow_weight=0.5)
+    bucket.read(3.0)
+    assert bucket.overflow == 3.0
+
+
+@given(st.integers(0, 2**64 - 1))
+def test_the_random_generator_gives_the_same_numbers_for_a_seed_all_from_0_to_below_1(seed):
+    one, other = RandomGenerator(seed), RandomGenerator(seed)
+    numbers = [one.uniform() for _ in range(50)]
+    assert numbers == [other.uniform() for _ in range(50)]
+    assert all(0.0 <= number < 1.0 for number in numbers)
+
+
+def test_the_random_generator_is_even_and_its_numbers_are_those_of_the_first_versions():
+    generator = RandomGenerator(1)
+    assert [round(generator.uniform(), 6) for _ in range(3)] == pytest.approx(EVEN_START, abs=1e-6)
+    counts = [0] * 10
+    for _ in range(10_000):
+        counts[int(generator.uniform() * 10)] += 1
+    assert max(counts) < 1.15 * min(counts)
+
+
+@given(st.lists(st.booleans(), max_size=40))
+def test_a_success_window_goes_by_the_last_outcomes_alone(outcomes):
+    window = SuccessWindow(8)
+    for good in outcomes:
+        window.add(good)
+    last = ([True] * 8 + outcomes)[-8:]
+    assert window.rate == sum(last) / 8
+    window.add(False, times=8)
+    assert window.rate == 0.0
+
+
+@given(STEPS)
+def test_a_rising_minimum_is_never_above_the_last_value_and_rises_no_faster_than_it_should(steps):
+    best, now, before = RisingMinimum(0.03), 0.0, None
+    for seconds, value in steps:
+        now += seconds
+        best.add(now, value + 0.1)
+        assert best.value <= value + 0.1
+        if before is not None:
+            assert best.value <= before * (1 + 0.03 * seconds) + 1e-12
+        before = best.value
+
+
+@given(st.lists(st.tuples(st.floats(0.0, 0.3), st.sampled_from(["quick", "late", "neither"])), max_size=60))
+def test_an_adaptive_rate_grows_by_its_step_shrinks_once_a_hold_and_keeps_its_floor(answers):
+    pace, now, last_cut = AdaptiveRate(LIMITS, 0.1, 10.0, 0.0), 0.0, -1.0
+    for seconds, how in answers:
+        now += seconds
+        pace.wanted.add(now, 1.0)
+        before = pace.bucket.rate
+        if pace.allows(now):
+            pace.take()
+        pace.answered(now, how == "quick", how == "late")
+        floor = LIMITS.least * max(1.0, pace.wanted.read(now) / min(LIMITS.memory, max(1.0, now)))
+        if how == "quick":
+            assert pace.bucket.rate == before or isclose(pace.bucket.rate, before + LIMITS.increase)
+        elif how == "neither":
+            assert pace.bucket.rate == before
+        elif pace.bucket.rate != before:  # never below a share of what is wanted
+            assert now - last_cut >= 0.1 - 1e-9
+            assert isclose(pace.bucket.rate, floor) or pace.bucket.rate <= LIMITS.decrease * before + 1e-9
+            last_cut = now
+        assert pace.bucket.depth >= LIMITS.at_once and pace.bucket.rate > 0
+
+
+def test_an_adaptive_rate_leaves_a_share_for_others_and_names_the_wait():
+    pace = AdaptiveRate(LIMITS, 0.1, 10.0, 0.0)
+    assert pace.allows(0.0) and not pace.allows(0.0, spare=0.5)
+    assert isclose(pace.wait(0.0, spare=0.5), 0.1)
+    assert pace.allows(0.1, spare=0.5)
