--- a/brookhub/interface.py
+++ b/brookhub/interface.py
@@ -1,4 +1,4 @@
-"""What the decisions in policy.py are told, in which types, and the port through which they act.
+"""What the decisions (`policy`) are told, in which types, and the port through which they act.
 
 Nothing here decides. Times are seconds, with fractions. Ids are for the door: inside, objects point to each
 other.
@@ -8,7 +8,7 @@
 
 from dataclasses import dataclass, field
 from enum import Enum
-from typing import Any, Callable, Protocol
+from typing import Any, Callable, Iterable, Protocol
 
 
 class Repeat(Enum):
@@ -41,6 +41,14 @@
     NOTED = "kept by the recovery, to be added later; there is no total"
 
 
+class Answer(Enum):
+    """The one final answer that a request gets."""
+
+    SERVED = "a server's answer"
+    REJECTED = "refused, with a time to come back in"
+    FAILED = "no answer in time, with no promise whether it ran"
+
+
 class State(Enum):
     """What the server list says of a server."""
 
@@ -81,6 +89,41 @@
     beyond_cost: float = 0.0
 
 
+@dataclass(frozen=True)
+class GatewaySettings:
+    """What one gateway of a site goes by from its start on. Times in seconds, quotas in units.
+
+    Raises ValueError where a value can't be worked with, by its name.
+    """
+
+    routes: tuple[Route, ...]
+    plans: tuple[Plan, ...]
+    zone: int
+    slot: int  # its place among the gateways, from 0
+    gateways: int  # that hold each quota together
+    counter_wait: float  # for an answer of the counter; 0: there is no counter
+    largest: float  # units of the largest API call
+    trued_up: bool  # whether servers tell what a call has used
+    max_tries: int
+    second_copies: bool
+    may_cancel: bool
+    longest_retry_after: float  # 0: no time to come back is told
+    cold_from: float  # of its capacity that a server has at its start
+    warm_after: float  # until it has all
+    fall_multiple: float  # of what it can do when cold, from which a server falls
+    fall_within: float
+    asks_for_servers: bool  # else the list is pushed
+    ask_within: float
+
+    def __post_init__(self) -> None:
+        needed: dict[str, float] = {"gateways": self.gateways, "max_tries": self.max_tries}
+        needed |= {route.name: route.target for route in self.routes}
+        needed |= {f"{plan.name}: burst": plan.burst for plan in self.plans if plan.rate}
+        for name, value in needed.items():
+            if not value > 0:
+                raise ValueError(f"{name} must be above 0, not {value}")
+
+
 @dataclass(eq=False)
 class Server:
     """One back-end server, as the server list tells it. `view` is the decisions' own record of it."""
@@ -140,6 +183,57 @@
         """So many gateways are there, this one's place among them (from 0), and so many have not surely left."""
 
 
+class Choices(Protocol):
+    """What the fleet knows and chooses together of its servers. Servers are named by their ids."""
+
+    least: int  # servers that this gateway uses at least
+
+    def listed(self, servers: dict[int, Server]) -> None:
+        """The servers that there are."""
+
+    def shuns(self, server: int) -> bool:
+        """Whether the fleet leaves it alone now."""
+
+    def due(self, server: int) -> bool:
+        """Whether it is this gateway's turn to try one that the fleet leaves alone."""
+
+    def tried(self, server: int) -> None:
+        """An attempt goes to it."""
+
+    def saw(self, server: int, outcome: Outcome) -> None:
+        """How an attempt ended there, with nothing else to blame than the server or the way to it."""
+
+    def ring(self, views: list[Any], start: int) -> Iterable[Any]:
+        """The servers' records in the order of this gateway's preference; `start`: where its own stretch begins."""
+
+
+class IndependentChoices:
+    """No word of other gateways: nothing is left alone, nothing awaits this one's turn."""
+
+    least = 0
+
+    def listed(self, servers: dict[int, Server]) -> None:
+        """Nothing to do."""
+
+    def shuns(self, server: int) -> bool:
+        """Never."""
+        return False
+
+    def due(self, server: int) -> bool:
+        """Never."""
+        return False
+
+    def tried(self, server: int) -> None:
+        """Nothing to do."""
+
+    def saw(self, server: int, outcome: Outcome) -> None:
+        """Nothing to do."""
+
+    def ring(self, views: list[Any], start: int) -> Iterable[Any]:
+        """All servers, from its own stretch on."""
+        return views[start:] + views[:start]
+
+
 Told = Callable[[Outcome, float, float], None]  # how a count ended, its total, how long it took
 
 
