--- a/brookhub/emulator/__init__.py
+++ b/brookhub/emulator/__init__.py
@@ -3,7 +3,8 @@
 `Fleet(spec).run()` plays one experiment; see docs/emulator.md for the design and its limits.
 """
 
-from .fleet import Fleet, Result
+from .fleet import Fleet
+from .result import Result
 from .rules import RuleBrokenError
 
 __all__ = ["Fleet", "Result", "RuleBrokenError"]
--- a/brookhub/emulator/fleet.py
+++ b/brookhub/emulator/fleet.py
@@ -8,20 +8,20 @@
 
 import random
 import time
-from dataclasses import dataclass, field, replace
+from dataclasses import replace
 from types import ModuleType
 
-from hdrh.histogram import HdrHistogram
-
 from .. import policy
 from ..choices import TOPIC, ByCounter, ByPeers, Parts, Shared, Signals, Turns, unpack
-from ..config.models import Experiment, FaultSpec
+from ..config.models import Experiment
 from ..interface import ApiCall, GatewaySettings, Group, Plan, Repeat, Route, State
 from ..membership import ALIVE, Membership
 from ..recovery import Ledger
 from .engine import Engine
+from .faults import FaultPlayer
 from .limiter import Seat
 from .peers import FLEET, PeerNet, PeerSeat
+from .result import Population, Result
 from .rules import LATE, Referee
 from .world import Counter, Discovery, ServerModel, Servers
 
@@ -31,92 +31,9 @@
     "non_idempotent": Repeat.NON_IDEMPOTENT,
 }
 GROUPS = {"all": Group.ALL, "zone": Group.ZONE, "cell": Group.CELL}
-LATENCY_MAX_US = 60_000_000  # the histogram's top: one minute, beyond any client timeout
-RESTART_AFTER = 1.0  # s a restarted limiter is away: a process start
 CELLS = 4  # cells in each zone: tokened groups of the `cell` kind span a few servers
 
 
-@dataclass
-class Result:
-    """What one run gave: counts of API calls by their final answer, latency (µs) and quota overshoot."""
-
-    calls: int = 0
-    proxied: int = 0
-    rate_limited: int = 0
-    errored: int = 0
-    lost: int = 0
-    left: int = 0
-    open: int = 0  # still awaiting their answer when the run ended
-    tries: int = 0
-    counter_calls: int = 0
-    events: int = 0
-    wall_s: float = 0.0
-    cold_falls: int = 0
-    sent_to_bad: int = 0  # tries at servers that were slow, failing, silent or dead then
-    sent_to_cold: int = 0
-    broken: dict = field(default_factory=dict)
-    first_break: str | None = None
-    digest: str = ""
-    latency: HdrHistogram = field(default_factory=lambda: HdrHistogram(1, LATENCY_MAX_US, 2))
-    quota_overshoot: float = 0.0  # mean over customers with a quota of max(0, units proxied / allowed - 1)
-    worst_overshoot: float = 0.0
-    ceiling_overshoot: float = 0.0  # worst share over a hard ceiling, jointly over the fleet
-
-    def metrics(self) -> dict:
-        answered = max(1, self.calls - self.left)
-        return {
-            "calls": self.calls,
-            "proxied": self.proxied,
-            "rate_limited": self.rate_limited,
-            "errored": self.errored,
-            "lost": self.lost,
-            "left": self.left,
-            "open": self.open,
-            "tries": self.tries,
-            "served_share": self.proxied / answered,
-            "rate_limited_share": self.rate_limited / answered,
-            "errored_share": (self.errored + self.lost) / answered,
-            "p50_ms": self.latency.get_value_at_percentile(50) / 1000,
-            "p99_ms": self.latency.get_value_at_percentile(99) / 1000,
-            "quota_overshoot": self.quota_overshoot,
-            "worst_overshoot": self.worst_overshoot,
-            "ceiling_overshoot": self.ceiling_overshoot,
-            "cold_falls": self.cold_falls,
-            "sent_to_bad": self.sent_to_bad,
-            "sent_to_cold": self.sent_to_cold,
-            "counter_calls": self.counter_calls,
-            "events": self.events,
-            "wall_s": round(self.wall_s, 3),
-            "events_per_s": round(self.events / self.wall_s) if self.wall_s else 0,
-            "broken": dict(self.broken),
-            "first_break": self.first_break,
-            "digest": self.digest,
-        }
-
-
-class Customer:
-    """A client population of one plan; `units` proxied are summed fleet-wide for the overshoot."""
-
-    def __init__(self, ident: int, plan: Plan, calls_per_s: float, ceiling_window: float):
-        self.id, self.plan, self.calls_per_s = ident, plan, calls_per_s
-        self.units = 0.0
-        self.ceiling_level, self.ceiling_at, self.ceiling_over = plan.ceiling_burst, 0.0, 0.0
-        self.window = ceiling_window
-
-    def proxied(self, now: float, units: float) -> None:
-        self.units += units
-        plan = self.plan
-        if plan.ceiling_rate:  # a fleet-wide store of the ceiling: what passes beyond it is overshoot
-            self.ceiling_level = min(
-                plan.ceiling_burst, self.ceiling_level + (now - self.ceiling_at) * plan.ceiling_rate
-            )
-            self.ceiling_at = now
-            self.ceiling_level -= units
-            if self.ceiling_level < 0:
-                self.ceiling_over += -self.ceiling_level
-                self.ceiling_level = 0.0
-
-
 class Fleet:
     """Builds the model from an Experiment and plays it; `referee` judges the rules at each event."""
 
@@ -163,13 +80,12 @@
             )
             for one in fleet.plans
         ]
-        horizon = max(route.target for route in self.routes)
         kinds = [
             (plan, one.calls_per_s * spec.load.scale)
             for plan, one in zip(self.plans, fleet.plans, strict=False)
             for _ in range(one.customers)
         ]
-        self.customers = [Customer(number, plan, rate, horizon) for number, (plan, rate) in enumerate(kinds)]
+        self.customers = [Population(number, plan, rate) for number, (plan, rate) in enumerate(kinds)]
         self.weights = [customer.calls_per_s for customer in self.customers]
         self.rate = sum(self.weights)
         servers = fleet.servers
@@ -178,20 +94,12 @@
             self.referee,
             random.Random(self.rng.getrandbits(64)),
             [
-                ServerModel(
+                ServerModel.of(
+                    servers,
                     index,
                     index % fleet.zones,
                     (index // fleet.zones) % CELLS,
-                    servers.places,
-                    servers.queue,
-                    servers.service_s,
-                    servers.cold_from,
-                    servers.warm_after_s,
-                    servers.fall_multiple,
-                    servers.fall_for_s,
-                    servers.fall_within_s,
-                    up_since=-servers.warm_after_s - 1.0,
-                    error_share=servers.error_share,
+                    -servers.warm_after_s - 1.0,
                 )
                 for index in range(servers.count)
             ],
@@ -213,6 +121,7 @@
         self.answered: dict[int, bool] = {}
         self.started: dict[int, float] = {}
         self.ident = 0
+        self.faults = FaultPlayer(self)
         self.early: set[int] = set()  # calls of the time before settle_s: their answers are not counted
 
     # building
@@ -315,7 +224,7 @@
         route = self.rng.choices(self.routes, self.route_weights)[0]
         self.call(customer, route, repeated=False)
 
-    def call(self, customer: Customer, route: Route, repeated: bool, token: int = 0) -> None:
+    def call(self, customer: Population, route: Route, repeated: bool, token: int = 0) -> None:
         """One API call at a limiter drawn by chance; `token`: of the call that its client asked first, where it asks again."""
         now, load = self.engine.now, self.experiment.load
         living = [seat for seat in self.seats if seat.alive and not seat.closing]
@@ -371,7 +280,7 @@
             return  # the client left before: the answer finds no one
         if call.id in self.early:
             if how == "proxied":
-                call.who.proxied(now, call.units)
+                call.who.served(now, call.units)
             return
         result = self.result
         result.tries += len(call.attempts)
@@ -379,7 +288,7 @@
             seat.served += 1
             result.proxied += 1
             result.latency.record_value(max(1, int((now - began) * 1e6)))
-            call.who.proxied(now, call.units)
+            call.who.served(now, call.units)
         elif how == "rate-limited":
             result.rate_limited += 1
             if self.rng.random() < self.experiment.load.repeat_share:
@@ -397,112 +306,7 @@
         if self.started.pop(call.id, None) is not None and call.id not in self.early:
             self.result.lost += 1
 
-    # faults
-
-    def schedule(self, fault: FaultSpec) -> None:
-        self.engine.at(fault.at_s, lambda: self.fault(fault))
-
-    def pick(self, items: list, share: float) -> list:
-        count = min(len(items), max(1, round(share * len(items)))) if share else 0
-        return self.rng.sample(items, count)
-
-    def fault(self, fault: FaultSpec) -> None:
-        engine, action, models = self.engine, fault.action, list(self.servers.models.values())
-        self.referee.now = engine.now
-        self.referee.note("fault", action, fault.share, fault.zone, fault.for_s)
-        if action in ("kill_limiters", "restart_limiters"):
-            for seat in self.pick([seat for seat in self.seats if seat.alive], fault.share):
-                seat.kill()
-                if action == "restart_limiters":
-                    engine.after(RESTART_AFTER, lambda index=seat.index: self.restart(index))
-        elif action == "term_limiters":
-            for seat in self.pick([seat for seat in self.seats if seat.alive], fault.share):
-                self.term(seat)
-        elif action == "stall_limiters":
-            for seat in self.pick([seat for seat in self.seats if seat.alive], fault.share):
-                seat.wakes = engine.now + fault.for_s
-                if seat.peer:
-                    seat.peer.wakes = seat.wakes
-        elif action in ("split_limiters", "cut_peers", "lose_packets"):
-            self.hurt_peers(fault)
-        elif action == "cut_links":
-            for seat in self.seats:
-                for model in models:
-                    if self.rng.random() < fault.share:
-                        seat.cut[model.id] = engine.now + fault.for_s
-        elif action in ("drain_servers", "replace_servers"):
-            drained = self.pick([model for model in models if model.state is State.READY], fault.share)
-            for model in drained:
-                model.state, model.drained_at = State.DRAINING, engine.now
-            self.discovery.changed(drained)
-            engine.after(fault.for_s, lambda: self.gone(drained, replace=action == "replace_servers"))
-        elif action == "zone_lost":
-            lost = [model for model in models if model.zone == fault.zone]
-            for model in lost:
-                model.mode = "dead"
-            engine.after(fault.for_s, lambda: self.returned(lost))
-        elif action in ("slow_servers", "failing_servers", "silent_servers"):
-            hit = self.pick(models, fault.share)
-            for model in hit:
-                model.mode, model.slow_factor = action.removesuffix("_servers"), fault.factor
-            engine.after(fault.for_s, lambda: [setattr(model, "mode", "ok") for model in hit])
-        elif action == "counter_down":
-            self.counter.down = True
-            engine.after(fault.for_s, lambda: setattr(self.counter, "down", False))
-        elif action == "counter_wipe":
-            self.counter.wipe()
-        elif action == "counter_lose":
-            self.counter.lose(fault.share)
-        elif action == "counter_swap":
-            engine.after(fault.for_s, self.counter.swap())
-        elif action == "counter_late":
-            self.counter.delay += fault.delay_s
-            engine.after(
-                fault.for_s, lambda: setattr(self.counter, "delay", self.counter.delay - fault.delay_s)
-            )
-        elif action == "counter_split":
-            self.counter.split(True)
-            engine.after(fault.for_s, lambda: self.counter.split(False))
-        elif action == "lose_answers":
-            self.servers.lost_share = self.counter.lost_share = fault.share
-            engine.after(fault.for_s, lambda: self.unlose())
-        else:
-            raise ValueError(f"{action}: not played in the emulator, only on processes")
-
-    def term(self, seat: Seat) -> None:
-        """A planned end: no new calls, the others are told; gone when the longest call's time is over, then back."""
-        seat.closing = True
-        if seat.peer:
-            seat.peer.core.leave()
-        longest = max(route.client_timeout for route in self.routes)
-
-        def end() -> None:
-            seat.kill()
-            self.engine.after(RESTART_AFTER, lambda: self.restart(seat.index))
-
-        self.engine.after(longest + 0.1, end)
-
-    def hurt_peers(self, fault: FaultSpec) -> None:
-        if not self.net:
-            raise ValueError(f"{fault.action}: the experiment's fleet has no membership, so no peer links")
-        net = self.net
-        if fault.action == "lose_packets":
-            net.loss = net.doubled = net.reordered = fault.share
-        else:
-            side = {f"n{seat.index}" for seat in self.pick(self.seats, fault.share)}
-            net.apart = lambda a, b: (
-                (fault.way != "back" and a in side and b not in side)
-                or (fault.way != "forward" and b in side and a not in side)
-            )
-
-        def heal() -> None:
-            net.loss = net.doubled = net.reordered = 0.0
-            net.apart = None
-
-        self.engine.after(fault.for_s, heal)
-
-    def unlose(self) -> None:
-        self.servers.lost_share = self.counter.lost_share = 0.0
+    # limiters and servers
 
     def keep_off(self, index: int, servers: set[int]) -> None:
         """A plan of work has a limiter send nothing to these, whatever the list says."""
@@ -525,35 +329,13 @@
         self.discovery.seats = self.seats
         self.referee.note("restarted", seat.index)
 
-    def gone(self, drained: list[ServerModel], replace: bool) -> None:
-        fresh = []
-        for model in drained:
-            model.state = State.GONE
-            if replace:
-                new = ServerModel(
-                    self.next_server,
-                    model.zone,
-                    model.cell,
-                    model.places,
-                    model.queue,
-                    model.service,
-                    model.cold_from,
-                    model.warm_after,
-                    model.fall_multiple,
-                    model.fall_for,
-                    model.fall_within,
-                    up_since=self.engine.now,
-                    error_share=model.error_share,
-                )
-                self.next_server += 1
-                self.servers.models[new.id] = new
-                fresh.append(new)
-        self.discovery.changed(drained + fresh)
-
-    def returned(self, lost: list[ServerModel]) -> None:
-        for model in lost:
-            model.mode, model.up_since = "ok", self.engine.now  # back, and cold
-        self.discovery.changed(lost)
+    def add_server(self, place: ServerModel) -> ServerModel:
+        """A cold server in the place of another one."""
+        spec = self.experiment.fleet.servers
+        fresh = ServerModel.of(spec, self.next_server, place.zone, place.cell, self.engine.now)
+        self.next_server += 1
+        self.servers.models[fresh.id] = fresh
+        return fresh
 
     # the run
 
@@ -561,7 +343,7 @@
         """Play the experiment to its end; raises RuleBrokenError at a break where the experiment is strict."""
         wall = time.perf_counter()
         for fault in self.experiment.faults:
-            self.schedule(fault)
+            self.faults.schedule(fault)
         self.engine.after(self.rng.expovariate(self.rate), self.arrival)
         if self.experiment.settle_s:
             self.engine.at(self.experiment.settle_s, self.settled)
--- a/brookhub/emulator/world.py
+++ b/brookhub/emulator/world.py
@@ -14,6 +14,7 @@
 from math import sqrt
 from typing import Callable
 
+from ..config.models import ServerSpec
 from ..interface import Outcome, State
 
 CONNECT = 0.001  # s until a refused or turned-away try is known: one round trip on a local network
@@ -51,6 +52,25 @@
         0.0  # the same as a share of N + 2 x root of N + 2, N being what makes it fall
     )
 
+    @classmethod
+    def of(cls, spec: ServerSpec, ident: int, zone: int, cell: int, up_since: float) -> ServerModel:
+        """A server as an experiment describes its servers."""
+        return cls(
+            ident,
+            zone,
+            cell,
+            spec.places,
+            spec.queue,
+            spec.service_s,
+            spec.cold_from,
+            spec.warm_after_s,
+            spec.fall_multiple,
+            spec.fall_for_s,
+            spec.fall_within_s,
+            up_since=up_since,
+            error_share=spec.error_share,
+        )
+
     def entry(self) -> tuple:
         """As discovery tells it: (id, zone, kind, cell, state, weight, up since)."""
         return (self.id, self.zone, 0, self.cell, self.state, 1.0, self.up_since)
--- a/tests/test_emulator.py
+++ b/tests/test_emulator.py
@@ -193,7 +193,7 @@
         experiment(),
     )
     fleet.discovery.delay = 5.0  # the list comes later than the grace: the limiters send on
-    fleet.schedule(loads(SMALL + FAULTS % ("1.0", "drain_servers"), Experiment).faults[0])
+    fleet.faults.schedule(loads(SMALL + FAULTS % ("1.0", "drain_servers"), Experiment).faults[0])
     with pytest.raises(RuleBrokenError) as caught:
         fleet.run()
     assert caught.value.rule == 3
