--- /dev/null
+++ b/brookhub/commands/serve.py
@@ -0,0 +1,87 @@
+"""`brookhub run`, `brookhub check-config` and `brookhub version`."""
+
+from __future__ import annotations
+
+import os
+import sys
+from importlib.metadata import PackageNotFoundError
+from importlib.metadata import version as installed_version
+from pathlib import Path
+
+import click
+
+from ..config import ConfigError, Experiment, GatewayFile, MembershipFile, PlanFile, SiteFile, load
+from .common import refuse
+
+MODELS = {
+    "experiment": Experiment,
+    "membership": MembershipFile,
+    "plan": PlanFile,
+    "site": SiteFile,
+    "gateway": GatewayFile,
+}
+# The tables by which a kind of file is known, the first that is found; a file without any is a start file.
+MARKS = (
+    ("[fleet", "experiment"),
+    ("[[peers]]", "membership"),
+    ("[[machines]]", "plan"),
+    ("[[tier]]", "site"),
+)
+
+
+@click.command()
+@click.option(
+    "--config", "path", type=click.Path(dir_okay=False), help="start file, TOML or JSON (else NODE_CONFIG)"
+)
+def run(path: str | None) -> None:
+    """Run the gateway on sockets in the foreground (as `python -m brookhub`)."""
+    if path:
+        os.environ["NODE_CONFIG"] = path
+    from ..program.run import main as serve
+
+    sys.exit(serve())
+
+
+def kind_of(path: str) -> str:
+    """The kind of a configuration file by its tables; ends the program where it can't be read."""
+    try:
+        text = Path(path).read_text(errors="replace")
+    except OSError as broken:
+        refuse(ConfigError(path, "", 0, broken.strerror or str(broken)))
+    return next((kind for mark, kind in MARKS if mark in text), "gateway")
+
+
+def check_json_start_file(path: str) -> None:
+    """Check a start file in JSON; ends the program where it can't be used."""
+    from ..program import startfile
+
+    try:
+        startfile.read({"NODE_CONFIG": path})
+    except startfile.StartError as broken:
+        refuse(broken)
+
+
+@click.command("check-config")
+@click.argument("path", type=click.Path(dir_okay=False))
+@click.option("--kind", type=click.Choice(["auto", *sorted(MODELS)]), default="auto", show_default=True)
+def check_config(path: str, kind: str) -> None:
+    """Check a configuration file; one line naming key and line for the first fault, exit 2."""
+    if kind == "auto":
+        kind = kind_of(path)
+    if kind == "gateway" and path.endswith(".json"):
+        check_json_start_file(path)
+    else:
+        try:
+            load(path, MODELS[kind])
+        except ConfigError as broken:
+            refuse(broken)
+    click.echo(f"{path}: a good {kind} file")
+
+
+@click.command()
+def version() -> None:
+    """The program's version."""
+    try:
+        click.echo(installed_version("brookhub"))
+    except PackageNotFoundError:
+        click.echo("brookhub (not installed)")
--- a/brookhub/lab/processes.py
+++ b/brookhub/lab/processes.py
@@ -8,46 +8,31 @@
 from __future__ import annotations
 
 import json
-import os
 import random
 import resource
 import signal
-import socket
-import subprocess
-import sys
 import threading
 import time
-from contextlib import suppress
 from dataclasses import dataclass
 from pathlib import Path
 from time import monotonic, sleep
 from typing import Callable
 
-from ..config.models import Experiment, FaultSpec
+from ..config.models import Experiment
 from ..emulator import Result
 from ..emulator.world import ServerModel
 from ..interface import State
 from ..links import Relays
 from ..stand_ins import CounterStandIn, DiscoveryStandIn, ModelServer, Timers, host
+from .errors import LabError
 from .judge import Outage, Verdict, judge
+from .limiter_process import Limiter
 from .load import Load
+from .process_faults import ProcessFaults
 from .startfiles import CELLS, start_file, zone
 
 MOST, LEAST = 32, 1  # processes: what 8 cores start and carry beside a light load; 16 beside a heavy one
-RESTART_AFTER = 1.0  # s a restarted limiter is away, as in the emulator
 READY_IN = 20.0  # s for a limiter to answer PING
-ENDS_IN = 6.0  # s for a limiter to end after SIGTERM, longer than its longest client timeout
-FIRST = 10  # limiter i has the addresses 127.0.(FIRST + i).*
-
-
-class LabError(RuntimeError):
-    """The lab can't play this: says why in one line."""
-
-
-def free_port(address: str, kind: int = socket.SOCK_STREAM) -> int:
-    with socket.socket(socket.AF_INET, kind) as probe:
-        probe.bind((address, 0))
-        return probe.getsockname()[1]
 
 
 @dataclass
@@ -68,64 +53,6 @@
         }
 
 
-class Limiter:
-    """One process of the program, started again at the same address as often as asked."""
-
-    def __init__(self, lab: "ProcessLab", index: int):
-        self.lab, self.index = lab, index
-        self.address = f"127.0.{FIRST + index}.1"
-        self.at = (self.address, free_port(self.address))
-        self.udp = (self.address, free_port(self.address, socket.SOCK_DGRAM))
-        self.config = lab.folder / f"n{index}.json"
-        self.log_path = lab.folder / f"n{index}.log"
-        self.process: subprocess.Popen | None = None
-        self.starts = 0
-
-    def start(self) -> None:
-        self.starts += 1
-        self.lab.write_config(self)
-        environment = {name: value for name, value in os.environ.items() if not name.startswith("NODE_")}
-        with open(self.log_path, "a") as log:
-            self.process = subprocess.Popen(
-                [sys.executable, "-m", "brookhub"],
-                stderr=log,
-                stdout=log,
-                env={**environment, "NODE_CONFIG": str(self.config)},
-            )
-
-    def ready(self) -> bool:
-        with suppress(OSError, ValueError), socket.create_connection(self.at, 1.0) as sock:
-            sock.settimeout(1.0)
-            sock.sendall(b"*1\r\n$4\r\nPING\r\n")
-            return sock.recv(64) == b"+PONG\r\n"
-        return False
-
-    def alive(self) -> bool:
-        return self.process is not None and self.process.poll() is None
-
-    def hit(self, number: int) -> None:
-        if self.alive():
-            self.process.send_signal(number)
-
-    def end(self, number: int = signal.SIGKILL) -> None:
-        if self.process is not None:
-            self.hit(signal.SIGCONT)  # a stopped process would not hear SIGTERM
-            self.hit(number)
-            with suppress(subprocess.TimeoutExpired):
-                self.process.wait(ENDS_IN)
-            if self.alive():
-                self.process.kill()
-                self.process.wait()
-
-    def lines(self) -> list[dict]:
-        """Its structured log so far, all starts."""
-        found = []
-        for line in self.log_path.read_text(errors="replace").splitlines() if self.log_path.exists() else ():
-            with suppress(ValueError):
-                found.append(json.loads(line))
-        return found
-
-
 class ProcessLab:
     """Everything one run needs; a context manager that ends all it started."""
 
@@ -148,6 +75,7 @@
         self.threads: list[threading.Thread] = []
         self.errors: list[BaseException] = []
         self.load: Load | None = None
+        self.faults = ProcessFaults(self)
         now = monotonic()
         self.servers: dict[int, ModelServer] = {}
         self.next_server = 0
@@ -155,7 +83,7 @@
             self.add_server(now - fleet.servers.warm_after_s - 1.0)
         self.counter = CounterStandIn(delay=fleet.counter.delay_s)
         self.discovery = DiscoveryStandIn([], dial=self.dial_of)
-        self.limiters = [Limiter(self, index) for index in range(fleet.limiters)]
+        self.limiters = [Limiter(index, self.folder, self.write_config) for index in range(fleet.limiters)]
         self.links: dict[tuple[str, int], object] = {}  # (limiter's address, server) -> TcpLink
         self.counter_links = {
             one.address: self.relays.tcp(f"counter/{one.index}", self.counter.at, one.address)
@@ -185,21 +113,7 @@
     def add_server(self, up_since: float, place: int | None = None) -> ModelServer:
         spec, ident = self.experiment.fleet.servers, self.next_server
         zones, place = self.experiment.fleet.zones, self.next_server if place is None else place
-        model = ServerModel(
-            ident,
-            place % zones,
-            (place // zones) % CELLS,
-            spec.places,
-            spec.queue,
-            spec.service_s,
-            spec.cold_from,
-            spec.warm_after_s,
-            spec.fall_multiple,
-            spec.fall_for_s,
-            spec.fall_within_s,
-            up_since=up_since,
-            error_share=spec.error_share,
-        )
+        model = ServerModel.of(spec, ident, place % zones, (place // zones) % CELLS, up_since)
         self.next_server += 1
         server = ModelServer(model, self.timers, random.Random(f"server/{self.seed}/{ident}"), self.seen)
         self.servers[ident] = server
@@ -296,10 +210,6 @@
     def note(self, text: str) -> None:
         self.events.append((monotonic(), text))
 
-    def pick(self, items: list, share: float) -> list:
-        count = min(len(items), max(1, round(share * len(items)))) if share else 0
-        return self.rng.sample(items, count)
-
     def after(self, seconds: float, callback: Callable[[], None]) -> None:
         """Do something later in a thread of its own (it may wait for a process to end)."""
 
@@ -397,86 +307,6 @@
             *[self.entry(self.servers[ident]) for ident in fresh],
         )
 
-    def fault(self, fault: FaultSpec) -> None:
-        """Carry out one scripted fault now; what ends after `for_s` is cleared then."""
-        action, limiters = fault.action, [one for one in self.limiters if one.alive()]
-        ready = [ident for ident, one in self.servers.items() if one.model.state is State.READY]
-        self.note(f"fault {action} {fault.share} for {fault.for_s} s")
-        if action in ("kill_limiters", "restart_limiters", "term_limiters"):
-            number = signal.SIGTERM if action == "term_limiters" else signal.SIGKILL
-            for one in self.pick(limiters, fault.share):
-                back = None if action == "kill_limiters" else RESTART_AFTER
-                self.after(0.0, lambda one=one, back=back: self.kill(one, back, number))
-        elif action == "stall_limiters":
-            for one in self.pick(limiters, fault.share):
-                self.after(0.0, lambda one=one: self.stall(one, fault.for_s))
-        elif action in ("split_limiters", "cut_peers", "lose_packets"):
-            if not self.mesh:
-                raise LabError(f"{action}: the experiment's fleet has no membership, so no peer links")
-            if action == "lose_packets":
-                self.mesh.every(loss=fault.share, duplicate=fault.share, reorder=fault.share)
-            else:
-                side = {f"n{one.index}" for one in self.pick(self.limiters, fault.share)}
-                for (a, b), way in self.mesh.ways.items():
-                    out, into = a in side and b not in side, b in side and a not in side
-                    if (out and fault.way != "back") or (into and fault.way != "forward"):
-                        way.set(cut=True)
-            self.after(fault.for_s, self.mesh.clear)
-        elif action == "cut_links":
-            pairs: dict[str, list[int]] = {}
-            for address, ident in self.pick(sorted(self.links), fault.share):
-                pairs.setdefault(address, []).append(ident)
-            for one in self.limiters:
-                if one.address in pairs:
-                    self.after(0.0, lambda one=one: self.cut(one, pairs[one.address], fault.way, fault.for_s))
-        elif action in ("reset_links", "delay_links"):
-            changed = [self.links[key] for key in self.pick(sorted(self.links), fault.share)]
-            for link in changed:
-                link.set(
-                    fault.way, **({"reset": 1.0} if action == "reset_links" else {"delay": fault.delay_s})
-                )
-            self.after(fault.for_s, lambda: [link.clear() for link in changed])
-        elif action in ("drain_servers", "replace_servers"):
-            drained = self.pick(ready, fault.share)
-            self.drain(drained)
-            self.after(fault.for_s, lambda: self.gone(drained, action == "replace_servers"))
-        elif action == "zone_lost":
-            lost = [ident for ident in ready if self.servers[ident].model.zone == fault.zone]
-            for ident in lost:
-                self.dead(ident)
-            self.after(fault.for_s, lambda: self.returned(lost))
-        elif action in ("slow_servers", "failing_servers", "silent_servers"):
-            hit = [self.servers[ident].model for ident in self.pick(ready, fault.share)]
-            for model in hit:
-                model.mode, model.slow_factor = action.removesuffix("_servers"), fault.factor
-            self.after(fault.for_s, lambda: [setattr(model, "mode", "ok") for model in hit])
-        elif action == "counter_down":
-            self.counter.mode = "silent"
-            self.after(fault.for_s, lambda: setattr(self.counter, "mode", "ok"))
-        elif action == "counter_wipe":
-            self.counter.wipe()
-        elif action == "counter_lose":
-            self.counter.lose(fault.share)
-        elif action == "counter_swap":
-            self.counter.swap()
-            self.after(fault.for_s, self.counter.restore)
-        elif action == "lose_answers":
-            hit = [self.counter, *self.servers.values()]
-            for one in hit:
-                one.lost = fault.share
-            self.after(fault.for_s, lambda: [setattr(one, "lost", 0.0) for one in hit])
-        elif action == "counter_late":
-            self.counter.delay += fault.delay_s
-            self.after(
-                fault.for_s, lambda: setattr(self.counter, "delay", self.counter.delay - fault.delay_s)
-            )
-        elif action == "counter_split":
-            odd = {one.address for one in self.limiters if one.index % 2}
-            self.counter.split(lambda limiter: int(limiter in odd))
-            self.after(fault.for_s, self.counter.heal)
-        else:
-            raise LabError(f"{action}: not played on processes, only in the emulator")
-
     # the run
 
     def play(self, progress: Callable[[float], None] = lambda done: None) -> Outcome:
@@ -490,7 +320,7 @@
         while player.is_alive():
             now = monotonic() - began
             while todo and todo[0].at_s <= now:
-                self.fault(todo.pop(0))
+                self.faults.play(todo.pop(0))
             progress(min(1.0, now / seconds))
             player.join(0.05 if not todo else max(0.0, min(0.05, todo[0].at_s - now)))
         for thread in self.threads:
--- a/brookhub/program/startfile.py
+++ b/brookhub/program/startfile.py
@@ -3,12 +3,15 @@
 from __future__ import annotations
 
 from pathlib import Path
-from typing import Mapping
+from typing import TYPE_CHECKING, Mapping
 
 from ..protocol import hosts
 from ..protocol.resp import MalformedError
 from ..settings import SettingsError, parse_object, read_gateway_settings, read_number, read_section
 
+if TYPE_CHECKING:
+    from ..maintenance import Plan
+
 
 class StartError(Exception):
     """The program can't start as it was told to: says why in one line."""
@@ -103,15 +106,20 @@
         raise StartError(f"recovery: {broken}") from None
 
 
-def plan(start: Start):
-    """The plan of work that a start file names (maintenance.Plan), None where there is none yet; raises StartError in one line."""
+def plan(start: Start) -> Plan | None:
+    """The plan of work that a start file names, None where there is none yet; raises StartError in one line."""
+    if not start.maintenance or not Path(start.maintenance).exists():
+        return None
+    return plan_from_file(Path(start.maintenance))
+
+
+def plan_from_file(path: Path) -> Plan:
+    """A plan of work; raises StartError in one line."""
     from ..config import ConfigError, PlanFile, load
     from ..maintenance import Machine, Plan
 
-    if not start.maintenance or not Path(start.maintenance).exists():
-        return None
     try:
-        spec = load(start.maintenance, PlanFile)
+        spec = load(str(path), PlanFile)
     except ConfigError as broken:
         raise StartError(f"maintenance: {broken}") from None
     machines = tuple(
--- a/tests/test_processes.py
+++ b/tests/test_processes.py
@@ -14,9 +14,10 @@
 
 from brookhub.emulator.world import ServerModel
 from brookhub.interface import State
+from brookhub.lab.errors import LabError
 from brookhub.lab.judge import Outage, judge
 from brookhub.lab.load import Asked, Load
-from brookhub.lab.processes import LabError, ProcessLab
+from brookhub.lab.processes import ProcessLab
 from brookhub.protocol import resp
 from brookhub.stand_ins import ModelServer, StandIn, Timers, read_value
 from brookhub.stand_ins.server import Seen
@@ -166,7 +167,7 @@
         ProcessLab(experiment(limiters=1), tmp_path) as lab,
         pytest.raises(LabError, match="no membership, so no peer links"),
     ):
-        lab.fault(experiment(faults=[{"at_s": 0, "action": "split_limiters"}]).faults[0])
+        lab.faults.play(experiment(faults=[{"at_s": 0, "action": "split_limiters"}]).faults[0])
 
 
 def test_a_model_server_keeps_its_places_its_queue_and_the_rule_of_cold_servers():
