--- a/brookhub/program/run.py
+++ b/brookhub/program/run.py
@@ -12,7 +12,7 @@
 
 from ..interface import GatewaySettings
 from ..policy import Gateway
-from ..routing.clients import Clients
+from ..routing.clients import ClientLimits, Clients
 from ..routing.connections import Reconnector
 from ..routing.counter import Counter
 from ..routing.discovery import Discovery
@@ -69,85 +69,97 @@
     """One gateway on sockets."""
 
     def __init__(self, start: Start):
+        """Raises StartError where the start file asks for what can't be had."""
+        self.start = start
         self.log = log.open_log(start.name)
+        self.ends = log.Ends(self.log)
+        self.chance = Random(start.seed).random
         self.longest = max((route.client_timeout for route in start.gateway_settings.routes), default=LONGEST)
-        ends = log.Ends(self.log)
         self.port = port = SocketPort(self.fault, GRAIN, self.woken)
-        servers_most = max(8, int(start.sockets * SERVER_PART))
-        clients_most = max(8, start.sockets - servers_most - COUNTER_LINKS - SPARE)
-        port.servers = Servers(
-            port,
-            ends,
+        self.servers_most = max(8, int(start.sockets * SERVER_PART))
+        port.servers = self.make_servers()
+        port.discovery = self.discovery = self.make_discovery()
+        if start.counter:
+            port.counter = self.make_counter()
+        self.clients = self.make_clients()
+        port.gateway = Gateway(port, start.seed, start.gateway_settings)
+        self.recovering = self.recover(start)
+        self.peers = self.join(start)
+        self.keeper = self.keep(start) if self.peers and start.maintenance else None
+        if start.known:
+            port.run(monotonic(), self.discovery.heard, start.known)
+        self.listener = self.listen()
+
+    def make_servers(self) -> Servers:
+        """The connections to servers."""
+        start = self.start
+        return Servers(
+            self.port,
+            self.ends,
             start.connect_within,
             start.server_idle_for * IDLE_PART,
             SETTLE,
-            servers_most,
+            self.servers_most,
             int(start.memory * LARGEST),
             int(start.memory * ALL_HELD),
         )
-        self.start, chance = start, Random(start.seed).random
-        port.discovery = self.discovery = Discovery(
-            port,
-            lambda address: Reconnector(
+
+    def make_discovery(self) -> Discovery:
+        """The watch on the server list."""
+        start, pauses = self.start, list_pauses(self.start.gateway_settings)
+
+        def reconnector(address: tuple[str, int]) -> Reconnector:
+            return Reconnector(
                 "discovery",
                 address,
                 DISCOVERY_CONNECT,
-                list_pauses(start.gateway_settings),
-                chance,
-                ends,
+                pauses,
+                self.chance,
+                self.ends,
                 self.fault,
                 LIST_AGAIN,
-            ),
-            start.zones,
-            start.kinds,
-            time() - monotonic(),
-            DISCOVERY_SILENT,
-        )
-        if start.counter:
-            port.counter = Counter(
-                port,
-                lambda address: Reconnector(
-                    "counter", address, COUNTER_CONNECT, PAUSES, chance, ends, self.fault
-                ),
-                start.gateway_settings.counter_wait,
-                COUNTER_LINKS,
-                COUNTER_SILENT,
             )
-        self.clients = Clients(
-            port,
-            ends,
-            start.gateway_settings.routes,
-            start.gateway_settings.plans,
-            start.gateway_settings.gateways,
-            start.gateway_settings.largest,
-            self.discovery.fit,
-            clients_most,
-            SPARE // 2,
-            start.most_calls,
-            int(start.memory * CLIENT_HELD),
-            int(start.memory * ALL_HELD),
-            STALLED,
-            LINGER,
-            MUTE,
-            IDLE,
+
+        ahead = time() - monotonic()
+        return Discovery(self.port, reconnector, start.zones, start.kinds, ahead, DISCOVERY_SILENT)
+
+    def make_counter(self) -> Counter:
+        """The connections to the counter."""
+
+        def reconnector(address: tuple[str, int]) -> Reconnector:
+            return Reconnector(
+                "counter", address, COUNTER_CONNECT, PAUSES, self.chance, self.ends, self.fault
+            )
+
+        wait = self.start.gateway_settings.counter_wait
+        return Counter(self.port, reconnector, wait, COUNTER_LINKS, COUNTER_SILENT)
+
+    def make_clients(self) -> Clients:
+        """The connections of clients; what descriptors the others leave."""
+        start = self.start
+        limits = ClientLimits(
+            connections=max(8, start.sockets - self.servers_most - COUNTER_LINKS - SPARE),
+            spare_connections=SPARE // 2,
+            open_requests=start.most_calls,
+            unread_bytes_of_one=int(start.memory * CLIENT_HELD),
+            unread_bytes=int(start.memory * ALL_HELD),
+            stalled_for=STALLED,
+            lingers_for=LINGER,
+            mute_for=MUTE,
+            idle_for=IDLE,
         )
+        return Clients(self.port, self.ends, start.gateway_settings, self.discovery.fit, limits)
+
+    def listen(self) -> Listener:
+        """Listen last: who connects before requests are taken waits unseen, and its time begins once it is read.
+
+        Listening before the operator's files were read, requests were answered up to 0.5 s after their deadline.
+        """
+        host, port = self.start.listen
         try:
-            port.gateway = Gateway(port, start.seed, start.gateway_settings)
-        except ValueError as refused:
-            raise StartError(f"settings: {refused}") from None
-        self.recovering = self.recover(start)
-        self.peers = self.join(start)
-        self.keeper = self.keep(start) if self.peers and start.maintenance else None
-        if start.known:
-            port.run(monotonic(), self.discovery.heard, start.known)
-        # Last: who connects before calls are taken waits in the system unseen, and its calls' time begins only once they are read.
-        # Listening before the operator's files were read, calls were answered up to 0.5 s after their client timeout.
-        try:
-            self.listener = Listener(start.listen)
+            return Listener(self.start.listen)
         except OSError as broken:
-            raise StartError(
-                f"can't listen at {start.listen[0]}:{start.listen[1]}: {broken.strerror}"
-            ) from None
+            raise StartError(f"can't listen at {host}:{port}: {broken.strerror}") from None
 
     def join(self, start: Start):
         """The membership driver, where the start file names peers and the settings let limiters talk; else nothing:
--- a/tests/test_routing.py
+++ b/tests/test_routing.py
@@ -20,8 +20,8 @@
 from brookhub.routing import (
     servers as servers_module,
 )
-from brookhub.routing.clients import Client as ClientConnection
-from brookhub.routing.clients import Clients
+from brookhub.routing.client_connection import ClientConnection
+from brookhub.routing.clients import ClientLimits, Clients
 from brookhub.routing.connections import Reconnector
 from brookhub.routing.counter import Counter
 from brookhub.routing.discovery import Discovery
@@ -106,6 +106,19 @@
     assert faults == []
 
 
+LIMITS = ClientLimits(
+    connections=9,
+    spare_connections=1,
+    open_requests=9,
+    unread_bytes_of_one=9999,
+    unread_bytes=9999,
+    stalled_for=9.0,
+    lingers_for=1.0,
+    mute_for=2.0,
+    idle_for=4.0,
+)
+
+
 def at(port, event, *args, after=0.0):
     port.run(port.now + after, event, *args)
 
@@ -356,9 +369,8 @@
 def test_a_fault_costs_its_call_an_error_and_those_behind_it_nothing(port):
     heard, port.faults = [], lambda met: heard.append(str(met))
     routes, plans = [Route("look", 1.0, 2.0)], [Plan("wide")]
-    clients = Clients(
-        port, lambda *_: None, routes, plans, 1, 1.0, lambda: True, 9, 1, 9, 9999, 9999, 9.0, 1.0, 2.0, 4.0
-    )
+    settings = replace(DEFAULT_SETTINGS, routes=tuple(routes), plans=tuple(plans), gateways=1)
+    clients = Clients(port, lambda *_: None, settings, lambda: True, replace(LIMITS, connections=9))
     client = ClientConnection(clients, None)
     client.stream = Remembering()
 
@@ -379,9 +391,8 @@
 
 
 def test_who_has_asked_again_is_not_closed_as_idle_and_nobody_is_once_the_end_is_near(port):
-    clients = Clients(
-        port, lambda *_: None, [], [], 1, 1.0, lambda: True, 3, 9, 9, 9999, 9999, 9.0, 1.0, 2.0, 4.0
-    )
+    limits = replace(LIMITS, connections=3, spare_connections=9)
+    clients = Clients(port, lambda *_: None, DEFAULT_SETTINGS, lambda: True, limits)
     clients.start = lambda client: None
 
     def met(asked):
