--- a/tests/test_fleet_processes.py
+++ b/tests/test_fleet_processes.py
@@ -1,4 +1,6 @@
-"""Membership on processes of the program: several at once, the relay between them, faults, each cleared again.
+"""Membership on processes of the program.
+
+Several at once, the relay between them, faults, each cleared again.
 
 Every run also passes the judge: rules 1 to 4 hold for every call whatever happens between the limiters.
 """
@@ -22,9 +24,8 @@
 from brookhub.program import run, startfile
 from helpers import SETTINGS, Program, until
 
-pytestmark = pytest.mark.xdist_group(
-    "process lab"
-)  # its limiters have the same addresses in each lab: one at a time
+# Its limiters have the same addresses in each lab: one at a time
+pytestmark = pytest.mark.xdist_group("process lab")
 
 
 def fleet(one):
@@ -63,20 +64,20 @@
     def script(lab):
         assert until(all_hold(lab, 5), 5)
         lab.stall(lab.limiters[1], 5.0)
+        # The others missed it meanwhile
         assert until(all_hold(lab, 4, but=[1]), 0.1) or all(
             any(line["event"] == "fleet" and line["present"] == 4 for line in one.lines())
             for one in lab.limiters
             if one.index != 1
-        )  # the others missed it meanwhile
+        )
         assert until(all_hold(lab, 5), 5), present(lab)
         own = [line for line in lab.limiters[1].lines() if line["event"] == "fleet"]
         assert not any("dead" in text for line in own for text in line["absent"]), own
         assert any(line["event"] == "was stopped" for line in lab.limiters[1].lines())
 
     outcome = lab(script, 30.0)
-    assert (
-        outcome.verdict.excused > 0
-    )  # its calls were lost while it stood still; the judge excuses no late answer
+    # Its calls were lost while it stood still; the judge excuses no late answer
+    assert outcome.verdict.excused > 0
 
 
 def test_half_killed_at_once_and_then_all_restarted_together(lab):
@@ -132,9 +133,8 @@
         assert until(all_hold(lab, 4), 5)
         target, chance = lab.limiters[0], random.Random(1)
         stranger = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
-        false = encode(
-            Message("lab", VERSION, 4, "n1", 0, "", [("n2", 4, 2**39, "")])
-        )  # n2 left, says who is not n1
+        # n2 left, says who is not n1
+        false = encode(Message("lab", VERSION, 4, "n1", 0, "", [("n2", 4, 2**39, "")]))
         listed = lab.mesh.sockets["n0", "n1"]  # where n0 knows n1: cut and spoilt messages come from there
         whole = encode(Message("lab", VERSION, 1, "n1", 3))
         sent, began, memory = (
@@ -179,9 +179,8 @@
 
         assert until(all_hold(lab, 12), 6), present(lab)
         for _ in range(2):
-            together(
-                lambda one: lab.kill(one, None, signal.SIGTERM)
-            )  # planned: no call is lost, the judge sees to it
+            # planned: no call is lost, the judge sees to it
+            together(lambda one: lab.kill(one, None, signal.SIGTERM))
             assert until(lambda: {fleet(one).get("sure") for one in few} == {4}, 12), [
                 fleet(one) for one in few
             ]
@@ -232,17 +231,18 @@
         refused = [line for line in program.log_path.read_text().splitlines() if "membership refused" in line]
         assert len(refused) == (named and not opens)
         assert ("brookhub/membership" in Path(f"/proc/{program.process.pid}/maps").read_text()) is False
-        assert ("msgspec" in Path(f"/proc/{program.process.pid}/maps").read_text()) is bool(
-            opens
-        )  # nor is it imported
+        # Nor is it imported
+        assert ("msgspec" in Path(f"/proc/{program.process.pid}/maps").read_text()) is bool(opens)
     finally:
         program.close()
 
 
 @pytest.mark.parametrize("reader", ["peers", "recovery"])
 def test_nobody_is_let_in_before_the_operator_s_files_are_read(tmp_path, monkeypatch, reader):
-    """What connects earlier waits in the system, its calls' time not begun: on a busy machine calls were answered up to 0.5 s after their
-    client timeout by limiters that had just been restarted.
+    """What connects earlier waits in the system, its calls' time not begun.
+
+    On a busy machine calls were answered up to 0.5 s after their client timeout by limiters that had just
+    been restarted.
     """
     with socket.socket() as probe:
         probe.bind(("127.0.0.1", 0))
--- a/tests/test_maintenance.py
+++ b/tests/test_maintenance.py
@@ -168,7 +168,10 @@
 
 
 def test_a_table_that_comes_before_its_plan_is_kept_and_its_machines_are_kept_off_once_the_plan_is_there():
-    """Seen on eight processes: the steward's word was quicker than the plan, and the limiter that met it logged a fault."""
+    """Seen on eight processes.
+
+    The steward's word was quicker than the plan, and the limiter that met it logged a fault.
+    """
     from brookhub.maintenance.messages import Told
 
     port = Alone(["n1"])
@@ -233,7 +236,10 @@
 
 
 def test_one_that_failed_by_itself_and_came_back_stays_out_as_long_as_somebody_may_yet_start_on_it():
-    """Found by random faults: down before it was permitted and up again, it was taken for done while people began on it."""
+    """Found by random faults.
+
+    Down before it was permitted and up again, it was taken for done while people began on it.
+    """
     port, core = begun(start_within_s=6.0)
     first = next(iter(out_of(core)))
     port.gone = {first}
@@ -283,7 +289,10 @@
 
 
 def test_one_that_is_there_and_silent_counts_out_after_a_lease_and_the_longest_timeout_and_one_that_is_gone_sooner():
-    """Seen on processes: one voter's sends were dropped, and the machine stayed leaving for as long as they were."""
+    """Seen on processes.
+
+    One voter's sends were dropped, and the machine stayed leaving for as long as they were.
+    """
     for there, waits in ((True, 1.0 + 1.2), (False, 1.2)):
         port, core = begun()
         port.peers = ["n9"]
@@ -323,9 +332,8 @@
 def test_a_lease_ends_at_the_voter_after_the_leader_s_whatever_the_two_clocks_do():
     for leader in (1 - DRIFT, 1 + DRIFT):
         for voter in (1 - DRIFT, 1 + DRIFT):
-            assert (
-                leased(3.0) / voter >= 3.0 / leader - 1e-9
-            )  # true s: rate of a clock times true time is what it shows
+            # True s: rate of a clock times true time is what it shows
+            assert leased(3.0) / voter >= 3.0 / leader - 1e-9
 
 
 def test_one_that_starts_with_nothing_abstains_for_a_lease_and_until_it_has_read_a_majority():
@@ -386,8 +394,9 @@
     "cut", [{("n0", "n1"), ("n0", "n2")}, {("n1", "n0"), ("n2", "n0")}, {("n1", "n0"), ("n0", "n2")}]
 )
 def test_voters_that_remember_nothing_hear_each_other_by_a_third_where_a_link_is_cut_one_way(cut):
-    """Seen on processes, where it held a plan up for as long as the cut lasted: two new voters waited for the third, whose
-    answers did not reach them.
+    """Seen on processes, where it held a plan up for as long as the cut lasted.
+
+    Two new voters waited for the third, whose answers did not reach them.
     """
     names = [f"n{n}" for n in range(4)]  # n3 has no vote
     ports = {name: Alone([other for other in names if other != name]) for name in names}
@@ -420,9 +429,8 @@
     found = search(model, deviations=2, depth=30, states=3000, seconds=15.0, sample=400)
     assert not found.broken and found.states > 500
     assert [model.ends(state) for state in found.ends[:4]] == [""] * len(found.ends[:4])
-    loose = Model(
-        3, 2, machines=4, zone_most=1, zones=2, rounds=True
-    )  # and it would be found: limiters with other zones
+    # And it would be found: limiters with other zones
+    loose = Model(3, 2, machines=4, zone_most=1, zones=2, rounds=True)
     for core in loose.cores:
         core.plan = msgspec.structs.replace(
             core.plan,
--- a/tests/test_maintenance_processes.py
+++ b/tests/test_maintenance_processes.py
@@ -1,5 +1,6 @@
-"""Plans of work on processes of the program: several limiters, 12 servers under load, faults between; judged by the stand-ins'
-records and by those of the people who work.
+"""Plans of work on processes of the program: several limiters, 12 servers under load, faults between.
+
+Judged by the stand-ins' records and by those of the people who work.
 """
 
 import json
@@ -16,9 +17,8 @@
 from helpers import Program, until
 from test_fleet_processes import PEERS, all_hold
 
-pytestmark = pytest.mark.xdist_group(
-    "process lab"
-)  # its limiters have the same addresses in each lab: one at a time
+# Its limiters have the same addresses in each lab: one at a time
+pytestmark = pytest.mark.xdist_group("process lab")
 
 PLAN = """version = %d
 voters = ["n0", "n1", "n2"]
@@ -82,9 +82,8 @@
         assert until(lambda: done(lab) == set(MACHINES), 40), (done(lab), said(lab, ""))
         workers.stop()
         assert workers.most_out() == 2  # at once, and never more
-        assert until(
-            lambda: [one for one in lab.seen if one.server == 0 and one.at > workers.outs[0][2]], 5
-        )  # used again
+        # Used again
+        assert until(lambda: [one for one in lab.seen if one.server == 0 and one.at > workers.outs[0][2]], 5)
         assert "m3  done" in read_status([one.log_path for one in lab.limiters])
 
     outcome = lab(script, 90.0, limiters=5, **LARGE)
@@ -100,13 +99,13 @@
         assert until(lambda: len(said(lab, "plan taken")) == 2, 8), said(lab, "plan")
         time.sleep(6.0)
         assert not said(lab, "permitted", "steward") and not workers.outs
-        lab.give_plan(
-            lab.limiters[1], plan(machines={"m0": [0], "m1": [2]})
-        )  # another operator, the same version
+        # Another operator, the same version
+        lab.give_plan(lab.limiters[1], plan(machines={"m0": [0], "m1": [2]}))
         time.sleep(1.0)
         lab.split([], False)
-        # And now drop what one voter sends, one way. None of the three remembers anything yet: they need each other's answers, and
-        # get them by a third. (Cut some moments after the heal this test once failed and mostly passed.)
+        # And now drop what one voter sends, one way. None of the three remembers anything yet: they need each
+        # other's answers, and get them by a third. (Cut some moments after the heal this test once failed and
+        # mostly passed.)
         for way in ("n1", "n2"):
             lab.mesh.set("n0", way, cut=True)
         assert until(lambda: said(lab, "plan refused"), 10)
@@ -133,15 +132,13 @@
         lab.give_plan(lab.limiters[0], plan(machines=machines))
         assert until(lambda: done(lab) == set(machines), 50), said(lab, "")[-6:]
         workers.stop()
-        assert (
-            workers.most_out() == 1 and [one[0] for one in workers.outs][0] == "m0"
-        )  # limiters' machines last
+        # limiters' machines last
+        assert workers.most_out() == 1 and [one[0] for one in workers.outs][0] == "m0"
         assert lab.limiters[3].starts == lab.limiters[4].starts == 2
 
     outcome = lab(script, 80.0, limiters=5, **LARGE)
-    assert (
-        outcome.result.lost == 0 and outcome.verdict.excused == 0
-    )  # its clients' connections ended between calls
+    # Its clients' connections ended between calls
+    assert outcome.result.lost == 0 and outcome.verdict.excused == 0
 
 
 def test_all_limiters_restarted_in_mid_plan_remember_nothing_and_take_no_second_machine(lab):
@@ -199,9 +196,8 @@
         if kept:
             path.write_text(plan() + "typo = 1\n")
             os.kill(program.process.pid, signal.SIGHUP)
-            assert until(
-                lambda: "not reloaded" in program.log_path.read_text(), 3
-            )  # one line, and the old plan goes on
+            # One line, and the old plan goes on
+            assert until(lambda: "not reloaded" in program.log_path.read_text(), 3)
         assert not program.faults()
     finally:
         program.close()
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -1,5 +1,7 @@
-"""Membership's core without I/O, in simulated time: each hard case is caused, the rules of its numbers are checked at
-every step of seeded random runs. On processes: tests/test_fleet_processes.py.
+"""Membership's core without I/O, in simulated time.
+
+Each hard case is caused, the rules of its numbers are checked at every step of seeded random runs. On
+processes: tests/test_fleet_processes.py.
 """
 
 import contextlib
@@ -253,8 +255,10 @@
 
 @pytest.mark.parametrize("seed", range(8))
 def test_numbers_are_right_at_every_step_of_a_random_run_and_the_parts_of_all_never_pass_one(seed):
-    """Joint parts are divided by `sure`: with it the parts of all that run add up to one at most, whatever views they
-    have, while nobody that left comes back (docs/membership.md states the bound for that).
+    """Joint parts are divided by `sure`.
+
+    With it the parts of all that run add up to one at most, whatever views they have, while nobody that left
+    comes back (docs/membership.md states the bound for that).
     """
     chance = random.Random(seed)
     crew = Crew(12, seed, warm=chance.random() < 0.5)
@@ -295,7 +299,10 @@
 
 
 def test_a_left_member_that_returns_unheard_passes_one_by_no_more_than_the_bound():
-    """The one way in which `sure` can be too small: it left, all know, and it runs again on the far side of a split."""
+    """The one way in which `sure` can be too small.
+
+    It left, all know, and it runs again on the far side of a split.
+    """
     crew = Crew(8, 1)
     crew.run(1)
     crew.seats["n7"].core.leave()
--- a/tests/test_processes.py
+++ b/tests/test_processes.py
@@ -1,4 +1,6 @@
-"""The process lab: several processes of the program on loopback, faults between them, and a judge that catches.
+"""The process lab.
+
+Several processes of the program on loopback, faults between them, and a judge that catches.
 
 Each run here takes a few seconds; long ones are `brookhub lab processes` (docs/process-lab.md).
 """
@@ -23,9 +25,8 @@
 from brookhub.stand_ins.server import Seen
 from helpers import experiment, until
 
-pytestmark = pytest.mark.xdist_group(
-    "process lab"
-)  # its limiters have the same addresses in each lab: one at a time
+# Its limiters have the same addresses in each lab: one at a time
+pytestmark = pytest.mark.xdist_group("process lab")
 
 
 class Rogue(StandIn):
@@ -96,7 +97,10 @@
 
 @pytest.mark.parametrize("killed, breaks", [(True, False), (False, True)])
 def test_a_call_that_its_client_repeats_after_its_limiter_was_killed_is_judged_by_each_asking(killed, breaks):
-    """Seen once in a restart of all limiters: the client's own repeat was held against the limiters as a second effect."""
+    """Seen once in a restart of all limiters.
+
+    The client's own repeat was held against the limiters as a second effect.
+    """
     spec = experiment()
     call = Asked(1, 0, 1, 2, 10.0, 11.0, answers=[(10.5, "proxied")], end="answered", again=10.3, before=0)
     seen = [
@@ -193,10 +197,11 @@
     assert until(lambda: sum(one.ran for one in seen) == 3 and seen[0].how == "abandoned")
     for one in held:
         one.close()
+    # cold: 5 calls/s of capacity at first, falls beyond 15 a second
     model.mode, model.up_since = (
         "ok",
         time.monotonic(),
-    )  # cold: 5 calls/s of capacity at first, falls beyond 15 a second
+    )
 
     def push(n):
         with contextlib.suppress(OSError):  # once it fell it refuses
--- a/tests/test_program.py
+++ b/tests/test_program.py
@@ -65,9 +65,8 @@
         )
         answers = [read_value(client.lines) for _ in range(9)]
     own = [answer == b"%016x" % min(n, 6) for n, answer in enumerate(answers)]
-    assert all(
-        own[n] or answers[n].startswith((b"ok", b"-BUSY")) for n in (*range(6), 8)
-    )  # the decisions refuse what would wait
+    # The decisions refuse what would wait
+    assert all(own[n] or answers[n].startswith((b"ok", b"-BUSY")) for n in (*range(6), 8))
     assert sum(own[:6]) >= 2 and answers[6] == b"+PONG" and answers[7].startswith(b"-ERR")
 
 
@@ -130,9 +129,8 @@
     with Client(program) as client:
         assert client.ask(api_call(1, "once")) == b"%016x" % 1
         time.sleep(0.02)
-        assert (
-            client.ask(api_call(2, "once")) == b"-ERR failed"
-        )  # written whole on a used connection: never again
+        # Written whole on a used connection: never again
+        assert client.ask(api_call(2, "once")) == b"-ERR failed"
     assert [words[2] for words in program.servers[0].asked] == [b"%016x" % 1, b"%016x" % 2]
     assert program.servers[0].dialled == 1
 
@@ -246,10 +244,11 @@
         words = [b"CALL.GET", b"%016x" % 7, b"%016x" % 1, f"c=look,t=narrow,d=900,{fields}".encode()]
         for _ in range(5):
             assert client.ask(command(*words)).startswith(b"-ERR ")
+        # Its whole store is there
         assert [client.ask(api_call(n, plan="narrow")) for n in (1, 2)] == [
             b"ok",
             b"ok",
-        ]  # its whole store is there
+        ]
     assert len(program.servers[0].asked) == 2
 
 
@@ -411,8 +410,8 @@
             elif n % 3 == 1:
                 held[-1].sendall(api_call(n)[:50])
     assert program.descriptors() < 200
-    # Guards: a new one that comes while those that made room are still ending is turned away as `full` (the test failed
-    # so four times in ten on a quick machine); a client comes again.
+    # Guards: a new one that comes while those that made room are still ending is turned away as `full` (the
+    # test failed so four times in ten on a quick machine); a client comes again.
     assert until(program.ready)
     with Client(program) as client:
         answers = [client.ask(api_call(n, patience=1500)) for n in range(20)]
@@ -487,10 +486,11 @@
         assert read_value(waiting.lines) == b"%016x" % 1 and waiting.lines.read() == b""
     assert program.process.wait(5) == 0
     reasons = program.ended()
+    # The dial that wakes the program's own accept may be one more
     assert reasons.count(("client", "restart")) in (
         3,
         4,
-    )  # the dial that wakes the program's own accept may be one more
+    )
 
 
 def test_sigterm_ends_in_time_with_an_answer_though_a_server_is_silent(started):
--- a/tests/test_protocol.py
+++ b/tests/test_protocol.py
@@ -242,9 +242,8 @@
         [b"cost=nan"],
         [],
     ):
-        answer = calls.ServerAnswer(
-            [b"v", *beside]
-        )  # what can't be read beside a good value takes nothing from it
+        # What can't be read beside a good value takes nothing from it
+        answer = calls.ServerAnswer([b"v", *beside])
         assert answer.sound and (answer.value, answer.charged, answer.used, answer.report) == (
             b"v",
             0.0,
--- a/tests/test_recovery.py
+++ b/tests/test_recovery.py
@@ -1,4 +1,7 @@
-"""Recovery without I/O: keepers that are wiped, swapped, split and come back; the ledger as bytes; a fleet in the emulator."""
+"""Recovery without I/O: keepers that are wiped, swapped, split and come back; the ledger as bytes.
+
+A fleet in the emulator.
+"""
 
 import heapq
 import random
@@ -120,8 +123,8 @@
 
 
 def test_an_epoch_is_carried_once_where_many_are_on_their_turn_at_one_moment():
-    # Guards: with 200 limiters two looked at the next era's register within a round trip now and then, and both carried the epoch
-    # there: a false change for the whole fleet.
+    # Guards: with 200 limiters two looked at the next era's register within a round trip now and then, and
+    # both carried the epoch there: a false change for the whole fleet.
     world = World(60, 2)
     settled(world)
     world.run(ERA - world.now % ERA + 0.45 * ERA)
@@ -274,8 +277,9 @@
 
 
 def test_what_is_given_back_in_the_next_window_leaves_no_part_below_nothing_and_raises_no_alarm():
-    # Guards: the decisions give an ask back that was refused after the window's turn; a limiter's part of the new name fell below
-    # nothing, and another found a total (1) below its own part (2): a false alarm for the whole fleet.
+    # Guards: the decisions give an ask back that was refused after the window's turn; a limiter's part of the
+    # new name fell below nothing, and another found a total (1) below its own part (2): a false alarm for the
+    # whole fleet.
     world = World(3, 4)
     settled(world)
     world.count(0, 9, -3.0)
@@ -307,9 +311,8 @@
     world.seats[1].beat = world.seats[1].stroke = lambda: None  # it is gone
     world.keepers[0].counts.clear()
     world.run(4.5 * BEAT)
-    assert (
-        world.keepers[0].counts.get(world.seats[0].epochs.name(4), [0.0])[0] == 0.0
-    )  # its units are lost, unless they were kept
+    # Its units are lost, unless they were kept
+    assert world.keepers[0].counts.get(world.seats[0].epochs.name(4), [0.0])[0] == 0.0
     world.seats[1] = world.launch(1, 3, scan(kept, world.now, 1e9 + 5.0).ledger)
     world.run(BEAT)
     assert world.total(4) == 6.0
@@ -347,21 +350,25 @@
 
 @pytest.mark.parametrize("kind, for_s", [("wipe", 0.0), ("lose", 0.0), ("swap", 4.0), ("split", 4.0)])
 def test_two_hundred_limiters_keep_within_the_bound_and_agree_again(kind, for_s):
-    """Six customers that ask for half as much again as they may; counts agree once all have looked, and added."""
+    """Six customers that ask for half as much again as they may.
+
+    Counts agree once all have looked, and added.
+    """
     row = lab.play(
         {"kind": kind, "way": "on", "limiters": 200, "for_s": for_s, "seed": 5, "few": 10, "tokened": True}
     )
     assert not row["broken"] and row["of_bound"] <= 1.0 and row["ceiling_over"] == 0.0
     assert row["agreed_s"] is not None and row["agreed_s"] <= 6.0
     assert 2 <= row["epochs"] <= 5 and row["served"] > 0.5
-    assert row["twice"] == 0 and (
-        kind != "split" or row["both_sides"] > 3
-    )  # refused calls come again with their token, anywhere
+    # Refused calls come again with their token, anywhere
+    assert row["twice"] == 0 and (kind != "split" or row["both_sides"] > 3)
 
 
 def test_a_hard_ceiling_of_a_soft_plan_holds_on_both_sides_of_a_split():
-    """A customer who borrows beyond its quota and asks for two and a half times its ceiling: what holds it is the ceiling alone, which
-    two counters each grant whole. (Hard plans come to their quota before their ceiling, and show nothing.).
+    """A customer who borrows beyond its quota and asks for two and a half times its ceiling.
+
+    What holds it is the ceiling alone, which two counters each grant whole. (Hard plans come to their quota
+    before their ceiling, and show nothing.).
     """
     rows = {
         way: lab.play(
--- a/tests/test_recovery_processes.py
+++ b/tests/test_recovery_processes.py
@@ -1,5 +1,6 @@
-"""The counter wiped, swapped, split and back again under processes of the program; judged by clients, servers and the counter's own
-record.
+"""The counter wiped, swapped, split and back again under processes of the program.
+
+Judged by clients, servers and the counter's own record.
 """
 
 import threading
@@ -13,9 +14,8 @@
 from brookhub.recovery import scan
 from helpers import play_script, until
 
-pytestmark = pytest.mark.xdist_group(
-    "process lab"
-)  # its limiters have the same addresses in each lab: one at a time
+# Its limiters have the same addresses in each lab: one at a time
+pytestmark = pytest.mark.xdist_group("process lab")
 
 ROUTES = [
     {"name": "look", "target_s": 0.5, "client_timeout_s": 1.0, "share": 3},
@@ -166,16 +166,14 @@
     for one in lab.load.asked:
         if one.route == 2:
             asked.setdefault(one.token, []).append(one)
-    assert (
-        sum(len({one.limiter < 2 for one in them}) == 2 for them in asked.values()) > 5
-    )  # on both sides of the split
+    # On both sides of the split
+    assert sum(len({one.limiter < 2 for one in them}) == 2 for them in asked.values()) > 5
     ran: dict[bytes, set] = {}
     for one in lab.seen:
         if one.key and one.ran:
             ran.setdefault(one.key, set()).add(one.call)
-    assert ran and all(
-        len(calls) == 1 for calls in ran.values()
-    )  # a refused call had no effect, whichever side refused it
+    # A refused call had no effect, whichever side refused it
+    assert ran and all(len(calls) == 1 for calls in ran.values())
 
 
 def test_a_ledger_on_disk_outlives_a_kill_and_a_wipe_meanwhile(play, tmp_path):
@@ -208,7 +206,10 @@
 
 
 def test_without_the_operator_s_file_the_counter_hears_the_decisions_names_alone(play):
-    """`run` on the operators' platform names no such file: no register, no roll, no epochs, and nothing of it in the log."""
+    """`run` on the operators' platform names no such file.
+
+    No register, no roll, no epochs, and nothing of it in the log.
+    """
     experiment = spec(3, recovery=False)
 
     def script(lab):
--- a/tests/test_routing.py
+++ b/tests/test_routing.py
@@ -1,4 +1,7 @@
-"""The port on sockets and its routing, without sockets: streams that only remember, and a clock that the test moves."""
+"""The port on sockets and its routing, without sockets.
+
+Streams that only remember, and a clock that the test moves.
+"""
 
 import random
 import socket
@@ -625,9 +628,8 @@
     (new,) = watch.roster.servers.values()
     assert new is not old and old.state is State.GONE and stream.reason == "unlisted"
     assert port.gateway.lists[-1] == [(new.id, State.READY), (old.id, State.GONE)]
-    at(
-        port, watch.heard, news(3, False, ("old", "Terminating", 0))
-    )  # late news of the old one takes nothing away
+    # Late news of the old one takes nothing away
+    at(port, watch.heard, news(3, False, ("old", "Terminating", 0)))
     at(port, watch.heard, news(4, False, ("old", "Gone", 0)))
     assert new.state is State.READY and list(watch.roster.servers.values()) == [new]
     for n in range(200):
@@ -692,8 +694,9 @@
 
 
 def test_gateways_that_lose_discovery_together_do_not_come_back_together():
-    # Guards: 28 restarted gateways asked for lists at the same instants, once a second for good; discovery, which
-    # answers some seven calls a second in turn, had a line of its full 2 s and turned all of them away (700 of 740).
+    # Guards: 28 restarted gateways asked for lists at the same instants, once a second for good; discovery,
+    # which answers some seven calls a second in turn, had a line of its full 2 s and turned all of them away
+    # (700 of 740).
     from random import Random
 
     from brookhub.program.run import list_pauses
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -1,4 +1,7 @@
-"""The rules of the decisions, without the bench: seeded random runs checked at every step, and plain cases."""
+"""The rules of the decisions, without the bench.
+
+Seeded random runs checked at every step, and plain cases.
+"""
 
 import random
 
@@ -86,10 +89,11 @@
             units = sum(
                 one.call.units for one in world.sent if one.number == 0 and one.call.customer is payer
             )
+            # Half is held by the count
             own, seconds = (
                 0.5 if spread > 1 and seed % 5 else 1.0,
                 world.now - start,
-            )  # half is held by the count
+            )
             most = (min(16.0, 8.0 * seconds) / spread + 8.0 / spread * seconds) * own + (
                 4.0 * (seconds / 2 + 2) if own < 1 else 0.0
             )
@@ -185,10 +189,8 @@
         world.run(0.02)
         for one in list(world.out):
             world.end(one, Outcome.OK)
-        own, seconds = (
-            0.5,
-            world.now - start,
-        )  # the other half is held by the window's count: 4 units each 2 s
+        # The other half is held by the window's count: 4 units each 2 s
+        own, seconds = 0.5, world.now - start
         assert len(world.sent) <= (min(8.0, 4.0 * seconds) + 4.0 * seconds) * own + 4.0 * (seconds / 2 + 2)
     assert len(world.sent) > 8
 
@@ -407,7 +409,8 @@
         sent += [
             one.sent - cold.up_since for one in world.sent if one.server is cold and one.sent >= cold.up_since
         ]
-    # All send what 20 calls a second at 11 warm servers make; the cold one starts at a fifth and warms in 10 s.
+    # All send what 20 calls a second at 11 warm servers make; the cold one starts at a fifth and warms in 10
+    # s.
     for start in (0.0, 0.5, 1.0, 1.5):
         assert sum(start <= at < start + 1.0 for at in sent) <= 2.0 * 0.4 * 60 * 50 / 11
     assert sent and sum(at < 0.2 for at in sent) <= 20, "all at the same moment"
@@ -428,9 +431,8 @@
         units = sum(one.call.units for one in world.sent if one.call.customer is usual)
         seconds = world.now - 100.0  # half of an Nth, and 4 units of each window's count
         assert units <= 4.0 + 2.0 * seconds + 4.0 * (seconds / 2 + 2) + 1e-6
-    assert (
-        max(sizes) < 450 and sizes[-1] <= sizes[1500] + 20
-    )  # two horizons and the stores' refill, then it ends
+    # Two horizons and the stores' refill, then it ends
+    assert max(sizes) < 450 and sizes[-1] <= sizes[1500] + 20
     assert len(world.alarms) < 2000
     most = world.customer(9999)
     assert world.gateway.accounts.keys() >= {usual.account} and most.account is None
@@ -456,9 +458,8 @@
     met = world.customer(2)
     later = [world.call(met) for _ in range(8)]
     world.run(0.2)
-    assert sum(bool(call.attempts) for call in later) == int(
-        8 * UNHEARD / 2
-    )  # this gateway's half of the burst, and more
+    # This gateway's half of the burst, and more
+    assert sum(bool(call.attempts) for call in later) == int(8 * UNHEARD / 2)
 
 
 def test_a_broken_connection_to_the_counter_is_no_crowd_and_a_late_answer_is():
@@ -474,9 +475,8 @@
     ):
         world.count = lambda name, amount, lives, told: told(outcome, 1.0, took)
         world.run(1.0)
-        before = quota.pace.bucket.rate = (
-            2.0  # what was used: from more than that a late answer goes back at once
-        )
+        # What was used: from more than that a late answer goes back at once
+        before = quota.pace.bucket.rate = 2.0
         world.call(payer)
         assert (quota.pace.bucket.rate < before) is slower
 
--- a/tests/test_signals.py
+++ b/tests/test_signals.py
@@ -1,4 +1,7 @@
-"""Shared signals without I/O: what is believed, what is left alone, by whom it is tried, after every step of seeded runs."""
+"""Shared signals without I/O.
+
+What is believed, what is left alone, by whom it is tried, after every step of seeded runs.
+"""
 
 import random
 
@@ -26,7 +29,10 @@
 
 
 class Crowd:
-    """Limiters' signals on one clock; `apart`: who does not hear whom; `stopped`: whose clock stands still."""
+    """Limiters' signals on one clock; `apart`: who does not hear whom; `stopped`.
+
+    Whose clock stands still.
+    """
 
     def __init__(self, count=8, servers=24):
         self.now, self.alarms, self.order, self.apart, self.stopped = 100.0, [], 0, lambda a, b: False, set()
@@ -108,9 +114,8 @@
         for one in crowd.all.values():
             one.saw(chance.randrange(6, 24), SLOW if common and chance.random() < 0.08 else OK)
         crowd.run(0.05)
-        assert step < 40 or not any(
-            crowd.shun(server) for server in range(24)
-        )  # 2 s in which to learn what is usual
+        # 2 s in which to learn what is usual
+        assert step < 40 or not any(crowd.shun(server) for server in range(24))
     for name in ("n1", "n2"):  # one that is silent
         crowd.all[name].saw(5, SLOW)
     crowd.run(0.1)
@@ -126,7 +131,8 @@
 def test_one_whose_case_began_later_takes_the_holder_s_word_for_what_it_is(later):
     """It took it for one more of the tries that were out when the case began, and came back after FADE.
 
-    Seen on processes in 1 of 23 runs, and always where a limiter was busy for longer than what the clock was allowed.
+    Seen on processes in 1 of 23 runs, and always where a limiter was busy for longer than what the clock was
+    allowed.
     """
     crowd = Crowd()
     for name in ("n1", "n2"):
@@ -209,7 +215,10 @@
 
 
 def test_a_server_that_came_up_anew_is_used_at_once_by_who_hears_of_it():
-    """Seen in the emulator: a zone that had returned was left alone up to 10 s more, 0.015 of served share in a split."""
+    """Seen in the emulator.
+
+    A zone that had returned was left alone up to 10 s more, 0.015 of served share in a split.
+    """
     crowd = Crowd()
     for name in ("n1", "n2"):
         crowd.all[name].saw(5, BAD)
--- a/tests/test_sites.py
+++ b/tests/test_sites.py
@@ -1,4 +1,7 @@
-"""The project's own sites load through the settings reader of every gateway; one that is wrong is told in one line."""
+"""The project's own sites load through the settings reader of every gateway.
+
+One that is wrong is told in one line.
+"""
 
 from pathlib import Path
 
--- a/tests/trail_digest.py
+++ b/tests/trail_digest.py
@@ -14,6 +14,7 @@
 from pathlib import Path
 
 ROOT = Path(__file__).resolve().parent.parent
+# experiment, seed, simulated seconds
 RUNS = [
     ("limiters", 1, 20.0),
     ("limiters", 2, 20.0),
@@ -21,7 +22,7 @@
     ("counter-wipe", 4, 30.0),
     ("hard-stall-turns", 5, 16.0),
     ("zone-cold", 6, 40.0),
-]  # experiment, seed, simulated seconds
+]
 
 
 def digests() -> list[str]:
