--- a/brookhub/program/log.py
+++ b/brookhub/program/log.py
@@ -20,12 +20,14 @@
         self.dropped = 0
 
     def write(self, text: str) -> None:
+        """Write, or count what can't be written."""
         try:
             self._file.write(text)
         except (OSError, ValueError):
             self.dropped += 1
 
     def flush(self) -> None:
+        """Flush, or count a failure."""
         try:
             self._file.flush()
         except (OSError, ValueError):
@@ -55,7 +57,7 @@
 
 
 def open_log(name: str):
-    """Lines of JSON on standard error, each with the time and this gateway's name, unless set up otherwise."""
+    """A log of JSON lines on standard error, each with the time and this gateway's name."""
     if not structlog.is_configured():
         setup("json")
     return structlog.get_logger(node=name)
@@ -68,6 +70,7 @@
         self.log = log
 
     def __call__(self, peer: str, reason: str, server, seconds: float, answers: int) -> None:
+        """A connection ended: `answers` that it brought, `seconds` that it was up."""
         more = {"server": f"{server.id:x}"} if server else {}
         self.log.info(
             "connection ended", peer=peer, reason=reason, seconds=round(seconds, 3), answers=answers, **more
--- a/brookhub/program/run.py
+++ b/brookhub/program/run.py
@@ -220,6 +220,7 @@
         return keeper
 
     def given(self, keeper, plan) -> None:
+        """Hand a plan of work to its driver; one that is refused is told in the log."""
         refused = keeper.give(plan)
         if refused:
             self.port.todo.append((lambda: self.log.error("plan not taken", why=refused),))
@@ -229,6 +230,7 @@
         self.log.error("fault", exc_info=met)
 
     def woken(self, seconds: float) -> None:
+        """This process stood still for so long."""
         self.log.warning("was stopped", seconds=round(seconds, 2))
 
     def run(self) -> None:
@@ -284,6 +286,7 @@
         )
 
     def stop(self, told_at: float) -> None:
+        """Drain and end; `told_at`: when the signal came (s, monotonic)."""
         self.log.info("stopping")
         if self.peers:
             self.port.run(told_at, self.peers.leave)
@@ -301,6 +304,7 @@
 
 
 def main() -> int:
+    """Serve until a signal ends the program; exit code 2 where it can't start."""
     # Before the first thread; one that comes early waits its turn
     signal.pthread_sigmask(signal.SIG_BLOCK, SIGNALS)
     try:
--- a/brookhub/program/startfile.py
+++ b/brookhub/program/startfile.py
@@ -65,6 +65,7 @@
 
 
 def names(settings: dict, name: str) -> list[str]:
+    """A list of names in the settings. Raises StartError."""
     value = settings.get(name, [])
     if not isinstance(value, list):
         raise StartError(f"settings: {name} is not a list")
@@ -72,6 +73,7 @@
 
 
 def address(text, what: str) -> tuple[str, int]:
+    """An address of the form HOST:PORT. Raises StartError."""
     try:
         return hosts.address(text if isinstance(text, str) else "")
     except ValueError:
--- a/brookhub/protocol/calls.py
+++ b/brookhub/protocol/calls.py
@@ -88,12 +88,14 @@
 
 
 def hexadecimal(word: bytes, what: str) -> int:
+    """A number in hexadecimal digits. Raises BadCallError."""
     if not HEXADECIMAL.fullmatch(word):
         raise BadCallError(f"the {what} is not of 16 hexadecimal digits")
     return int(word, 16)
 
 
 def number(told: dict[bytes, bytes], name: bytes, form: re.Pattern[bytes]) -> float:
+    """A number among the fields of a command. Raises BadCallError."""
     value = told.get(name, b"")
     if not form.fullmatch(value):
         raise BadCallError(f"{name.decode()} is missing or not a number that can be served")
@@ -101,10 +103,12 @@
 
 
 def proxied(value: bytes | bytearray) -> tuple[bytes | bytearray, ...]:
+    """The answer with what a server said."""
     return resp.bulk_parts(value)
 
 
 def rate_limited(seconds: float) -> bytes:
+    """The answer that refuses, with a time to come back in (s; 0: no advice)."""
     return b"-BUSY %d\r\n" % ceil(seconds * 1000) if seconds > 0 else b"-BUSY\r\n"
 
 
--- a/brookhub/protocol/hosts.py
+++ b/brookhub/protocol/hosts.py
@@ -31,6 +31,7 @@
         self.weight, self.born = figure(item, "share", 1.0), figure(item, "born_ms", 0) / 1000
 
     def ident(self) -> int:
+        """The number by which it is known inside."""
         return ident(self.name)
 
 
@@ -48,6 +49,7 @@
 
 
 def text(item: dict[str, Any], name: str, absent: str | None = None) -> str:
+    """A text in an entry. Raises MalformedError."""
     value = item.get(name, absent)
     if not isinstance(value, str):
         raise MalformedError(f"{name} of a server is no text")
@@ -55,6 +57,7 @@
 
 
 def figure(item: dict[str, Any], name: str, absent: float) -> float:
+    """A number in an entry. Raises MalformedError."""
     value = item.get(name, absent)
     if isinstance(value, bool) or not isinstance(value, (int, float)) or not -1e15 < value < 1e15:
         raise MalformedError(f"{name} of a server is no number")
@@ -74,6 +77,7 @@
 
 
 def parse(line: bytes) -> News:
+    """The news on a line. Raises MalformedError."""
     try:
         told = json.loads(line)
     except (ValueError, RecursionError):
--- a/brookhub/protocol/resp.py
+++ b/brookhub/protocol/resp.py
@@ -186,6 +186,7 @@
 
 
 def bulk(value: bytes) -> bytes:
+    """A bulk string."""
     return b"$%d\r\n%b\r\n" % (len(value), value)
 
 
@@ -195,10 +196,12 @@
 
 
 def command(*words: bytes) -> bytes:
+    """A command: an array of bulk strings."""
     return b"*%d\r\n%b" % (len(words), b"".join([bulk(word) for word in words]))
 
 
 def error(text: str) -> bytes:
+    """An error."""
     return b"-%b\r\n" % " ".join(text.split()).encode("ascii", "replace")
 
 
--- a/brookhub/roster.py
+++ b/brookhub/roster.py
@@ -38,6 +38,7 @@
         return told
 
     def remove(self, server: Server) -> Server:
+        """Forget a server; who still holds it sees that it is gone."""
         server.state = State.GONE
         self.servers.pop(server.id, None)
         return server
@@ -50,6 +51,7 @@
         self.held: WeakValueDictionary[int, Customer] = WeakValueDictionary()
 
     def find(self, ident: int, plan: Plan) -> Customer:
+        """The customer of an id, a new one where nobody holds it."""
         customer = self.held.get(ident)
         if customer is None:
             customer = self.held[ident] = Customer(ident, plan)
--- a/brookhub/routing/clients.py
+++ b/brookhub/routing/clients.py
@@ -65,6 +65,7 @@
         self.living = self.open_calls = self.asked = 0
 
     def accepted(self, sock) -> None:
+        """A client connected. Called by the thread that accepts, without the lock."""
         try:
             time_limits(sock, writing=self.limits.stalled_for)
         except OSError:
@@ -73,6 +74,7 @@
         self.port.run(monotonic(), self.welcome, client)
 
     def welcome(self, client: ClientConnection) -> None:
+        """Take a connection in, make room for it, or turn it away."""
         if self.living >= self.limits.connections:
             oldest = self.to_leave()
             if not oldest or self.living >= self.limits.connections + self.limits.spare_connections:
@@ -144,16 +146,19 @@
                     self.leave(client, reason)
 
     def turn_away(self, client: ClientConnection) -> None:
+        """Close a connection for which there is no room. Without the lock."""
         client.stream.close()
         self.log_end("client", "full", None, 0.0, 0)
 
     def start(self, client: ClientConnection) -> None:
+        """Begin to read a connection. Without the lock."""
         if not spawn("client", client.run):
             client.stream.close()
             self.port.run(monotonic(), client.left)
             self.log_end("client", "no-thread", None, 0.0, 0)
 
     def call(self, slot: PendingAnswer, wording: calls.Wording, waited: float = 0.0) -> None:
+        """Have a request decided; `waited`: s that it may have lain unread."""
         route, plan = self.routes[wording.route], self.plans[wording.plan]
         if wording.ident in self.ids:
             return slot.answer(resp.error("ERR the id is that of another open call"))
@@ -181,6 +186,7 @@
         self.port.gateway.arrived(call)
 
     def answered(self, slot: PendingAnswer) -> None:
+        """A request has its answer, which may not be written yet."""
         if slot.call:
             self.ids.discard(slot.call.id)
             self.open_calls -= 1
@@ -197,6 +203,7 @@
         )
 
     def settled(self, client: ClientConnection) -> None:
+        """All that was asked on a connection is answered and on its way."""
         if client.gone or client.parting:
             return
         if self.closing:
@@ -214,6 +221,7 @@
         )
 
     def forget(self, client: ClientConnection) -> None:
+        """A connection is no longer looked after."""
         self.all.pop(client, None)
         self.idle.pop(client, None)
         self.mute.pop(client, None)
--- a/brookhub/routing/counter.py
+++ b/brookhub/routing/counter.py
@@ -22,6 +22,7 @@
         self.told, self.asked, self.ends_at = told, asked, 0
 
     def end(self, now: float, outcome: Outcome, total: float = 0.0) -> None:
+        """Tell how it ended, once."""
         told, self.told = self.told, None
         if told:
             told(outcome, total, now - self.asked)
@@ -35,9 +36,11 @@
         self.stream, self.waiting, self.heard_at = None, deque(), 0.0
 
     def run(self) -> None:
+        """Dial and serve until the link is left. Runs in a thread of its own."""
         self.reconnector.run(self.serve)
 
     def serve(self, sock) -> tuple[str, int]:
+        """Read a connection to its end; why it ended and how many answers it brought."""
         port, reader, answers = self.counter.port, resp.Reader(), 0
         stream = Stream(sock, resp.ROOM)
 
@@ -59,6 +62,7 @@
     # under the port's lock
 
     def up(self, stream: Stream) -> None:
+        """The connection is up and takes calls."""
         self.stream, self.heard_at = stream, self.counter.port.now
         if self.reconnector.over.is_set():
             stream_end(self.counter.port, stream, "moved")
@@ -78,6 +82,7 @@
             )
 
     def settled(self) -> None:
+        """Leave the connection where another has taken its place and nothing is out on it any more."""
         if self.reconnector.over.is_set() and self.stream and not self.waiting:
             stream_end(self.counter.port, self.stream, "moved")
 
@@ -92,6 +97,7 @@
             self.counter.take_over(coming)
 
     def ask(self, one: Count, command: bytes) -> bool:
+        """Put a call behind those before it; False where the connection takes none."""
         stream = self.stream
         if stream is None or stream.reason or not stream.put(command):
             return False
@@ -101,6 +107,7 @@
         return True
 
     def answered(self, stream: Stream, said: list) -> None:
+        """Answers came, in the order of the calls."""
         self.heard_at = self.counter.port.now
         for answer in said:
             if not self.waiting or stream.reason:
@@ -132,6 +139,7 @@
 
 
 def stream_end(port, stream: Stream, reason: str) -> None:
+    """End a connection once the lock is free."""
     port.todo.append((stream.end, reason))
 
 
@@ -159,6 +167,7 @@
             self.port.todo.append((spawn_surely, self.port, "counter", link.run))
 
     def take_over(self, link: CounterLink) -> None:
+        """A new link is up: calls go there from now on."""
         held, self.links[link.place] = self.links[link.place], link
         if held and held is not link:
             held.leave()
@@ -182,6 +191,7 @@
             self.port.later(asked[0].asked + self.wait - now, self.give_up)
 
     def beat(self) -> None:
+        """Look for calls whose wait is over, and for a silent counter."""
         self.port.later(self.silent_after / 2, self.beat)
         for link in self.links:
             link.beat()
--- a/brookhub/routing/discovery.py
+++ b/brookhub/routing/discovery.py
@@ -21,6 +21,7 @@
         self.discovery, self.reconnector, self.stream = discovery, reconnector, None
 
     def run(self) -> None:
+        """Dial and read until the watch is left. Runs in a thread of its own."""
         self.reconnector.run(self.serve)
 
     def serve(self, sock) -> tuple[str, int]:
@@ -58,6 +59,7 @@
     # under the port's lock
 
     def up(self, stream: Stream) -> None:
+        """The connection is up: ask for changes since the last known version."""
         self.stream = stream
         stream.put(
             http.request(
@@ -68,6 +70,7 @@
             self.leave()
 
     def heard(self, news: hosts.News) -> None:
+        """A line came."""
         if not self.reconnector.over.is_set():
             self.discovery.heard(news)
 
@@ -136,6 +139,7 @@
         return self.ready.get(name, False)
 
     def ident(self, name: str) -> int:
+        """The number by which a server is known here."""
         return hosts.ident(name)
 
     def hold(self, names: set[str]) -> None:
@@ -179,9 +183,11 @@
         return [server for server in gone if server not in told]
 
     def vacate(self, server) -> None:
+        """A server is gone: its connections are left."""
         self.places.pop(self.where.pop(server.id, None), None)
 
     def entry(self, host: hosts.Host) -> tuple:
+        """An entry of the list as the roster takes it."""
         born = host.born - self.clock_ahead if host.born else 0.0
         state = State.DRAINING if host.name in self.held and host.state is State.READY else host.state
         return (
--- a/brookhub/routing/maintenance.py
+++ b/brookhub/routing/maintenance.py
@@ -29,13 +29,16 @@
         peers.on_topic[TOPIC] = self.heard
 
     def start(self) -> None:
+        """Begin to beat."""
         self.core.tick()
         self.port.later(TICK, self.start)
 
     def give(self, plan: Plan) -> str:
+        """Take a plan; why it is refused, else an empty text."""
         return self.core.give(plan)
 
     def heard(self, peer: str, data: bytes) -> None:
+        """A peer's message came."""
         try:
             message = unpack(data)
         except UnreadableError:
@@ -55,20 +58,24 @@
     # the port of maintenance
 
     def now(self) -> float:
+        """Seconds on this limiter's clock."""
         return max(self.port.now, monotonic())
 
     def present(self) -> list[str]:
+        """The peers that are there, by name."""
         return sorted(self.peers.core.present)
 
     def listed(self) -> list[str]:
+        """The servers that discovery lists, by name."""
         return self.peers.core.names
 
     def send(self, peer: str, message) -> None:
+        """Send a message to a peer."""
         if peer in self.peers.core.members:
             self.peers.core.say(TOPIC, pack(message), [peer])
 
     def up(self, machine: Machine) -> bool:
-        """Whether discovery lists all its servers as ready, held back here or not, and its limiter is there."""
+        """Whether its limiter is there and discovery lists all its servers as ready, held back or not."""
         here = (
             not machine.limiter
             or machine.limiter == self.core.me
@@ -77,6 +84,7 @@
         return here and all(self.discovery.lists(name) for name in machine.servers)
 
     def hold(self, names: tuple[str, ...]) -> None:
+        """Send nothing to these servers, whatever the list says."""
         machines = [one for one in map(self.core.plan.machine, names) if one]
         self.discovery.hold({server for one in machines for server in one.servers})
 
@@ -90,6 +98,7 @@
         return not any(self.discovery.ident(name) in out for name in machine.servers)
 
     def lately(self) -> tuple[float, float, float]:
+        """Requests, served ones, and seconds that the served ones took in all, over the last while."""
         fresh = [one for one in self.seconds if one[0] > self.port.now - LATELY]
         return tuple(sum(one[place] for one in fresh) for place in (1, 2, 3))
 
@@ -104,4 +113,5 @@
         return found
 
     def log(self, event: str, **facts) -> None:
+        """Log an event of the plan."""
         self.port.todo.append((lambda: self.out.info(event, **{"what": "maintenance", **facts}),))
--- a/brookhub/routing/peers.py
+++ b/brookhub/routing/peers.py
@@ -23,6 +23,7 @@
 
 
 def address(text: str) -> tuple[str, int]:
+    """Host and port of a text of the form HOST:PORT."""
     host, _, port = text.rpartition(":")
     return host, int(port)
 
@@ -65,10 +66,12 @@
             self.look()
 
     def list(self, spec) -> None:
+        """Take in the peers of the operator's file."""
         self.by_name = {one.name: address(one.address) for one in spec.peers}
         self.by_address = {at: name for name, at in self.by_name.items()}
 
     def start(self) -> None:
+        """Begin to read datagrams and to talk."""
         spawn("peers", self.read)
         self.port.run(monotonic(), self.core.start)
         self.port.run(monotonic(), self.later, SAYS_DROPPED, self.say_dropped)
@@ -102,31 +105,38 @@
             self.port.run(monotonic(), self.core.received, peer, message)
 
     def drop(self, reason: str) -> None:
+        """Count a datagram that is not taken."""
         self.dropped[reason] = self.dropped.get(reason, 0) + 1
 
     # the membership's port
 
     @property
     def now(self) -> float:
+        """Seconds on this limiter's clock."""
         return self.port.now
 
     @property
     def calendar(self) -> float:
+        """Seconds on the clock that all limiters share, to within a small part of a turn."""
         return self.port.now + self.ahead
 
     def later(self, seconds: float, callback) -> None:
+        """Call back after so many seconds."""
         self.port.later(seconds, callback)
 
     def send(self, peer: str, data: bytes) -> None:
+        """Send a datagram to a peer, once the lock is free."""
         at = self.by_name.get(peer)
         if at:
             self.port.todo.append((self.write, data, at))
 
     def write(self, data: bytes, at: tuple[str, int]) -> None:
+        """Send a datagram. Without the lock."""
         with suppress(OSError):  # nobody there, or no room: the network loses datagrams, and this is one
             self.sock.sendto(data, socket.MSG_DONTWAIT, at)
 
     def told(self, live: int, rank: int, sure: int) -> None:
+        """Membership tells how many are there."""
         self.numbers = (live, rank, sure)
         self.port.gateway.fleet_told(live, rank, sure)
         if self.port.recovery:
@@ -134,6 +144,7 @@
         self.soon()
 
     def changed(self, member: str, state: int) -> None:
+        """A member came or went."""
         self.turns.told(self.core.present)
         self.soon()
 
@@ -171,11 +182,13 @@
     # the log
 
     def soon(self) -> None:
+        """Log the state of the fleet soon."""
         if not self.saying:
             self.saying = True  # the first change at once, what follows it within SAYS in one line
             self.later(max(0.0, self.said_at + SAYS - self.now), self.say)
 
     def say(self) -> None:
+        """Log the state of the fleet."""
         self.saying, self.said_at = False, self.now
         absent = [
             f"{name} {WORDS[one.state]}"
@@ -198,6 +211,7 @@
         )
 
     def say_dropped(self) -> None:
+        """Log what was dropped, where that changed."""
         counts = {
             **self.dropped,
             **{
--- a/brookhub/routing/port.py
+++ b/brookhub/routing/port.py
@@ -40,12 +40,14 @@
         self.gateway = self.servers = self.counter = self.discovery = None  # set where the program is wired
 
     def run(self, at: float, event: Callable[..., None], *args) -> None:
+        """Run an event under the lock, at a moment (s, monotonic), and carry out what it asks for."""
         with self.lock:
             self.tell(at, event, *args)
             todo, self.todo = self.todo, []
         self.carry_out(todo)
 
     def tell(self, at: float, event: Callable[..., None], *args) -> None:
+        """Run an event under the lock; a fault in it is reported and costs itself alone."""
         if at > self.now:
             self.now = at
         try:
@@ -56,6 +58,7 @@
             self.todo.append((self.faults, met))
 
     def carry_out(self, todo: list[tuple]) -> None:
+        """Do what waits until the lock is free."""
         for act, *args in todo:
             try:
                 act(*args)
@@ -85,6 +88,7 @@
     # the port
 
     def later(self, seconds: float, callback: Callable[[], None]) -> None:
+        """Call back after so many seconds, under the lock."""
         at = self.now + max(0.0, seconds)
         self.order += 1
         heappush(self.alarms, (at, self.order, callback))
@@ -93,6 +97,7 @@
             self.bell.release()
 
     def send(self, call: ApiCall, server: Server, timeout: float) -> Attempt:
+        """Begin an attempt (interface.Port)."""
         one = Attempt(call, server, len(call.attempts), self.now)
         call.attempts.append(one)
         left = call.expires - self.now
@@ -102,23 +107,28 @@
         return one
 
     def cancel(self, upstream: Attempt) -> None:
+        """Give an attempt up (interface.Port)."""
         if upstream.outcome is None:
             self.servers.abandon(upstream)
             self.soon.append(lambda: self.end_try(upstream, Outcome.CANCELLED))
 
     def rate_limit(self, call: ApiCall, retry_after: float) -> None:
+        """Refuse a request (interface.Port)."""
         call.slot.answer(calls.rate_limited(retry_after))
         self.watched(call, False)
 
     def error(self, call: ApiCall) -> None:
+        """Tell that a request failed (interface.Port)."""
         call.slot.answer(calls.ERRORED)
         self.watched(call, False)
 
     def watched(self, call: ApiCall, proxied: bool) -> None:
+        """Tell who counts answers of this one."""
         if self.watch:
             self.watch(call, self.now - (call.expires - call.route.client_timeout), proxied)
 
     def count(self, name: int, amount: float, lives: float, told: Told) -> None:
+        """Add to a count (interface.Port)."""
         (self.recovery or self.counter).count(name, amount, lives, told)
 
     def follow_servers(self, on: bool) -> None:
@@ -127,6 +137,7 @@
     # how tries end
 
     def give_up(self, one: Attempt, outcome: Outcome) -> None:
+        """End an attempt from this side."""
         if one.outcome is None:
             self.servers.abandon(one)
             self.end_try(one, outcome)
@@ -140,6 +151,7 @@
         used: float | None = None,
         report: dict | None = None,
     ) -> None:
+        """An attempt ended: tell the decisions."""
         if one.outcome is not None:
             return
         one.outcome = outcome
--- a/brookhub/routing/recovery.py
+++ b/brookhub/routing/recovery.py
@@ -43,6 +43,7 @@
             self.core.on_unit = self.unit
 
     def start(self) -> None:
+        """Begin to beat."""
         self.core.start()
         if self.path:
             self.renew()
@@ -51,21 +52,27 @@
     # the port of recovery
 
     def now(self) -> float:
+        """Seconds on this limiter's clock."""
         return max(self.port.now, monotonic())
 
     def clock(self) -> float:
+        """Seconds on the clock that all limiters share."""
         return time()
 
     def add(self, name: int, amount: float, lives: float, told: Told) -> None:
+        """Add to a count."""
         self.port.counter.count(name, amount, lives, told)
 
     def later(self, seconds: float, callback: Callable[[], None]) -> None:
+        """Call back after so many seconds."""
         self.port.later(seconds, callback)
 
     def grant(self, part: float) -> None:
+        """Tell the decisions which part of each quota is granted."""
         self.port.gateway.counter_told(part)
 
     def log(self, event: str, **facts) -> None:
+        """Log an event of the recovery."""
         self.port.todo.append((lambda: self.out.info(event, **{"what": "recovery", **facts}),))
 
     # the ledger's file
@@ -94,10 +101,12 @@
         return found.ledger
 
     def unit(self, name: int, amount: float, lives: float) -> None:
+        """Note units that were added to a count."""
         dies = self.core.ledger.entries[name].dies - self.now() + time()
         self.unwritten.append(append(Record(str(name), amount, lives, dies)))
 
     def flush(self) -> None:
+        """Have what was noted written, again and again."""
         self.port.later(WRITE, self.flush)
         if self.unwritten:
             data, self.unwritten = b"".join(self.unwritten), []
@@ -112,6 +121,7 @@
     # outside the lock, by one thread at a time: the timers'
 
     def replace(self, data: bytes) -> None:
+        """Put a whole new ledger in the place of the old file."""
         try:
             fresh = self.path.with_name(self.path.name + ".new")
             with open(fresh, "wb") as file:
@@ -127,6 +137,7 @@
             self.failed(broken)
 
     def write(self, data: bytes) -> None:
+        """Append records to the file."""
         try:
             if self.file:
                 self.file.write(data)
@@ -134,6 +145,7 @@
             self.failed(broken)
 
     def failed(self, broken: OSError) -> None:
+        """The disk does not take it: tell so once, and go on."""
         if not self.broken:  # once, until it works again
             self.broken = True
             self.out.error("ledger not written", path=str(self.path), why=broken.strerror)
--- a/brookhub/routing/servers.py
+++ b/brookhub/routing/servers.py
@@ -30,6 +30,7 @@
         self.reader, self.gathered = resp.Reader(servers.largest), 0
 
     def run(self) -> None:
+        """Dial, then read to the end. Runs in a thread of its own."""
         servers, port = self.servers, self.servers.port
         began = monotonic()
         try:
@@ -58,6 +59,7 @@
         )
 
     def end(self, reason: str) -> None:
+        """End the connection; the first reason is kept."""
         self.ended = self.ended or reason
         if self.stream:
             self.stream.end(reason)
@@ -96,6 +98,7 @@
             self.pools[server.id] = Pool(address)
 
     def leave(self, server: Server) -> None:
+        """Close the free connections to a server."""
         pool = self.pools.get(server.id)
         for link in list(pool.idle) if pool else ():
             self.drop(link, "unlisted")
@@ -103,6 +106,7 @@
             self.pools.pop(server.id, None)
 
     def send(self, one: Attempt, until: float) -> None:
+        """Write an attempt on a free connection or a new one, which has to be up by `until`."""
         pool = self.pools[one.server.id]
         link = self.free_link(pool)
         if link:
@@ -133,22 +137,27 @@
         return None
 
     def start(self, link: Link) -> None:
+        """Begin a connection. Without the lock."""
         if not spawn("server", link.run):
             self.port.run(monotonic(), self.broke, link)
             self.port.run(monotonic(), self.closed)
             self.log_end("server", "no-thread", link.server, 0.0, 0)
 
     def closed(self) -> None:
+        """A connection's descriptor was given back."""
         self.living -= 1
 
     def attach(self, link: Link, one: Attempt, until: float) -> None:
+        """A connection carries an attempt from now on."""
         link.one, link.until, self.out[one] = one, until, link
 
     def write(self, link: Link) -> None:
+        """Write the attempt that a connection carries."""
         link.stream.put(link.one.call.wording.for_server(link.until - self.port.now))
         self.port.todo.append((link.stream.flush,))
 
     def connected(self, link: Link) -> None:
+        """A connection came up."""
         if link.ended:
             link.stream.end(link.ended)
         elif link.server.state is not State.READY:  # so told while it was dialled
@@ -183,6 +192,7 @@
             pass  # where it broke, its thread sees the end
 
     def read(self, link: Link) -> int:
+        """Take what came on a connection, where it belongs; how many bytes."""
         room = link.reader.room()
         if not len(room):
             return link.stream.read_at_once(link.reader.wants())
@@ -191,9 +201,11 @@
         return length
 
     def gather(self, link: Link, held: int) -> None:
+        """Count the bytes held of values that are on their way."""
         self.gathered, link.gathered = self.gathered + held - link.gathered, held
 
     def answered(self, link: Link, answer: ServerAnswer) -> None:
+        """An attempt has its answer."""
         one, port = link.one, self.port
         if not answer.sound or len(link.stream.inbound) or not link.stream.may_be_whole():
             self.drop(link, "nonsense")  # also for what came behind it: nothing may be left for the next try
@@ -207,6 +219,7 @@
             port.end_try(one, outcome, None, 0.0, answer.used, answer.report)
 
     def free(self, link: Link) -> None:
+        """A connection may carry another attempt."""
         del self.out[link.one]
         link.one, link.idle_at = None, self.port.now
         if link.server.state is not State.READY:
@@ -226,6 +239,7 @@
         self.port.todo.append((link.end, reason))
 
     def abandon(self, one: Attempt) -> None:
+        """An attempt is given up: its connection ends."""
         link = self.out.get(one)
         if link:
             self.drop(link, "abandoned")
--- a/brookhub/transport/ring.py
+++ b/brookhub/transport/ring.py
@@ -52,6 +52,7 @@
         return memoryview(self.store)[end:]
 
     def filled(self, length: int) -> None:
+        """So many bytes were read into the space that was given."""
         self.size += length
 
     def chunk(self) -> memoryview:
@@ -59,6 +60,7 @@
         return memoryview(self.store)[self.start : min(self.start + self.size, len(self.store))]
 
     def drop(self, length: int) -> None:
+        """So many bytes at the front are done with."""
         self.size -= length
         if self.size:
             self.start = (self.start + length) % len(self.store)
--- a/brookhub/transport/sockets.py
+++ b/brookhub/transport/sockets.py
@@ -60,6 +60,7 @@
             raise
 
     def run(self, accepted: Callable[[socket.socket], None]) -> None:
+        """Accept until `close`, handing each connection on. Runs in a thread of its own."""
         while True:
             try:
                 sock, _ = self.sock.accept()
--- a/brookhub/transport/stream.py
+++ b/brookhub/transport/stream.py
@@ -134,6 +134,7 @@
         return self.tried >= self.told
 
     def flush(self) -> None:
+        """Write what the system takes at once."""
         with self.lock:
             if self.flushing:
                 return  # who is at it goes on with what is new, and tells when all is drained
@@ -194,4 +195,5 @@
             self.sock.shutdown(how)
 
     def close(self) -> None:
+        """Give the descriptor back."""
         self.sock.close()
