--- a/tests/test_emulator.py
+++ b/tests/test_emulator.py
@@ -349,3 +349,51 @@
     site.run(1500.0)
     assert not site.breaks, site.breaks[:3]
     assert site.ended and site.seats["n4"].core.register.table.voters == ("n2", "n4", "n5")
+
+
+class WatchedFleet(Fleet):
+    """Notes for each final answer which limiter gave it, when (s), and whether an attempt had gone out."""
+
+    def answer(self, seat, call, how, retry_after=0.0, one=None):
+        self.noted.append((seat.index, self.engine.now, bool(call.attempts)))
+        super().answer(seat, call, how, retry_after, one)
+
+
+def longest_refusals(noted, limiters, span=4.0):
+    """The most requests that each turned away on end, for so many seconds (s), with no attempt in between."""
+    worst = dict.fromkeys(range(limiters), 0)
+    refused = {limiter: [] for limiter in worst}
+    for limiter, at, sent in noted:
+        refused[limiter] = [] if sent else [*refused[limiter], at]
+        if refused[limiter] and at - refused[limiter][0] >= span:
+            worst[limiter] = max(worst[limiter], len(refused[limiter]))
+    return worst
+
+
+ROLL = "".join(
+    f'[[faults]]\nat_s = {at}\naction = "term_limiters"\nshare = 0.1\n' for at in (3.0, 5.0, 7.0, 9.0, 11.0)
+)
+
+
+@pytest.mark.parametrize("seed", [1, 2, 3])
+@pytest.mark.parametrize("faults", ["", ROLL], ids=["calm", "a tenth restarted at a time"])
+def test_no_limiter_turns_away_all_that_it_gets_for_four_seconds_while_others_serve(seed, faults):
+    """The operators allow one limiter in ten to; on these days none has a reason."""
+    text = (Path(__file__).parent.parent / "experiments" / "limiters.toml").read_text()
+    spec = loads(text.replace("[sweep]", faults + "[sweep]"), Experiment)
+    fleet_spec = spec.fleet.model_copy(update={"limiters": 20})
+    fleet = WatchedFleet(
+        spec.model_copy(update={"fleet": fleet_spec, "duration_s": 20.0, "strict": True}), seed=seed
+    )
+    fleet.noted = []
+    result = fleet.run()
+    assert result.proxied > 0.5 * result.calls and not result.broken
+    worst = longest_refusals(fleet.noted, 20)
+    assert max(worst.values()) < 15, worst
+
+
+def test_the_judge_of_refusals_sees_a_limiter_that_turns_all_away():
+    quiet = [(0, at / 4, True) for at in range(40)]
+    closed = [(1, at / 4, False) for at in range(40)]
+    worst = longest_refusals(sorted(quiet + closed, key=lambda one: one[1]), 2)
+    assert worst[0] == 0 and worst[1] >= 15
