--- a/brookhub/lab/jobs.py
+++ b/brookhub/lab/jobs.py
@@ -27,9 +27,9 @@
     processes: int | None = None,
     progress: Callable[[float], None] = lambda done: None,
 ) -> list[dict]:
-    """The rows of the jobs in `path` and of those not in it yet, which are played now (`play`.
+    """The rows of the jobs in `path` and of those not in it yet, which are played now.
 
-    A module's function).
+    `play`: a module's function, as worker processes call it.
     """
     path.parent.mkdir(parents=True, exist_ok=True)
     rows = []
--- a/brookhub/lab/sweep.py
+++ b/brookhub/lab/sweep.py
@@ -18,10 +18,7 @@
 
 
 def with_value(experiment: Experiment, path: str, value: Any) -> Experiment:
-    """A copy of `experiment` with the dotted `path` (e.g.
-
-    `fleet.servers.count`) set to `value`, re-validated.
-    """
+    """A copy of `experiment` with one value changed, checked anew; `path` as in `fleet.servers.count`."""
     raw = experiment.model_dump()
     place: Any = raw
     names = [int(name) if name.isdigit() else name for name in path.split(".")]
--- a/brookhub/links/conditions.py
+++ b/brookhub/links/conditions.py
@@ -48,12 +48,14 @@
         self.packets = self.dropped = self.doubled = self.bytes = 0
 
     def set(self, **changes) -> None:
+        """Change conditions by name. Raises ValueError for one that there is not."""
         unknown = sorted(set(changes) - NAMES)
         if unknown:
             raise ValueError(f"a link has no condition {unknown[0]!r}")
         self.now = Conditions(**{**{name: getattr(self.now, name) for name in NAMES}, **changes})
 
     def clear(self) -> None:
+        """Conditions as they should be."""
         self.now = Conditions()
 
     def transit(self, size: int, at: float) -> float:
@@ -89,9 +91,9 @@
         return [due]
 
     def chunk(self, size: int, at: float) -> tuple[float, bool]:
-        """When a run of TCP bytes is through (s.
+        """When a run of TCP bytes is through (s), and whether a reset follows it.
 
-        Never before an earlier one), and whether a reset follows it.
+        Never before an earlier one.
         """
         drawn = self.rng.random()
         self.packets += 1
--- a/brookhub/membership/core.py
+++ b/brookhub/membership/core.py
@@ -9,14 +9,15 @@
 from __future__ import annotations
 
 from collections import Counter
-from heapq import nsmallest
-from math import ceil, log, log10
+from math import log, log10
 from random import Random
-from typing import Any, Callable, Iterable, Protocol
+from typing import Callable, Iterable, Protocol
 
 from . import messages
+from .gossip import Gossip
 from .members import ABSENT, ALIVE, DEAD, LEFT, PRESENT, SUSPECT, UNHEARD, Member
 from .messages import ACK, HELLO, NACK, NEWS, PING, PING_FOR, TABLE, WORD, Message, Piece, encode, weight
+from .numbers import FleetNumbers, Tally
 
 ANSWER = 0.4  # periods until a probe without an answer is made again, and by others
 HELPERS = 3  # members asked to probe for one: with 10% loss one in 25 such rounds fails
@@ -30,7 +31,6 @@
 SLEPT = 2.0  # periods that a timer may come late before this member takes itself for the one that was away
 PULSE = 0.1  # s between packets of news while there is any: well below a suspicion's time
 FANOUT = 2  # members that get news at a pulse
-RETELL = 4.0  # times news is told for each factor of ten members
 PIGGYBACK = 160  # bytes of news on a probe or its answer: they cost most by their number
 PACKET = 1000  # bytes of news in a packet of them: below messages.LARGEST with its head
 REACH = 1.0  # s between tries at one absent member: a split's two sides find each other within it
@@ -83,16 +83,16 @@
         self.probed: Member | None = None  # whose answer is out, and with which number
         self.probe_number = self.nacks = self.helpers = 0
         self.asked: dict[int, tuple[str, int]] = {}  # number of a probe for another -> who asked, its number
-        self.news: dict[str, list[Any]] = {}  # name -> [times told, piece]
+        self.news = Gossip()
         self.suspects: dict[str, Member] = {}
         self.pulsing = self.over = False
-        self.numbers: tuple[int, int, int] | None = None  # as last told: live, rank, sure
+        self.tally = Tally(name)
+        self.numbers: FleetNumbers | None = None  # as last told
         self.cursor, self.started = 0, port.now
-        # s: when the next probe is to be made; when it last had slept
         self.due, self.woke = (
             port.now,
             -GROGGY,
-        )
+        )  # s: when the next probe is to be made; when it last had slept
         # Datagrams and bytes sent, messages dropped and why, refutations
         self.counts: Counter[str] = Counter()
         self.present: set[str] = set()
@@ -123,9 +123,7 @@
             self.members.setdefault(name, Member(name))
         self.names = listed
         self.order = [one for one in self.order if one.name in self.members]
-        counted = [one.name for one in self.members.values() if one.counted]
-        self.live, self.below = len(counted), sum(name < self.name for name in counted)
-        self.sure = sum(one.sure for one in self.members.values())
+        self.tally.recount(self.members.values())
         if self.numbers:  # a list read again
             self.port.later(SHRINK, self.unheard)
             self.count()
@@ -347,7 +345,7 @@
             self.tell(self.name, ALIVE, self.incarnation)
 
     def tell(self, name: str, state: int, incarnation: int, by: str = "") -> None:
-        self.news[name] = [0, (name, state, incarnation, by)]
+        self.news.add((name, state, incarnation, by))
         if not self.pulsing and not self.over:
             self.pulsing = True
             self.port.later(PULSE * (0.5 + self.rng.random()), self.pulse)
@@ -464,7 +462,7 @@
             pieces.append(self.piece(self.name))
             pieces += [self.piece(peer)] if self.members[peer].state != UNHEARD else []
         if kind != TABLE and not chosen:
-            self.pick_news(pieces, room)
+            pieces += self.news.pick(room - sum(map(weight, pieces)), len(self.present))
         self.post(peer, Message(self.fleet, messages.VERSION, kind, self.name, number, about, pieces))
 
     def post(self, peer: str, message: Message) -> None:
@@ -473,24 +471,6 @@
         self.counts["bytes"] += len(data)
         self.port.send(peer, data)
 
-    def pick_news(self, pieces: list[Piece], room: int) -> None:
-        """The news told least often first, as much as fits; what was told often enough is dropped."""
-        if not self.news:
-            return
-        most = ceil(RETELL * log10(len(self.present) + 10))
-        room -= sum(map(weight, pieces))
-        items: Iterable[tuple[str, list[Any]]] = self.news.items()
-        if len(self.news) > 8:
-            items = nsmallest(room // 20 + 1, items, key=lambda item: item[1][0])
-        for key, held in sorted(items, key=lambda item: item[1][0]):
-            room -= weight(held[1])
-            if room < 0:
-                break
-            pieces.append(held[1])
-            held[0] += 1
-            if held[0] >= most:
-                del self.news[key]
-
     def some(self, most: int, among: set[str]) -> list[str]:
         """So many of these at random (drawn over a sorted list: sets have no order to rely on)."""
         if len(among) <= most:
@@ -528,11 +508,9 @@
             self.count()
 
     def set_counted(self, member: Member, counted: bool, sure: bool) -> None:
+        """Change a member's part in the numbers, where it is still listed."""
         if self.members.get(member.name) is member:
-            self.live += counted - member.counted
-            self.below += (member.name < self.name) * (counted - member.counted)
-            self.sure += sure - member.sure
-            member.counted, member.sure = counted, sure
+            self.tally.set(member, counted, sure)
 
     def counted(self) -> list[str]:
         """The others that `live` counts, by name.
@@ -550,7 +528,7 @@
 
     def count(self) -> None:
         """Tell how many are there, this one's place by name, and how many are not known to have left."""
-        now = (1 + self.live, self.below, 1 + self.sure)
+        now = self.tally.numbers()
         if now != self.numbers and not self.over:
             self.numbers = now
             self.port.told(*now)
--- a/brookhub/membership/members.py
+++ b/brookhub/membership/members.py
@@ -29,10 +29,7 @@
     sure: bool = True  # in the number of those not known to have left
 
     def overrides(self, state: int, incarnation: int) -> bool:
-        """Whether news (state, incarnation) is newer than what is known (SWIM's order.
-
-        Left is final for a life).
-        """
+        """Whether a state with an incarnation is newer than what is known, in SWIM's order; left is final."""
         if state == ALIVE:
             return incarnation > self.incarnation
         if state == SUSPECT:
--- a/tests/test_choices.py
+++ b/tests/test_choices.py
@@ -203,9 +203,9 @@
 
 
 class Crowd:
-    """Limiters by name, each with its Parts, that see who is there in `views` (by name.
+    """Limiters by name, each with its Parts, that see who is there in `views` (by name).
 
-    All see the same where it is not said).
+    All see the same where it is not said.
     """
 
     def __init__(self, names, servers, key=1):
