--- a/brookhub/lab/limiter_process.py
+++ b/brookhub/lab/limiter_process.py
@@ -13,7 +13,6 @@
 from typing import Callable
 
 ENDS_IN = 6.0  # s for a limiter to end after SIGTERM, longer than its longest client timeout
-FIRST = 10  # limiter i has the addresses 127.0.(FIRST + i).*
 
 
 def free_port(address: str, kind: int = socket.SOCK_STREAM) -> int:
@@ -29,9 +28,10 @@
     `write_config` writes its start file to `config` before each start.
     """
 
-    def __init__(self, index: int, folder: Path, write_config: Callable[[Limiter], None]) -> None:
-        self.index, self.write_config = index, write_config
-        self.address = f"127.0.{FIRST + index}.1"
+    def __init__(
+        self, index: int, address: str, folder: Path, write_config: Callable[[Limiter], None]
+    ) -> None:
+        self.index, self.address, self.write_config = index, address, write_config
         self.at = (self.address, free_port(self.address))
         self.udp = (self.address, free_port(self.address, socket.SOCK_DGRAM))
         self.config = folder / f"n{index}.json"
--- a/brookhub/lab/processes.py
+++ b/brookhub/lab/processes.py
@@ -2,7 +2,7 @@
 
 1 to 32 processes of `brookhub run` on loopback, each link relayed, faults by script, judged.
 
-`ProcessLab(experiment, folder).play()` -> Outcome. Each limiter has an address of its own (127.0.x.1), dials
+`ProcessLab(experiment, folder).play()` -> Outcome. Each limiter has an address of its own (lanes.py), dials
 every server, the counter and discovery over its own relays and, with membership on, its peers over a UDP
 mesh. Ends only the processes it started, by their ids. Docs: docs/process-lab.md. Times in s (monotonic).
 """
@@ -28,6 +28,7 @@
 from ..stand_ins import CounterStandIn, DiscoveryStandIn, ModelServer, Timers, host
 from .errors import LabError
 from .judge import Outage, Verdict, judge
+from .lanes import Lane
 from .limiter_process import Limiter
 from .load import Load
 from .process_faults import ProcessFaults
@@ -72,6 +73,7 @@
         self.folder.mkdir(parents=True, exist_ok=True)
         self.seed = experiment.seed if seed is None else seed
         self.rng = random.Random(f"lab/{self.seed}")
+        self.lane = Lane()
         self.timers, self.relays, self.seen = Timers(), Relays(self.seed), []
         self.outages: list[Outage] = []
         self.cuts: list[tuple[str, int, float, float]] = []  # (limiter's address, server, since, until)
@@ -87,7 +89,10 @@
             self.add_server(now - fleet.servers.warm_after_s - 1.0)
         self.counter = CounterStandIn(delay=fleet.counter.delay_s)
         self.discovery = DiscoveryStandIn([], dial=self.dial_of)
-        self.limiters = [Limiter(index, self.folder, self.write_config) for index in range(fleet.limiters)]
+        self.limiters = [
+            Limiter(index, self.lane.address(index), self.folder, self.write_config)
+            for index in range(fleet.limiters)
+        ]
         self.links: dict[tuple[str, int], object] = {}  # (limiter's address, server) -> TcpLink
         self.counter_links = {
             one.address: self.relays.tcp(f"counter/{one.index}", self.counter.at, one.address)
@@ -399,3 +404,4 @@
         for one in (self.counter, self.discovery, *self.servers.values()):
             one.close()
         self.timers.close()
+        self.lane.close()
--- a/tests/test_choices_processes.py
+++ b/tests/test_choices_processes.py
@@ -19,8 +19,8 @@
 from helpers import experiment, until
 from test_fleet_processes import all_hold, fleet
 
-# Its limiters have the same addresses in each lab: one at a time
-pytestmark = pytest.mark.xdist_group("process lab")
+# Two labs at a time are what this machine carries; each has addresses of its own
+pytestmark = pytest.mark.xdist_group("first process lab")
 
 BAD, USERS = 5, 2  # the server that turns bad; limiters that use it once it is well: more than a holder
 
--- a/tests/test_fleet_processes.py
+++ b/tests/test_fleet_processes.py
@@ -24,8 +24,8 @@
 from brookhub.program import run, startfile
 from helpers import SETTINGS, Program, until
 
-# Its limiters have the same addresses in each lab: one at a time
-pytestmark = pytest.mark.xdist_group("process lab")
+# Two labs at a time are what this machine carries; each has addresses of its own
+pytestmark = pytest.mark.xdist_group("second process lab")
 
 
 def fleet(one):
--- a/tests/test_maintenance_processes.py
+++ b/tests/test_maintenance_processes.py
@@ -17,8 +17,8 @@
 from helpers import Program, until
 from test_fleet_processes import PEERS, all_hold
 
-# Its limiters have the same addresses in each lab: one at a time
-pytestmark = pytest.mark.xdist_group("process lab")
+# Two labs at a time are what this machine carries; each has addresses of its own
+pytestmark = pytest.mark.xdist_group("second process lab")
 
 PLAN = """version = %d
 voters = ["n0", "n1", "n2"]
--- a/tests/test_processes.py
+++ b/tests/test_processes.py
@@ -18,6 +18,7 @@
 from brookhub.interface import State
 from brookhub.lab.errors import LabError
 from brookhub.lab.judge import Outage, judge
+from brookhub.lab.lanes import LANES, Lane
 from brookhub.lab.load import Asked, Load
 from brookhub.lab.processes import ProcessLab
 from brookhub.protocol import resp
@@ -25,8 +26,8 @@
 from brookhub.stand_ins.server import Seen
 from helpers import experiment, until
 
-# Its limiters have the same addresses in each lab: one at a time
-pytestmark = pytest.mark.xdist_group("process lab")
+# Two labs at a time are what this machine carries; each has addresses of its own
+pytestmark = pytest.mark.xdist_group("second process lab")
 
 
 class Rogue(StandIn):
@@ -216,3 +217,16 @@
     assert until(lambda: server.sock.fileno() >= 0, 1.0)  # back after the model's time
     server.close()
     timers.close()
+
+
+def test_two_labs_at_a_time_have_no_address_in_common_and_a_lane_is_free_again_after_its_lab():
+    first, second = Lane(), Lane()
+    numbers = first.number, second.number
+    assert numbers[0] != numbers[1] and first.address(0) != second.address(0)
+    assert first.address(0) != first.address(1)
+    second.close()
+    for _ in range(LANES + 1):  # each is given back, or none would be left
+        lane = Lane()
+        assert lane.number != first.number
+        lane.close()
+    first.close()
--- a/tests/test_recovery_processes.py
+++ b/tests/test_recovery_processes.py
@@ -14,8 +14,8 @@
 from brookhub.recovery import scan
 from helpers import play_script, until
 
-# Its limiters have the same addresses in each lab: one at a time
-pytestmark = pytest.mark.xdist_group("process lab")
+# Two labs at a time are what this machine carries; each has addresses of its own
+pytestmark = pytest.mark.xdist_group("first process lab")
 
 ROUTES = [
     {"name": "look", "target_s": 0.5, "client_timeout_s": 1.0, "share": 3},
