--- a/brookhub/checker/maintenance.py
+++ b/brookhub/checker/maintenance.py
@@ -18,9 +18,9 @@
 from ..maintenance.register import Register
 
 LEASE = 2.0
-TIMES_CORE = ("born", "asking_at", "offer_at", "try_at", "freed_at", "well_at")
+TIMES_CORE = ("born", "try_at", "freed_at", "well_at")
 TIMES_REGISTER = ("born", "until", "read_at", "asked_at", "valid_until", "sent_at")
-SHARED = ("port", "settings", "plan", "digest", "register", "me", "knew", "refused", "pieces", "wanted")
+SHARED = ("port", "settings", "plan", "digest", "register", "me", "knew", "exchange")
 BOUND = ("me", "send", "report", "heard", "adopt", "listed", "lease", "alone", "base")
 FAULTS = {
     "crash": 1,
--- a/brookhub/maintenance/core.py
+++ b/brookhub/maintenance/core.py
@@ -14,13 +14,12 @@
 import msgspec
 from xxhash import xxh3_64_intdigest
 
+from .exchange import PlanExchange
 from .messages import (
     FILLING,
     LEAVING,
-    MOST_PIECES,
     NOTHING_SAID,
     OPEN,
-    PIECE,
     Heard,
     Offer,
     Pass,
@@ -82,15 +81,7 @@
         self.digest = ""
         self.register: Register | None = None
         self.born = port.now()
-        self.refused: dict[str, int] = {}  # digests of plans that conflict -> version
-        self.pieces: dict[int, bytes] = {}
-        # Each goes round the others from a place of its own: all in step would tell the same ones.
-        self.wanted, self.asking_at, self.offer_at, self.turn = (
-            "",
-            self.born,
-            self.born,
-            xxh3_64_intdigest(me) % 2**20,
-        )
+        self.exchange = PlanExchange(port, me, settings.offer, self.give)
         self.told, self.told_mark = Table(), NOTHING_SAID  # the newest table known to be held by a majority
         self.holding: tuple[str, ...] = ()
         self.try_at, self.asks = self.born, 0  # when it asks to lead, where nobody seems to; how often it did
@@ -106,117 +97,61 @@
     def give(self, plan: Plan) -> str:
         """A plan from the operator or from a peer: "" or why it is refused, in one line."""
         digest = plan.digest()
-        if self.plan and plan.version == self.plan.version and digest != self.digest:
-            if digest not in self.refused:
-                self.refused[digest] = plan.version
-                self.port.log(
-                    "plan refused",
-                    version=plan.version,
-                    digest=digest,
-                    held=self.digest,
-                    why="another plan of this version is held",
-                )
-            return f"version {plan.version} is held with digest {self.digest}, this one has {digest}"
-        if self.plan and plan.version < self.plan.version:
-            return f"version {plan.version} is older than {self.plan.version}, digest {self.digest}"
-        if self.plan and plan.voters != self.plan.voters:
-            return "the first voters stay as they were: name others as voters_next"
+        if why := self.why_refused(plan, digest):
+            return why
         if digest == self.digest:
             return ""
-        self.plan, self.digest, self.pieces, self.wanted = plan, digest, {}, ""
+        self.plan, self.digest = plan, digest
         self.port.log("plan taken", version=plan.version, digest=digest, machines=len(plan.machines))
-        if self.settings.offer:
-            for name in plan.voters:  # they have to know first
-                if name != self.me:
-                    self.port.send(name, Offer(plan.version, digest))
+        self.exchange.hold(plan, digest)
         if self.register is None:
-            self.register = Register(
-                self.me,
-                plan.voters,
-                self.settings.lease,
-                plan.start_within_s,
-                self.born,
-                self.say,
-                self.report,
-                self.heard,
-                self.learned,
-                self.knew,
-                lambda: sorted(self.port.listed()),
-            )
+            self.register = self.begin_register(plan)
             self.try_at = self.port.now() + self.rank() * self.settings.lease / 4
         self.keep_off(self.told if self.told_mark > self.register.mark else self.register.table)
         return ""
 
-    def offer(self, now: float) -> None:
-        if self.plan and self.settings.offer and now >= self.offer_at:
-            self.offer_at = now + self.settings.offer
-            peers = sorted(self.port.present())
-            if peers:
-                self.turn += 1
-                self.port.send(peers[self.turn % len(peers)], Offer(self.plan.version, self.digest))
-
-    def offered(self, peer: str, message: Offer, now: float) -> None:
-        held = self.plan.version if self.plan else 0
-        if message.version > held and (
-            self.wanted != message.digest or now >= self.asking_at + self.settings.offer
-        ):
-            if self.wanted != message.digest:
-                self.wanted, self.pieces = message.digest, {}
-            self.asking_at = now
-            self.port.send(peer, Want(message.digest, len(self.pieces)))
-        elif message.version == held and message.digest != self.digest and message.digest not in self.refused:
-            self.refused[message.digest] = message.version
-            self.port.log(
-                "plan refused",
-                version=message.version,
-                digest=message.digest,
-                held=self.digest,
-                why="another plan of this version is held",
-            )
-        elif message.version < held:
-            self.port.send(peer, Offer(held, self.digest))
+    def why_refused(self, plan: Plan, digest: str) -> str:
+        """Why a plan can't take the place of the one that is held, "" where it can."""
+        if self.plan is None:
+            return ""
+        if plan.version == self.plan.version and digest != self.digest:
+            self.exchange.refuse(plan.version, digest)
+            return f"version {plan.version} is held with digest {self.digest}, this one has {digest}"
+        if plan.version < self.plan.version:
+            return f"version {plan.version} is older than {self.plan.version}, digest {self.digest}"
+        if plan.voters != self.plan.voters:
+            return "the first voters stay as they were: name others as voters_next"
+        return ""
 
-    def piece(self, peer: str, message: Piece, now: float) -> None:
-        if message.digest != self.wanted or message.piece != len(self.pieces):
-            return
-        self.pieces[message.piece] = message.data
-        self.asking_at = now
-        if len(self.pieces) < message.pieces:
-            return self.port.send(peer, Want(message.digest, len(self.pieces)))
-        data, self.pieces, self.wanted = b"".join(self.pieces.values()), {}, ""
-        try:
-            plan = msgspec.msgpack.decode(data, type=Plan)
-        except msgspec.DecodeError:
-            return
-        if plan.digest() == message.digest:
-            self.give(plan)
-
-    def wants(self, peer: str, message: Want) -> None:
-        if self.plan and message.digest == self.digest:
-            data = msgspec.msgpack.encode(self.plan)
-            pieces = max(1, -(-len(data) // PIECE))
-            if message.piece < pieces <= MOST_PIECES:
-                self.port.send(
-                    peer, Piece(self.digest, message.piece, pieces, data[message.piece * PIECE :][:PIECE])
-                )
+    def begin_register(self, plan: Plan) -> Register:
+        """The register of the first plan's voters."""
+        return Register(
+            self.me,
+            plan.voters,
+            self.settings.lease,
+            plan.start_within_s,
+            self.born,
+            self.say,
+            self.report,
+            self.heard,
+            self.learned,
+            self.knew,
+            lambda: sorted(self.port.listed()),
+        )
 
     # what arrives
 
     def received(self, peer: str, message) -> None:
         now = self.port.now()
-        if isinstance(message, Offer):
-            self.offered(peer, message, now)
-        elif isinstance(message, Want):
-            self.wants(peer, message)
-        elif isinstance(message, Piece):
-            self.piece(peer, message, now)
+        if isinstance(message, (Offer, Want, Piece)):
+            self.exchange.received(peer, message, now)
         elif isinstance(message, Told):
             if message.mark >= self.told_mark:
                 self.commit(message.mark, message.table)
             if self.register and (self.register.abstains or not self.register.votes()):
                 self.register.learn(message.mark, message.table)
             self.port.send(peer, Heard(self.told_mark, self.report()))
-            self.offered(peer, Offer(message.table.version, message.table.digest), now)
+            self.exchange.received(peer, Offer(message.table.version, message.table.digest), now)
         elif isinstance(message, Heard):
             self.heard(peer, message.report)
             if self.register:
@@ -285,7 +220,7 @@
 
     def tick(self) -> None:
         now = self.port.now()
-        self.offer(now)
+        self.exchange.tick(now)
         if self.register is None:
             return
         register = self.register
