--- a/brookhub/choices/__init__.py
+++ b/brookhub/choices/__init__.py
@@ -7,8 +7,8 @@
 """
 
 from .carriers import TOPIC, ByCounter, ByPeers, UnusableError, unpack
+from .ejections import Report, SharedEjections
 from .parts import Parts, Shared
-from .signals import Signals
 from .subsets import Subsets, size
 from .turns import Turns
 
@@ -18,7 +18,8 @@
     "ByPeers",
     "Parts",
     "Shared",
-    "Signals",
+    "Report",
+    "SharedEjections",
     "Subsets",
     "Turns",
     "UnusableError",
--- a/brookhub/choices/parts.py
+++ b/brookhub/choices/parts.py
@@ -17,6 +17,7 @@
 from typing import Any, Callable, Hashable, Iterable
 
 from ..interface import Outcome
+from .ejections import SharedEjections
 from .subsets import Subsets, size
 
 # Limiters times servers: 0.15 s of work at a first list, a few ms for each change; beyond it the stretch
@@ -42,7 +43,9 @@
     def relist(self, others: Iterable[str]) -> None:
         """Other names are listed: numbers are given anew."""
         self.numbers = {name: number for number, name in enumerate(sorted({self.me, *others}))}
-        self.present, self.zones, self.drawn = [self.numbers[self.me]], {}, None
+        self.present = [self.numbers[self.me]]
+        self.zones: dict[Hashable, Subsets] = {}
+        self.drawn: list[Hashable] | None = None
         self.match()
 
     def fits(self) -> bool:
@@ -59,7 +62,8 @@
 
     def match(self) -> None:
         """Bring each zone's matching up to date with the list."""
-        self.drawn, of = None, {}
+        self.drawn = None
+        of: dict[Any, dict[Hashable, float]] = {}  # by zone; zones are numbers or names, not both
         for server, (zone, weight) in self.servers.items() if self.fits() else ():
             of.setdefault(zone, {})[server] = weight
         self.zones = {zone: self.zones.get(zone) or Subsets(self.present, self.key) for zone in sorted(of)}
@@ -122,41 +126,46 @@
 
 
 class Shared:
-    """What the decisions ask of the fleet: `signals` (signals.Signals) and `parts`, each or neither.
+    """What the decisions ask of the fleet: `ejections` and `parts`, each or neither.
 
-    Without signals nothing is left alone and nothing is this one's turn; without parts the servers are taken
+    Without ejections nothing is ejected and nothing is this one's turn; without parts the servers are taken
     as a stretch of their ring.
     """
 
-    def __init__(self, signals: Any = None, parts: Parts | None = None):
-        self.signals, self.parts = signals, parts
+    def __init__(self, ejections: SharedEjections | None = None, parts: Parts | None = None):
+        self.ejections, self.parts = ejections, parts
 
     def listed(self, servers: dict[int, Any]) -> None:
         """The servers that there are, by id (interface.Server)."""
-        if self.signals:
-            self.signals.listed({ident: server.up_since for ident, server in servers.items()})
+        if self.ejections:
+            self.ejections.listed({ident: server.up_since for ident, server in servers.items()})
         if self.parts:
             self.parts.listed({ident: (server.zone, server.weight) for ident, server in servers.items()})
 
-    def shuns(self, server: int) -> bool:
-        return bool(self.signals) and self.signals.shuns(server)
+    def is_ejected(self, server: int) -> bool:
+        """Whether the fleet leaves it out now."""
+        return self.ejections is not None and self.ejections.is_ejected(server)
 
-    def due(self, server: int) -> bool:
-        return bool(self.signals) and self.signals.due(server)
+    def may_probe(self, server: int) -> bool:
+        """Whether it is this limiter's turn to try one that is left out."""
+        return self.ejections is not None and self.ejections.may_probe(server)
 
-    def tried(self, server: int) -> None:
-        if self.signals:
-            self.signals.tried(server)
+    def attempt_started(self, server: int) -> None:
+        """An attempt goes to it."""
+        if self.ejections:
+            self.ejections.attempt_started(server)
 
-    def saw(self, server: int, outcome: Outcome) -> None:
-        if self.signals:
-            self.signals.saw(server, outcome)
+    def attempt_ended(self, server: int, outcome: Outcome) -> None:
+        """How an attempt ended there."""
+        if self.ejections:
+            self.ejections.attempt_ended(server, outcome)
 
     @property
     def least(self) -> int:
+        """How many servers this limiter uses at least."""
         return self.parts.least() if self.parts else 0
 
-    def ring(self, views: list, start: int) -> Iterable:
+    def ring(self, views: list[Any], start: int) -> Iterable[Any]:
         """The decisions' records of the servers, sorted by `.server.id`, in the order to take them in."""
         order = self.parts.order() if self.parts else None
         if not order:
--- a/brookhub/choices/subsets.py
+++ b/brookhub/choices/subsets.py
@@ -15,7 +15,7 @@
 from bisect import bisect_left, insort
 from heapq import heappush, heapreplace
 from math import ceil, floor, log
-from typing import Hashable, Sequence
+from typing import Any, Hashable, Sequence
 
 from .hashing import deal, score
 
@@ -60,8 +60,10 @@
         self.key, self.limiters = key, list(limiters)
         self.ranks: dict[Hashable, list[tuple[float, Hashable]]] = {one: [] for one in self.limiters}
         self.weights: dict[Hashable, float] = {}
-        self.dealt: dict[tuple, list[float]] = {}
-        self.matched: dict[int, dict] = {}  # the last matchings, until something changes
+        self.dealt: dict[tuple[Hashable, int], list[float]] = {}
+        self.matched: dict[
+            int, dict[Hashable, list[Hashable]]
+        ] = {}  # the last matchings, until something changes
 
     def drawn(self, limiter: Hashable, server: Hashable) -> float:
         """Uniform in (0, 1); over a block of numbers evenly spread at each server."""
@@ -106,7 +108,7 @@
         self.limiters.remove(limiter)
         del self.ranks[limiter]
 
-    def match(self, each: int) -> dict[Hashable, list]:
+    def match(self, each: int) -> dict[Hashable, list[Hashable]]:
         """Limiter -> its `each` servers (or all, where there are no more), best ranked first.
 
         No server has more than its capacity.
@@ -122,7 +124,9 @@
             if servers
             else {}
         )
-        held: dict[Hashable, list] = {one: [] for one in servers}  # heaps, the worst ranked limiter first
+        held: dict[Hashable, list[Any]] = {
+            one: [] for one in servers
+        }  # heaps, the worst ranked limiter first
         asked, have, todo = (
             dict.fromkeys(self.limiters, 0),
             dict.fromkeys(self.limiters, 0),
@@ -144,14 +148,14 @@
                     todo.append(out)
                 at += 1
             asked[one], have[one] = at, has
-        own: dict[Hashable, list] = {one: [] for one in self.limiters}
+        own: dict[Hashable, list[Any]] = {one: [] for one in self.limiters}  # (place in its ranks, server)
         for server, heap in held.items():
             for _, one, at in heap:
                 own[one].append((at, server))
         self.matched[asked_for] = {one: [server for _, server in sorted(them)] for one, them in own.items()}
         return self.matched[asked_for]
 
-    def wider(self, limiter: Hashable, each: int, more: int) -> list:
+    def wider(self, limiter: Hashable, each: int, more: int) -> list[Hashable]:
         """A limiter's servers where its load needs `more` than `each`.
 
         Its own first, then such as have the most room left under their bound, by its own draws (the others
@@ -179,7 +183,7 @@
         )
         return (own + rest)[: max(more, each)]
 
-    def order(self, limiter: Hashable, each: int) -> list:
+    def order(self, limiter: Hashable, each: int) -> list[Hashable]:
         """All servers as this limiter should take them: its own first, then the others by its ranking."""
         own = self.match(each)[limiter]
         mine = set(own)
--- a/brookhub/choices/turns.py
+++ b/brookhub/choices/turns.py
@@ -27,8 +27,10 @@
 
     def __init__(self, key: int, me: Hashable, epoch: float = EPOCH):
         self.key, self.me, self.epoch = key, me, epoch
-        self.present: list = [me]
-        self.drawn: dict = {}  # (matter, epoch) -> holders, as long as the view stays
+        self.present: list[Hashable] = [me]
+        self.drawn: dict[
+            tuple[Hashable, int, int], list[Hashable]
+        ] = {}  # (matter, epoch) -> holders, as long as the view stays
         self.awake_at = -GRACE
 
     def told(self, present: Iterable[Hashable]) -> None:
@@ -39,7 +41,7 @@
         """This limiter was stopped: it believes in no turn until its view is new."""
         self.awake_at = now
 
-    def holders(self, matter: Hashable, now: float, most: int = 1) -> list:
+    def holders(self, matter: Hashable, now: float, most: int = 1) -> list[Hashable]:
         """The `most` holders of a matter in the epoch of `now` (s), first holder first.
 
         Epochs of matters are out of step, so that not all change hands at once.
--- a/brookhub/emulator/fleet.py
+++ b/brookhub/emulator/fleet.py
@@ -12,7 +12,7 @@
 from types import ModuleType
 
 from .. import policy
-from ..choices import TOPIC, ByCounter, ByPeers, Parts, Shared, Signals, Turns, unpack
+from ..choices import TOPIC, ByCounter, ByPeers, Parts, Shared, SharedEjections, Turns, unpack
 from ..config.models import Experiment
 from ..interface import ApiCall, GatewaySettings, Group, Plan, Repeat, Route, State
 from ..membership import ALIVE, Membership
@@ -163,9 +163,9 @@
             self.kept[index] = seat.recovery.ledger if self.experiment.fleet.counter.ledgers_last else None
         if self.experiment.fleet.counter.signals:
             carrier = ByCounter(seat, self.seed)
-            seat.signals = Signals(carrier, self.turns(seat))
-            carrier.serve(seat.signals)
-            seat.gateway.choices_told(Shared(seat.signals))
+            seat.ejections = SharedEjections(carrier, self.turns(seat))
+            carrier.serve(seat.ejections)
+            seat.gateway.choices_told(Shared(seat.ejections))
         return seat
 
     def join(self, seat: Seat) -> None:
@@ -183,11 +183,13 @@
                 and seat.recovery.fleet(sure)
             ),
         )
-        signals = parts = None
+        ejections = parts = None
         if spec.signals:
             turns = self.turns(seat)
             peer.on_changed = lambda member, state: turns.told(peer.core.present)
-            peer.on_said = lambda source, topic, data: topic == TOPIC and signals.heard(source, unpack(data))
+            peer.on_said = lambda source, topic, data: (
+                topic == TOPIC and ejections.received(source, unpack(data))
+            )
         peer.core = Membership(
             peer, FLEET, peer.name, [f"n{index}" for index in range(count)], self.seed, spec.period_s
         )
@@ -197,11 +199,11 @@
             peer.core.present = set(peer.core.names)
         if spec.signals:
             turns.told(peer.core.present)
-            signals = seat.signals = Signals(ByPeers(peer, peer.core), turns)
+            ejections = seat.ejections = SharedEjections(ByPeers(peer, peer.core), turns)
         if spec.subsets:
             parts = Parts(self.seed, peer.name, peer.core.names, peer.core.counted)
-        if signals or parts:
-            seat.gateway.choices_told(Shared(signals, parts))
+        if ejections or parts:
+            seat.gateway.choices_told(Shared(ejections, parts))
         peer.core.start()
 
     def turns(self, seat: Seat) -> Turns:
--- a/brookhub/interface.py
+++ b/brookhub/interface.py
@@ -191,16 +191,16 @@
     def listed(self, servers: dict[int, Server]) -> None:
         """The servers that there are."""
 
-    def shuns(self, server: int) -> bool:
+    def is_ejected(self, server: int) -> bool:
         """Whether the fleet leaves it alone now."""
 
-    def due(self, server: int) -> bool:
+    def may_probe(self, server: int) -> bool:
         """Whether it is this gateway's turn to try one that the fleet leaves alone."""
 
-    def tried(self, server: int) -> None:
+    def attempt_started(self, server: int) -> None:
         """An attempt goes to it."""
 
-    def saw(self, server: int, outcome: Outcome) -> None:
+    def attempt_ended(self, server: int, outcome: Outcome) -> None:
         """How an attempt ended there, with nothing else to blame than the server or the way to it."""
 
     def ring(self, views: list[Any], start: int) -> Iterable[Any]:
@@ -218,18 +218,18 @@
     def listed(self, servers: dict[int, Server]) -> None:
         """Nothing to do."""
 
-    def shuns(self, server: int) -> bool:
+    def is_ejected(self, server: int) -> bool:
         """Never."""
         return False
 
-    def due(self, server: int) -> bool:
+    def may_probe(self, server: int) -> bool:
         """Never."""
         return False
 
-    def tried(self, server: int) -> None:
+    def attempt_started(self, server: int) -> None:
         """Nothing to do."""
 
-    def saw(self, server: int, outcome: Outcome) -> None:
+    def attempt_ended(self, server: int, outcome: Outcome) -> None:
         """Nothing to do."""
 
     def ring(self, views: list[Any], start: int) -> Iterable[Any]:
--- a/brookhub/lab/recovery.py
+++ b/brookhub/lab/recovery.py
@@ -156,13 +156,13 @@
             ceiling[customer.id] = Debt(plan.ceiling_rate, plan.ceiling_burst)
         asked[customer.id] = customer.calls_per_s * (1 + raw["load"]["repeat_share"])
 
-        def proxied(now: float, units: float, customer=customer, before=customer.proxied) -> None:
+        def served(now: float, units: float, customer=customer, before=customer.served) -> None:
             before(now, units)
             for debts in (over, ceiling):
                 if customer.id in debts:
                     debts[customer.id].take(now, units)
 
-        customer.proxied = proxied
+        customer.served = served
     agreed: list[float] = []
 
     def look() -> None:
--- a/brookhub/policy/upstreams.py
+++ b/brookhub/policy/upstreams.py
@@ -49,12 +49,12 @@
         for view in self.choices.ring(self.servers, floor(self.settings.slot * tuned.GOLDEN % 1.0 * count)):
             if sound < size:  # those that fail are made up for
                 self.subset.append(view)
-                sound += is_sound(view) and not self.choices.shuns(view.server.id)
+                sound += is_sound(view) and not self.choices.is_ejected(view.server.id)
         used = len(self.subset) / max(1, count)
         self.peers, self.rivals = max(1.0, self.gateways * used), max(1.0, self.sure_gateways * used)
         self.concurrency_limit = self.concurrency_limit or max(1.0, tuned.PLACES * count / self.gateways)
         self.warm = sum(self.is_warm(view) for view in self.subset)
-        due = [view for view in self.servers if self.choices.due(view.server.id)]
+        due = [view for view in self.servers if self.choices.may_probe(view.server.id)]
         self.subset += [view for view in due if view not in self.subset]
 
     def is_warm(self, view):
@@ -77,8 +77,8 @@
         for view in self.subset if self.in_flight < self.concurrency_limit else ():
             server = view.server
             # Whose turn it is tries a failing server for all, with a call that may run again.
-            due = self.choices.due(server.id) and route.repeat is Repeat.IDEMPOTENT and not tried
-            usable = is_open(view, now) and (due or not self.choices.shuns(server.id))
+            due = self.choices.may_probe(server.id) and route.repeat is Repeat.IDEMPOTENT and not tried
+            usable = is_open(view, now) and (due or not self.choices.is_ejected(server.id))
             usable = usable and may_repeat_at(server, route, ran, now)
             if usable and (self.is_warm(view) or self.admits_cold(view)):
                 unseen = min(1.0, (now - view.last_end_at) / tuned.MEMORY)  # long unseen: a new chance
@@ -93,7 +93,7 @@
         request.sent = True
         view.slow_start.level -= 1
         self.sends.add(self.port.now, 1)
-        self.choices.tried(view.server.id)
+        self.choices.attempt_started(view.server.id)
         self.retries.add(self.port.now, 1 if request.call.attempts else 0)
         one = self.port.send(request.call, view.server, self.horizon if request.loan else 0.0)
         one.view = view
@@ -121,7 +121,7 @@
             return  # but given up for its slowness it counts as failed, whether work or answer was lost
         record_end(view, outcome, took, now, self.random)
         if outcome is not Outcome.FULL:
-            self.choices.saw(view.server.id, outcome)
+            self.choices.attempt_ended(view.server.id, outcome)
         if outcome is Outcome.OK:
             self.delays.add(now, took)
             if self.delays.count.sum > tuned.SURE_AFTER and now > self.sure_at:
--- a/brookhub/routing/peers.py
+++ b/brookhub/routing/peers.py
@@ -12,7 +12,7 @@
 
 from xxhash import xxh3_64_intdigest
 
-from ..choices import TOPIC, ByPeers, Parts, Shared, Signals, Turns, UnusableError, unpack
+from ..choices import TOPIC, ByPeers, Parts, Shared, SharedEjections, Turns, UnusableError, unpack
 from ..membership import LARGEST, WORDS, Membership, UnreadableError, decode
 from ..transport.threads import spawn
 
@@ -55,13 +55,13 @@
         self.ahead = time() - monotonic()  # of the calendar; looked at again with each log line
         self.turns = Turns(xxh3_64_intdigest(spec.fleet), spec.name)  # one key for a fleet, the same at all
         self.on_topic: dict[int, object] = {}  # what other parts take of the peers' words
-        self.signals = Signals(ByPeers(self, self.core), self.turns) if spec.signals else None
+        self.ejections = SharedEjections(ByPeers(self, self.core), self.turns) if spec.signals else None
         self.parts = (
             Parts(self.turns.key, spec.name, self.by_name, self.core.counted) if spec.subsets else None
         )
-        if self.signals or self.parts:
-            port.gateway.choices_told(Shared(self.signals, self.parts))
-        if self.signals:
+        if self.ejections or self.parts:
+            port.gateway.choices_told(Shared(self.ejections, self.parts))
+        if self.ejections:
             self.shunned: list[int] = []
             self.look()
 
@@ -152,28 +152,28 @@
         """Another part's word. What can't be read is counted; a topic that is off here is nobody's."""
         if topic in self.on_topic:
             return self.on_topic[topic](peer, data)
-        if topic != TOPIC or not self.signals:
+        if topic != TOPIC or not self.ejections:
             return
         try:
-            self.signals.heard(peer, unpack(data))
+            self.ejections.received(peer, unpack(data))
         except UnusableError:
             self.drop("unreadable")
 
     def look(self) -> None:
         """Log which servers the fleet leaves alone, where that changed."""
-        signals, self.ahead = self.signals, time() - monotonic()
-        shunned = [server for server in signals.cases if signals.shuns(server)]
+        ejections, self.ahead = self.ejections, time() - monotonic()
+        shunned = [server for server in ejections.ejections if ejections.is_ejected(server)]
         if shunned != self.shunned:
             self.shunned = shunned
-            told, refused = signals.told, signals.refused
+            sent, disbelieved = ejections.sent, ejections.disbelieved
             self.port.todo.append(
                 (
                     lambda: self.log.info(
                         "servers left alone",
                         servers=shunned[:NAMED],
                         more=max(0, len(shunned) - NAMED),
-                        words=told,
-                        refused=refused,
+                        words=sent,
+                        refused=disbelieved,
                     ),
                 )
             )
--- a/tests/test_choices.py
+++ b/tests/test_choices.py
@@ -323,7 +323,7 @@
     nothing.listed(servers)
     assert (
         nothing.least == 0
-        and not nothing.shuns(1)
-        and not nothing.due(1)
+        and not nothing.is_ejected(1)
+        and not nothing.may_probe(1)
         and list(nothing.ring(views, 0)) == views
     )
--- a/tests/test_choices_processes.py
+++ b/tests/test_choices_processes.py
@@ -11,7 +11,7 @@
 from xxhash import xxh3_64_intdigest
 
 from brookhub.choices import Parts, Turns
-from brookhub.choices.signals import FADE, HOLD_MOST, TRY_AT
+from brookhub.choices.ejections import EJECTED_MOST, PROBE_AT, REPORT_TTL
 from brookhub.choices.turns import GRACE
 from brookhub.lab.processes import ProcessLab
 from brookhub.membership.core import SHRINK
@@ -94,12 +94,12 @@
     def script(lab):
         began = begin_bad(lab)
         first = len(sends(lab, began))
-        sleep(FADE + 1.0)
+        sleep(REPORT_TTL + 1.0)
         tries = sends(lab, began)[first:]
         assert 1 <= len(tries) <= 3, tries  # eight limiters without a word: about 7 tries a second there
         lab.servers[BAD].model.mode = "ok"
         well = monotonic()
-        assert used_by(lab, well, USERS, HOLD_MOST + 3), Counter(one.limiter for one in sends(lab, well))
+        assert used_by(lab, well, USERS, EJECTED_MOST + 3), Counter(one.limiter for one in sends(lab, well))
 
     lab(script, 60.0, **LARGE)
 
@@ -125,11 +125,11 @@
     def script(lab):
         began = begin_bad(lab)
         names = [f"n{n}" for n in range(8)]
-        gone = holder(lab, names, began + 1.0 + TRY_AT * FADE)
+        gone = holder(lab, names, began + 1.0 + PROBE_AT * REPORT_TTL)
         lab.kill(gone)
         killed = monotonic()
         lab.servers[BAD].model.mode = "ok"
-        assert used_by(lab, killed, USERS, FADE + HOLD_MOST), Counter(
+        assert used_by(lab, killed, USERS, REPORT_TTL + EJECTED_MOST), Counter(
             one.limiter for one in sends(lab, killed)
         )
         assert gone.address not in {one.limiter for one in sends(lab, killed + 0.1)}
@@ -142,9 +142,9 @@
         began = begin_bad(lab)
         names = [f"n{n}" for n in range(8)]
         # The first try by turn failed: away for longer now
-        assert until(lambda: sends(lab, began + TRY_AT * FADE), 2 * FADE)
-        tried = sends(lab, began + TRY_AT * FADE)[0].at
-        sleeper = holder(lab, names, tried + TRY_AT * 2 * FADE + 0.5)  # a failed try doubles the time
+        assert until(lambda: sends(lab, began + PROBE_AT * REPORT_TTL), 2 * REPORT_TTL)
+        tried = sends(lab, began + PROBE_AT * REPORT_TTL)[0].at
+        sleeper = holder(lab, names, tried + PROBE_AT * 2 * REPORT_TTL + 0.5)  # a failed try doubles the time
         sleep(max(0.0, tried + 1.0 - monotonic()))
         lab.stall(sleeper, 5.0)
         woke = monotonic()
@@ -152,7 +152,7 @@
         assert not [one for one in sends(lab, woke) if one.limiter == sleeper.address]
         assert len(sends(lab, tried + 0.5)) <= 3  # its turn, whoever took it, and one more view's
         lab.servers[BAD].model.mode = "ok"
-        assert used_by(lab, woke + GRACE, USERS, HOLD_MOST + FADE)
+        assert used_by(lab, woke + GRACE, USERS, EJECTED_MOST + REPORT_TTL)
 
     lab(script, 60.0, **LARGE)
 
@@ -168,7 +168,7 @@
         assert 1 <= len(tries) <= 10, len(tries)
         lab.split([], False)
         lab.servers[BAD].model.mode = "ok"
-        assert used_by(lab, monotonic(), USERS, HOLD_MOST + FADE)
+        assert used_by(lab, monotonic(), USERS, EJECTED_MOST + REPORT_TTL)
         assert began < split
 
     lab(script, 60.0, **LARGE)
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -487,16 +487,16 @@
     def __init__(self):
         self.shunned, self.dues, self.sawn, self.tries = set(), set(), [], []
 
-    def shuns(self, server):
+    def is_ejected(self, server):
         return server in self.shunned
 
-    def due(self, server):
+    def may_probe(self, server):
         return server in self.dues
 
-    def tried(self, server):
+    def attempt_started(self, server):
         self.tries.append(server)
 
-    def saw(self, server, outcome):
+    def attempt_ended(self, server, outcome):
         self.sawn.append((server, outcome))
 
     def listed(self, servers):
--- a/tests/test_signals.py
+++ b/tests/test_signals.py
@@ -7,20 +7,19 @@
 
 import pytest
 
-from brookhub.choices import ByCounter, Signals, Turns, UnusableError, unpack
-from brookhub.choices.carriers import ASKS, MOST_WORDS, QUIET, pack
-from brookhub.choices.signals import (
-    AWAY,
+from brookhub.choices import ByCounter, Report, SharedEjections, Turns, UnusableError, unpack
+from brookhub.choices.carriers import ASKS, MOST_REPORTS, QUIET, pack
+from brookhub.choices.ejections import (
     BEAT,
     DOUBTED,
     DOUBTED_LEAST,
-    FADE,
-    HOLD_MOST,
-    SICK,
+    EJECTED_MOST,
+    EJECTED_SHARE,
+    PROBE_AT,
+    PROBE_FOR,
+    REPORT_TTL,
     SLOW_OVER,
-    TRY_AT,
-    TRY_FOR,
-    WELL,
+    Health,
 )
 from brookhub.choices.turns import GRACE
 from brookhub.interface import Outcome
@@ -40,7 +39,7 @@
         for name in self.all:
             turns = Turns(1, name)
             turns.told(self.all)
-            self.all[name] = Signals(Seat(self, name), turns)
+            self.all[name] = SharedEjections(Seat(self, name), turns)
             self.all[name].listed(dict.fromkeys(range(servers), 0.0))
 
     def run(self, seconds):
@@ -57,7 +56,7 @@
         return self.all["n0"].turns.holders(f"sick/{server}", self.now)[0]
 
     def shun(self, server):
-        return {name for name, one in self.all.items() if one.shuns(server)}
+        return {name for name, one in self.all.items() if one.is_ejected(server)}
 
 
 class Seat:
@@ -74,8 +73,8 @@
         self.crowd.order += 1
         self.crowd.alarms.append((self.crowd.now + seconds, self.crowd.order, self.name, callback))
 
-    def say(self, words):
-        for data in pack(words):
+    def send(self, reports):
+        for data in pack(reports):
             for peer, one in self.crowd.all.items():
                 if peer != self.name and not self.crowd.apart(self.name, peer):
                     self.crowd.order += 1
@@ -84,24 +83,24 @@
                             self.crowd.now + 0.001,
                             self.crowd.order,
                             peer,
-                            lambda one=one, data=data: one.heard(self.name, unpack(data)),
+                            lambda one=one, data=data: one.received(self.name, unpack(data)),
                         )
                     )
 
 
 def test_one_witness_is_not_enough_two_are_and_the_word_fades():
     crowd = Crowd()
-    crowd.all["n1"].saw(5, BAD)
+    crowd.all["n1"].attempt_ended(5, BAD)
     crowd.run(0.1)
     assert not crowd.shun(5)
-    crowd.all["n2"].saw(5, BAD)
+    crowd.all["n2"].attempt_ended(5, BAD)
     crowd.run(0.1)
     assert crowd.shun(5) == set(crowd.all)
-    crowd.run(FADE)
+    crowd.run(REPORT_TTL)
     assert not crowd.shun(5)  # nobody tried it: each finds out for itself again
-    crowd.all["n1"].saw(6, BAD)
-    crowd.run(FADE + 0.1)
-    crowd.all["n2"].saw(6, BAD)  # too late to agree with the first
+    crowd.all["n1"].attempt_ended(6, BAD)
+    crowd.run(REPORT_TTL + 0.1)
+    crowd.all["n2"].attempt_ended(6, BAD)  # too late to agree with the first
     crowd.run(0.1)
     assert not crowd.shun(6)
 
@@ -112,81 +111,81 @@
     crowd, chance = Crowd(), random.Random(3)
     for step in range(200):
         for one in crowd.all.values():
-            one.saw(chance.randrange(6, 24), SLOW if common and chance.random() < 0.08 else OK)
+            one.attempt_ended(chance.randrange(6, 24), SLOW if common and chance.random() < 0.08 else OK)
         crowd.run(0.05)
         # 2 s in which to learn what is usual
         assert step < 40 or not any(crowd.shun(server) for server in range(24))
     for name in ("n1", "n2"):  # one that is silent
-        crowd.all[name].saw(5, SLOW)
+        crowd.all[name].attempt_ended(5, SLOW)
     crowd.run(0.1)
     assert crowd.shun(5) == (set() if common else set(crowd.all))
     crowd.run(SLOW_OVER)
     for name in ("n1", "n2"):  # what was usual then is not any more
-        crowd.all[name].saw(5, SLOW)
+        crowd.all[name].attempt_ended(5, SLOW)
     crowd.run(0.1)
     assert crowd.shun(5) == set(crowd.all)
 
 
 @pytest.mark.parametrize("later", [0.24, 0.6, 2.0])
 def test_one_whose_case_began_later_takes_the_holder_s_word_for_what_it_is(later):
-    """It took it for one more of the tries that were out when the case began, and came back after FADE.
+    """It took it for one more of the tries that were out when the case began, and came back after REPORT_TTL.
 
     Seen on processes in 1 of 23 runs, and always where a limiter was busy for longer than what the clock was
     allowed.
     """
     crowd = Crowd()
     for name in ("n1", "n2"):
-        crowd.all[name].saw(5, BAD)
+        crowd.all[name].attempt_ended(5, BAD)
     crowd.run(0.1)
-    name = crowd.all["n0"].turns.holders("sick/5", crowd.now + TRY_AT * FADE)[0]
-    for case in (one.cases[5] for other, one in crowd.all.items() if other != name):
-        case.until, case.try_at = case.until + later, case.try_at + later
-    crowd.run(TRY_AT * FADE - 0.05)
+    name = crowd.all["n0"].turns.holders("sick/5", crowd.now + PROBE_AT * REPORT_TTL)[0]
+    for case in (one.ejections[5] for other, one in crowd.all.items() if other != name):
+        case.until, case.probe_at = case.until + later, case.probe_at + later
+    crowd.run(PROBE_AT * REPORT_TTL - 0.05)
     holder = crowd.all[name]
-    assert holder.due(5)
-    holder.tried(5)
-    holder.saw(5, BAD)
-    crowd.run(FADE)
+    assert holder.may_probe(5)
+    holder.attempt_started(5)
+    holder.attempt_ended(5, BAD)
+    crowd.run(REPORT_TTL)
     assert crowd.shun(5) == set(crowd.all)
 
 
 def test_one_that_heard_nothing_of_the_beginning_keeps_away_as_long_as_the_others():
-    """It began anew with the word of the try, for FADE, and came back while the others stayed away twice as long."""
+    """It began anew with the word of the try, for REPORT_TTL, and came back while the others stayed away twice as long."""
     crowd = Crowd()
     crowd.apart = lambda a, b: "n0" in (a, b)
     for name in ("n1", "n2"):
-        crowd.all[name].saw(5, BAD)
-    crowd.run(TRY_AT * FADE + 0.1)
+        crowd.all[name].attempt_ended(5, BAD)
+    crowd.run(PROBE_AT * REPORT_TTL + 0.1)
     assert crowd.shun(5) == set(crowd.all) - {"n0"}
     crowd.apart = lambda a, b: False
-    crowd.all["n0"].saw(5, BAD)
-    name = next(name for name, one in crowd.all.items() if name != "n0" and one.due(5))
-    crowd.all[name].tried(5)
-    crowd.all[name].saw(5, BAD)
-    crowd.run(FADE + 0.1)
+    crowd.all["n0"].attempt_ended(5, BAD)
+    name = next(name for name, one in crowd.all.items() if name != "n0" and one.may_probe(5))
+    crowd.all[name].attempt_started(5)
+    crowd.all[name].attempt_ended(5, BAD)
+    crowd.run(REPORT_TTL + 0.1)
     assert crowd.shun(5) == set(crowd.all)
 
 
 def test_only_the_holder_of_the_turn_tries_it_and_its_word_keeps_it_away_longer_or_brings_all_back():
     crowd = Crowd()
     for name in ("n1", "n2"):
-        crowd.all[name].saw(5, BAD)
+        crowd.all[name].attempt_ended(5, BAD)
     crowd.run(0.1)
-    assert not any(one.due(5) for one in crowd.all.values())  # what is out now ends first
-    crowd.run(FADE / 2)
+    assert not any(one.may_probe(5) for one in crowd.all.values())  # what is out now ends first
+    crowd.run(REPORT_TTL / 2)
     holder = crowd.holder(5)
-    assert [name for name, one in crowd.all.items() if one.due(5)] == [holder] and crowd.shun(5) == set(
+    assert [name for name, one in crowd.all.items() if one.may_probe(5)] == [holder] and crowd.shun(5) == set(
         crowd.all
     )
-    crowd.all[holder].tried(5)
-    assert not crowd.all[holder].due(5)  # one try at a time
-    crowd.all[holder].saw(5, BAD)
-    crowd.run(FADE)
+    crowd.all[holder].attempt_started(5)
+    assert not crowd.all[holder].may_probe(5)  # one try at a time
+    crowd.all[holder].attempt_ended(5, BAD)
+    crowd.run(REPORT_TTL)
     assert crowd.shun(5) == set(crowd.all)  # longer than at first
     holder = crowd.holder(5)
-    assert crowd.all[holder].due(5)
-    crowd.all[holder].tried(5)
-    crowd.all[holder].saw(5, OK)
+    assert crowd.all[holder].may_probe(5)
+    crowd.all[holder].attempt_started(5)
+    crowd.all[holder].attempt_ended(5, OK)
     crowd.run(0.1)
     assert not crowd.shun(5)
 
@@ -194,22 +193,22 @@
 def test_a_holder_that_is_gone_passes_its_turn_on_within_the_time_that_the_server_is_left_alone():
     crowd = Crowd()
     for name in ("n1", "n2"):
-        crowd.all[name].saw(5, BAD)
-    crowd.run(FADE / 2 + 0.1)
+        crowd.all[name].attempt_ended(5, BAD)
+    crowd.run(REPORT_TTL / 2 + 0.1)
     gone = crowd.holder(5)
     rest = {name: one for name, one in crowd.all.items() if name != gone}
     crowd.stopped.add(gone)
     for one in rest.values():
         one.turns.told(rest)
-    assert sum(one.due(5) for one in rest.values()) == 1
+    assert sum(one.may_probe(5) for one in rest.values()) == 1
 
 
 def test_a_server_that_fails_now_and_then_is_not_left_alone_while_others_are_answered_by_it():
     crowd = Crowd()
     for name in ("n1", "n2", "n3"):
-        crowd.all[name].saw(5, BAD)
+        crowd.all[name].attempt_ended(5, BAD)
         crowd.run(0.1)
-        crowd.all["n4"].saw(5, OK)
+        crowd.all["n4"].attempt_ended(5, OK)
         crowd.run(0.1)
         assert not crowd.shun(5)
 
@@ -221,33 +220,33 @@
     """
     crowd = Crowd()
     for name in ("n1", "n2"):
-        crowd.all[name].saw(5, BAD)
+        crowd.all[name].attempt_ended(5, BAD)
     crowd.run(0.1)
     assert crowd.shun(5) == set(crowd.all)
     for name in ("n3", "n1"):
         crowd.all[name].listed({**dict.fromkeys(range(24), 0.0), 5: 99.0})
     assert crowd.shun(5) == set(crowd.all) - {"n3", "n1"}
     crowd.all["n3"].listed({**dict.fromkeys(range(24), 0.0), 5: 99.0})  # told the same again
-    crowd.all["n1"].saw(5, BAD)
+    crowd.all["n1"].attempt_ended(5, BAD)
     crowd.all["n2"].listed({one: 0.0 for one in range(24) if one != 5})  # gone, with what was said of it
-    assert not crowd.all["n2"].shuns(5)
+    assert not crowd.all["n2"].is_ejected(5)
 
 
 def test_one_whose_own_links_are_broken_is_silent_and_one_that_cries_wolf_is_not_believed():
     crowd = Crowd()
     for server in range(24):
-        crowd.all["n1"].saw(server, BAD)
+        crowd.all["n1"].attempt_ended(server, BAD)
     crowd.run(0.1)
-    assert crowd.all["n1"].told <= max(DOUBTED_LEAST, DOUBTED * 24)
+    assert crowd.all["n1"].sent <= max(DOUBTED_LEAST, DOUBTED * 24)
     crowd = Crowd()
     for server in range(24):  # one that tells of all, and one that truly met one of them
         for other in list(crowd.all.values())[2:]:
-            other.heard("n1", [(server, SICK)])
-    crowd.all["n2"].saw(3, BAD)
+            other.received("n1", [(server, Health.FAILING)])
+    crowd.all["n2"].attempt_ended(3, BAD)
     crowd.run(0.1)
     assert not any(crowd.shun(server) for server in range(24))
-    assert crowd.all["n3"].refused > 0
-    crowd.all["n4"].saw(3, BAD)  # a second that is believed
+    assert crowd.all["n3"].disbelieved > 0
+    crowd.all["n4"].attempt_ended(3, BAD)  # a second that is believed
     crowd.run(0.1)
     assert crowd.shun(3) >= set(crowd.all) - {"n1"}
 
@@ -256,32 +255,32 @@
     crowd = Crowd()
     for server in range(8):  # each limiter met two of them
         for name in (f"n{server % 8}", f"n{(server + 1) % 8}"):
-            crowd.all[name].saw(server, BAD)
+            crowd.all[name].attempt_ended(server, BAD)
     crowd.run(0.1)
     for one in crowd.all.values():
-        assert sum(one.shuns(server) for server in range(24)) == 7  # three in ten of 24
+        assert sum(one.is_ejected(server) for server in range(24)) == 7  # three in ten of 24
 
 
 def test_one_that_was_stopped_says_nothing_and_takes_no_turn_until_its_view_is_new():
     crowd = Crowd()
     for name in ("n2", "n3"):
-        crowd.all[name].saw(5, BAD)
+        crowd.all[name].attempt_ended(5, BAD)
     crowd.run(0.1)
     sleeper = crowd.all[crowd.holder(5)]
     crowd.stopped.add(sleeper.me)
-    crowd.run(FADE / 2 + 0.5)
+    crowd.run(REPORT_TTL / 2 + 0.5)
     crowd.stopped.clear()
-    sleeper.saw(7, BAD)  # a try that timed out while it stood still, told before any timer
-    assert 7 not in sleeper.cases and not sleeper.due(5)
-    told = sleeper.told
+    sleeper.attempt_ended(7, BAD)  # a try that timed out while it stood still, told before any timer
+    assert 7 not in sleeper.ejections and not sleeper.may_probe(5)
+    told = sleeper.sent
     crowd.run(GRACE / 2)
-    sleeper.saw(8, BAD)
+    sleeper.attempt_ended(8, BAD)
     crowd.run(0.1)
-    assert sleeper.told == told and 8 not in sleeper.cases
+    assert sleeper.sent == told and 8 not in sleeper.ejections
     crowd.run(GRACE)
-    sleeper.saw(9, BAD)
+    sleeper.attempt_ended(9, BAD)
     crowd.run(0.1)
-    assert sleeper.told == told + 1
+    assert sleeper.sent == told + 1
 
 
 @pytest.mark.parametrize("seed", range(8))
@@ -303,22 +302,22 @@
             crowd.stopped = set()
         for name, one in crowd.all.items():
             server = chance.randrange(servers)
-            if name not in crowd.stopped and (one.due(server) or not one.shuns(server)):
-                one.tried(server)
-                one.saw(server, BAD if server in bad else OK)
+            if name not in crowd.stopped and (one.may_probe(server) or not one.is_ejected(server)):
+                one.attempt_started(server)
+                one.attempt_ended(server, BAD if server in bad else OK)
                 if server in bad:
                     last[server] = crowd.now
         crowd.run(chance.random() * 0.2)
         for one in crowd.all.values():
-            away = [server for server in range(servers) if one.shuns(server)]
-            assert len(away) <= AWAY * servers
+            away = [server for server in range(servers) if one.is_ejected(server)]
+            assert len(away) <= EJECTED_SHARE * servers
             # no longer than its hold after the last try that failed, in whoever's hands
-            assert all(crowd.now <= last[server] + HOLD_MOST + 0.1 for server in away)
-            assert not any(one.due(server) and not one.shuns(server) for server in range(servers))
+            assert all(crowd.now <= last[server] + EJECTED_MOST + 0.1 for server in away)
+            assert not any(one.may_probe(server) and not one.is_ejected(server) for server in range(servers))
         for server in range(servers):  # one view: at most one holder; two sides: at most two
-            assert sum(one.due(server) for one in crowd.all.values()) <= 1
+            assert sum(one.may_probe(server) for one in crowd.all.values()) <= 1
     bad, crowd.stopped, crowd.apart = set(), set(), lambda a, b: False
-    crowd.run(2 * HOLD_MOST)
+    crowd.run(2 * EJECTED_MOST)
     assert not any(crowd.shun(server) for server in range(servers))
 
 
@@ -326,11 +325,11 @@
 
 
 def test_words_travel_in_datagrams_that_fit_and_anything_else_is_refused():
-    words = [(2**62, SICK)] * 150
+    words = [Report(2**62, Health.FAILING)] * 150
     parts = pack(words)
     assert len(parts) == 3 and all(len(part) <= 1000 for part in parts)
     assert [word for part in parts for word in unpack(part)] == words
-    whole = pack([(1, SICK), (2**40, WELL)])[0]
+    whole = pack([(1, Health.FAILING), (2**40, Health.HEALTHY)])[0]
     for cut in range(len(whole)):
         with pytest.raises(UnusableError):
             unpack(whole[:cut])
@@ -340,8 +339,8 @@
             got = unpack(chance.randbytes(chance.randrange(40)))
         except UnusableError:
             continue
-        assert len(got) <= MOST_WORDS and all(
-            0 <= server <= 2**62 and what in (SICK, WELL) for server, what in got
+        assert len(got) <= MOST_REPORTS and all(
+            0 <= server <= 2**62 and what in (Health.FAILING, Health.HEALTHY) for server, what in got
         )
 
 
@@ -362,16 +361,16 @@
         carrier = ByCounter(CountPort(crowd, totals), key=7)
         turns = Turns(1, f"n{number}")
         turns.told(["n0", "n1", "n2"])
-        signals = Signals(carrier, turns)
+        signals = SharedEjections(carrier, turns)
         signals.listed(dict.fromkeys(range(24), 0.0))
         carrier.serve(signals)
         made.append(signals)
-    made[0].saw(5, BAD)
+    made[0].attempt_ended(5, BAD)
     crowd.run(0.1)
-    assert not made[0].shuns(5)
-    made[1].saw(5, BAD)
+    assert not made[0].is_ejected(5)
+    made[1].attempt_ended(5, BAD)
     crowd.run(0.1)
-    assert made[1].shuns(5) and not made[0].shuns(5) and made[2].carrier.port.asked == 0
+    assert made[1].is_ejected(5) and not made[0].is_ejected(5) and made[2].carrier.port.asked == 0
     assert len(totals) == 1 and all(name >= 1 << 62 for name in totals)  # apart from every customer's count
 
 
@@ -380,18 +379,18 @@
         crowd = Crowd(count=1)
         port = CountPort(crowd, {}, took, outcome)
         carrier = ByCounter(port, key=7)
-        signals = Signals(carrier, Turns(1, "n0"))
+        signals = SharedEjections(carrier, Turns(1, "n0"))
         signals.listed(dict.fromkeys(range(240), 0.0))
         carrier.serve(signals)
-        carrier.say([(server, SICK) for server in range(20)])
+        carrier.send([Report(server, Health.FAILING) for server in range(20)])
         assert port.asked == ASKS
         crowd.run(1.0)
-        carrier.say([(1, SICK)])
+        carrier.send([(1, Health.FAILING)])
         assert port.asked == ASKS
         crowd.run(QUIET)
-        carrier.say([(1, SICK)])
+        carrier.send([(1, Health.FAILING)])
         assert port.asked == ASKS + 1
 
 
 def test_the_times_fit_each_other():
-    assert TRY_FOR < FADE < HOLD_MOST and BEAT < GRACE
+    assert PROBE_FOR < REPORT_TTL < EJECTED_MOST and BEAT < GRACE
