--- a/brookhub/choices/parts.py
+++ b/brookhub/choices/parts.py
@@ -1,11 +1,13 @@
-"""One limiter's part of the servers by the fleet's matching (subsets.py), and all that the decisions ask of the fleet in one place.
+"""One limiter's part of the servers by the fleet's matching, and all that the decisions ask of the fleet.
 
-Each zone has a matching of its own, so that all limiters have the same number of servers near them: by one matching for all, those with
-few in their zone sent too much to these (4.3 times the mean at one server, 40 limiters; 2.9 by the stretch).
+Each zone has a matching of its own, so that all limiters have the same number of servers near them: by one
+matching for all, those with few in their zone sent too much to these (4.3 times the mean at one server, 40
+limiters; 2.9 by the stretch).
 
-Limiters are numbered by their names among those that the operator lists, so that a number stays with a name while others come and
-go; the matching is of those that are present, and all that hold the same ones for present match alike without talking. Two sides of a
-split match apart: a server is then used by its part of each side, and each limiter's load is spread as before.
+Limiters are numbered by their names among those that the operator lists, so that a number stays with a name
+while others come and go; the matching is of those that are present, and all that hold the same ones for
+present match alike without talking. Two sides of a split match apart: a server is then used by its part of
+each side, and each limiter's load is spread as before.
 """
 
 from __future__ import annotations
@@ -15,16 +17,22 @@
 from typing import Any, Callable, Hashable, Iterable
 
 from ..interface import Outcome
+from .ejections import SharedEjections
 from .subsets import Subsets, size
 
-MOST_PAIRS = 20_000  # limiters times servers: 0.15 s of work at a first list, a few ms for each change; beyond it the stretch stays
-STEP = 1.25  # the size of a part goes by the number of limiters in such steps, rounded down: where one limiter less made every
-#              part larger by one, its end moved 4.3 times its own pairs (40 limiters, 60 servers)
+# Limiters times servers: 0.15 s of work at a first list, a few ms for each change; beyond it the stretch
+# stays
+MOST_PAIRS = 20_000
+# The size of a part goes by the number of limiters in such steps, rounded down: where one limiter less made
+# every part larger by one, its end moved 4.3 times its own pairs (40 limiters, 60 servers)
+STEP = 1.25
 
 
 class Parts:
-    """`key`: the fleet's, the same at all; `me` and `others`: names that the operator lists; `here()`: those of the others that count
-    as there (membership.Membership.counted), asked each time the decisions draw their part.
+    """`key`: the fleet's, the same at all; `me` and `others`: names that the operator lists; `here()`.
+
+    Those of the others that count as there (membership.Membership.counted), asked each time the decisions
+    draw their part.
     """
 
     def __init__(self, key: int, me: str, others: Iterable[str], here: Callable[[], Iterable[str]]):
@@ -35,7 +43,9 @@
     def relist(self, others: Iterable[str]) -> None:
         """Other names are listed: numbers are given anew."""
         self.numbers = {name: number for number, name in enumerate(sorted({self.me, *others}))}
-        self.present, self.zones, self.drawn = [self.numbers[self.me]], {}, None
+        self.present = [self.numbers[self.me]]
+        self.zones: dict[Hashable, Subsets] = {}
+        self.drawn: list[Hashable] | None = None
         self.match()
 
     def fits(self) -> bool:
@@ -52,7 +62,8 @@
 
     def match(self) -> None:
         """Bring each zone's matching up to date with the list."""
-        self.drawn, of = None, {}
+        self.drawn = None
+        of: dict[Any, dict[Hashable, float]] = {}  # by zone; zones are numbers or names, not both
         for server, (zone, weight) in self.servers.items() if self.fits() else ():
             of.setdefault(zone, {})[server] = weight
         self.zones = {zone: self.zones.get(zone) or Subsets(self.present, self.key) for zone in sorted(of)}
@@ -60,7 +71,10 @@
             subsets.listed(of[zone])
 
     def look(self) -> bool:
-        """Take those that are there now for the matching; whether there is one. Names that are not listed have no part."""
+        """Take those that are there now for the matching; whether there is one.
+
+        Names that are not listed have no part.
+        """
         if not self.fits():
             return False
         here = sorted({self.numbers[name] for name in (self.me, *self.here()) if name in self.numbers})
@@ -88,7 +102,10 @@
         return sum(self.sizes().values()) if self.look() else 0
 
     def order(self) -> list[Hashable] | None:
-        """All servers as this limiter takes them, its own part first, zone by zone in turn; None where there are too many."""
+        """All servers as this limiter takes them, its own part first, zone by zone in turn.
+
+        None where there are too many.
+        """
         if not self.look():
             return None
         if self.drawn is None:
@@ -109,40 +126,47 @@
 
 
 class Shared:
-    """What the decisions ask of the fleet: `signals` (signals.Signals) and `parts`, each or neither. Without signals nothing is
-    left alone and nothing is this one's turn; without parts the servers are taken as a stretch of their ring.
+    """What the decisions ask of the fleet: `ejections` and `parts`, each or neither.
+
+    Without ejections nothing is ejected and nothing is this one's turn; without parts the servers are taken
+    as a stretch of their ring.
     """
 
-    def __init__(self, signals: Any = None, parts: Parts | None = None):
-        self.signals, self.parts = signals, parts
+    def __init__(self, ejections: SharedEjections | None = None, parts: Parts | None = None):
+        self.ejections, self.parts = ejections, parts
 
     def listed(self, servers: dict[int, Any]) -> None:
         """The servers that there are, by id (interface.Server)."""
-        if self.signals:
-            self.signals.listed({ident: server.up_since for ident, server in servers.items()})
+        if self.ejections:
+            self.ejections.listed({ident: server.up_since for ident, server in servers.items()})
         if self.parts:
             self.parts.listed({ident: (server.zone, server.weight) for ident, server in servers.items()})
 
-    def shuns(self, server: int) -> bool:
-        return bool(self.signals) and self.signals.shuns(server)
+    def is_ejected(self, server: int) -> bool:
+        """Whether the fleet leaves it out now."""
+        return self.ejections is not None and self.ejections.is_ejected(server)
 
-    def due(self, server: int) -> bool:
-        return bool(self.signals) and self.signals.due(server)
+    def may_probe(self, server: int) -> bool:
+        """Whether it is this limiter's turn to try one that is left out."""
+        return self.ejections is not None and self.ejections.may_probe(server)
 
-    def tried(self, server: int) -> None:
-        if self.signals:
-            self.signals.tried(server)
+    def attempt_started(self, server: int) -> None:
+        """An attempt goes to it."""
+        if self.ejections:
+            self.ejections.attempt_started(server)
 
-    def saw(self, server: int, outcome: Outcome) -> None:
-        if self.signals:
-            self.signals.saw(server, outcome)
+    def attempt_ended(self, server: int, outcome: Outcome) -> None:
+        """How an attempt ended there."""
+        if self.ejections:
+            self.ejections.attempt_ended(server, outcome)
 
     @property
     def least(self) -> int:
+        """How many servers this limiter uses at least."""
         return self.parts.least() if self.parts else 0
 
-    def ring(self, views: list, start: int) -> Iterable:
-        """The decisions' records of the servers (each with `.server.id`, sorted by it) in the order to take them in."""
+    def ring(self, views: list[Any], start: int) -> Iterable[Any]:
+        """The decisions' records of the servers, sorted by `.server.id`, in the order to take them in."""
         order = self.parts.order() if self.parts else None
         if not order:
             return chain(views[start:], views[:start])
--- a/brookhub/maintenance/core.py
+++ b/brookhub/maintenance/core.py
@@ -1,8 +1,9 @@
 """The steps of a plan: who leads, which machine goes out next, when it is safe to work on, when it is back.
 
-Each limiter runs one; a majority of the voters holds the table (register.py), and whoever leads acts on it: the steward. Told
-by `tick` (often: TICK s) and `received`; acts by its port. What it may not do without a majority it does not begin, and
-what it says outward ("safe to work on NAME") it says only under a lease that holds at that moment.
+Each limiter runs one; a majority of the voters holds the table (register.py), and whoever leads acts on it:
+the steward. Told by `tick` (often: TICK s) and `received`; acts by its port. What it may not do without a
+majority it does not begin, and what it says outward ("safe to work on NAME") it says only under a lease that
+holds at that moment.
 """
 
 from __future__ import annotations
@@ -13,13 +14,12 @@
 import msgspec
 from xxhash import xxh3_64_intdigest
 
+from .exchange import PlanExchange
 from .messages import (
     FILLING,
     LEAVING,
-    MOST_PIECES,
     NOTHING_SAID,
     OPEN,
-    PIECE,
     Heard,
     Offer,
     Pass,
@@ -34,11 +34,15 @@
 from .plan import Machine, Plan, fits, order
 from .register import Register, leased
 
-ASKED_AGAIN = 3  # words of who asks to remember, after which the way to a voter is taken for cut: two lost ones are chance
+# Words of who asks to remember, after which the way to a voter is taken for cut: two lost ones are chance
+ASKED_AGAIN = 3
 
 
 class MaintenancePort(Protocol):
-    """How maintenance acts. `present()`: the limiters that are there, without this one; `listed()`: all of the fleet."""
+    """How maintenance acts.
+
+    `present()`: the limiters that are there, without this one; `listed()`: all of the fleet.
+    """
 
     def now(self) -> float: ...
     def present(self) -> list[str]: ...
@@ -54,13 +58,13 @@
 
 @dataclass(frozen=True)
 class Settings:
-    """Times in s, the same at all limiters. `ends_in`: the longest client timeout, after which nothing of a limiter that fell
-    silent is out any more.
+    """Times in s, the same at all limiters.
+
+    `ends_in`: the longest client timeout, after which nothing of a limiter that fell silent is out any more.
     """
 
-    lease: float = (
-        3.0  # longer than a datagram's way, a garbage pause and a lost renewal together; short against work
-    )
+    # Longer than a datagram's way, a garbage pause and a lost renewal together; short against work
+    lease: float = 3.0
     ends_in: float = 3.0
     offer: float = 1.0  # between two tellings of a plan to one peer; 0: none
     settle: float = 10.0  # that a plan which halted has to be well again until it goes on
@@ -77,15 +81,7 @@
         self.digest = ""
         self.register: Register | None = None
         self.born = port.now()
-        self.refused: dict[str, int] = {}  # digests of plans that conflict -> version
-        self.pieces: dict[int, bytes] = {}
-        # Each goes round the others from a place of its own: all in step would tell the same ones.
-        self.wanted, self.asking_at, self.offer_at, self.turn = (
-            "",
-            self.born,
-            self.born,
-            xxh3_64_intdigest(me) % 2**20,
-        )
+        self.exchange = PlanExchange(port, me, settings.offer, self.give)
         self.told, self.told_mark = Table(), NOTHING_SAID  # the newest table known to be held by a majority
         self.holding: tuple[str, ...] = ()
         self.try_at, self.asks = self.born, 0  # when it asks to lead, where nobody seems to; how often it did
@@ -101,117 +97,61 @@
     def give(self, plan: Plan) -> str:
         """A plan from the operator or from a peer: "" or why it is refused, in one line."""
         digest = plan.digest()
-        if self.plan and plan.version == self.plan.version and digest != self.digest:
-            if digest not in self.refused:
-                self.refused[digest] = plan.version
-                self.port.log(
-                    "plan refused",
-                    version=plan.version,
-                    digest=digest,
-                    held=self.digest,
-                    why="another plan of this version is held",
-                )
-            return f"version {plan.version} is held with digest {self.digest}, this one has {digest}"
-        if self.plan and plan.version < self.plan.version:
-            return f"version {plan.version} is older than {self.plan.version}, digest {self.digest}"
-        if self.plan and plan.voters != self.plan.voters:
-            return "the first voters stay as they were: name others as voters_next"
+        if why := self.why_refused(plan, digest):
+            return why
         if digest == self.digest:
             return ""
-        self.plan, self.digest, self.pieces, self.wanted = plan, digest, {}, ""
+        self.plan, self.digest = plan, digest
         self.port.log("plan taken", version=plan.version, digest=digest, machines=len(plan.machines))
-        if self.settings.offer:
-            for name in plan.voters:  # they have to know first
-                if name != self.me:
-                    self.port.send(name, Offer(plan.version, digest))
+        self.exchange.hold(plan, digest)
         if self.register is None:
-            self.register = Register(
-                self.me,
-                plan.voters,
-                self.settings.lease,
-                plan.start_within_s,
-                self.born,
-                self.say,
-                self.report,
-                self.heard,
-                self.learned,
-                self.knew,
-                lambda: sorted(self.port.listed()),
-            )
+            self.register = self.begin_register(plan)
             self.try_at = self.port.now() + self.rank() * self.settings.lease / 4
         self.keep_off(self.told if self.told_mark > self.register.mark else self.register.table)
         return ""
 
-    def offer(self, now: float) -> None:
-        if self.plan and self.settings.offer and now >= self.offer_at:
-            self.offer_at = now + self.settings.offer
-            peers = sorted(self.port.present())
-            if peers:
-                self.turn += 1
-                self.port.send(peers[self.turn % len(peers)], Offer(self.plan.version, self.digest))
-
-    def offered(self, peer: str, message: Offer, now: float) -> None:
-        held = self.plan.version if self.plan else 0
-        if message.version > held and (
-            self.wanted != message.digest or now >= self.asking_at + self.settings.offer
-        ):
-            if self.wanted != message.digest:
-                self.wanted, self.pieces = message.digest, {}
-            self.asking_at = now
-            self.port.send(peer, Want(message.digest, len(self.pieces)))
-        elif message.version == held and message.digest != self.digest and message.digest not in self.refused:
-            self.refused[message.digest] = message.version
-            self.port.log(
-                "plan refused",
-                version=message.version,
-                digest=message.digest,
-                held=self.digest,
-                why="another plan of this version is held",
-            )
-        elif message.version < held:
-            self.port.send(peer, Offer(held, self.digest))
+    def why_refused(self, plan: Plan, digest: str) -> str:
+        """Why a plan can't take the place of the one that is held, "" where it can."""
+        if self.plan is None:
+            return ""
+        if plan.version == self.plan.version and digest != self.digest:
+            self.exchange.refuse(plan.version, digest)
+            return f"version {plan.version} is held with digest {self.digest}, this one has {digest}"
+        if plan.version < self.plan.version:
+            return f"version {plan.version} is older than {self.plan.version}, digest {self.digest}"
+        if plan.voters != self.plan.voters:
+            return "the first voters stay as they were: name others as voters_next"
+        return ""
 
-    def piece(self, peer: str, message: Piece, now: float) -> None:
-        if message.digest != self.wanted or message.piece != len(self.pieces):
-            return
-        self.pieces[message.piece] = message.data
-        self.asking_at = now
-        if len(self.pieces) < message.pieces:
-            return self.port.send(peer, Want(message.digest, len(self.pieces)))
-        data, self.pieces, self.wanted = b"".join(self.pieces.values()), {}, ""
-        try:
-            plan = msgspec.msgpack.decode(data, type=Plan)
-        except msgspec.DecodeError:
-            return
-        if plan.digest() == message.digest:
-            self.give(plan)
-
-    def wants(self, peer: str, message: Want) -> None:
-        if self.plan and message.digest == self.digest:
-            data = msgspec.msgpack.encode(self.plan)
-            pieces = max(1, -(-len(data) // PIECE))
-            if message.piece < pieces <= MOST_PIECES:
-                self.port.send(
-                    peer, Piece(self.digest, message.piece, pieces, data[message.piece * PIECE :][:PIECE])
-                )
+    def begin_register(self, plan: Plan) -> Register:
+        """The register of the first plan's voters."""
+        return Register(
+            self.me,
+            plan.voters,
+            self.settings.lease,
+            plan.start_within_s,
+            self.born,
+            self.say,
+            self.report,
+            self.heard,
+            self.learned,
+            self.knew,
+            lambda: sorted(self.port.listed()),
+        )
 
     # what arrives
 
     def received(self, peer: str, message) -> None:
         now = self.port.now()
-        if isinstance(message, Offer):
-            self.offered(peer, message, now)
-        elif isinstance(message, Want):
-            self.wants(peer, message)
-        elif isinstance(message, Piece):
-            self.piece(peer, message, now)
+        if isinstance(message, (Offer, Want, Piece)):
+            self.exchange.received(peer, message, now)
         elif isinstance(message, Told):
             if message.mark >= self.told_mark:
                 self.commit(message.mark, message.table)
             if self.register and (self.register.abstains or not self.register.votes()):
                 self.register.learn(message.mark, message.table)
             self.port.send(peer, Heard(self.told_mark, self.report()))
-            self.offered(peer, Offer(message.table.version, message.table.digest), now)
+            self.exchange.received(peer, Offer(message.table.version, message.table.digest), now)
         elif isinstance(message, Heard):
             self.heard(peer, message.report)
             if self.register:
@@ -222,7 +162,9 @@
             self.register.received(peer, message, now)
 
     def say(self, peer: str, message) -> None:
-        """The register's words. Who remembers nothing needs every voter's answer: where it asks in vain (a link may be cut one way)
+        """The register's words.
+
+        Who remembers nothing needs every voter's answer: where it asks in vain (a link may be cut one way)
         question and answer also go by a third, another one each time.
         """
         self.port.send(peer, message)
@@ -278,7 +220,7 @@
 
     def tick(self) -> None:
         now = self.port.now()
-        self.offer(now)
+        self.exchange.tick(now)
         if self.register is None:
             return
         register = self.register
@@ -292,14 +234,18 @@
             self.campaign(now)
 
     def campaign(self, now: float) -> None:
-        """Ask to lead where nobody does: the voters one after another, in an order that turns with the plan."""
+        """Ask to lead where nobody does.
+
+        The voters one after another, in an order that turns with the plan.
+        """
         register, table = self.register, self.register.table
         if register.abstains or not register.votes() or self.finished(table):
             return
         if now < register.until and register.promised[1] not in ("", self.me):
             self.try_at = register.until + self.rank() * self.settings.lease / 4
         elif now >= self.try_at:
-            # Those that asked at one moment must not do so again: drawn by name and number, the same each time it is played.
+            # Those that asked at one moment must not do so again: drawn by name and number, the same each
+            # time it is played.
             self.asks = (self.asks + 1) % 64
             drawn = xxh3_64_intdigest(f"{self.me}/{self.asks}") / 2**64
             self.try_at = now + self.settings.lease * (1 + drawn * len(register.voters()) / 2)
@@ -315,7 +261,10 @@
         )
 
     def finished(self, table: Table) -> bool:
-        """Whether nothing is left to do: all machines of the newest plan known here are done, and none is out."""
+        """Whether nothing is left to do.
+
+        All machines of the newest plan known here are done, and none is out.
+        """
         return (
             table.digest == self.digest
             and table.done == self.plan.everything()
@@ -365,7 +314,10 @@
                 self.port.send(name, Told(mark, table))
 
     def follow(self, table: Table, now: float) -> Table:
-        """The table as it should be next; the steward writes it, and acts on it only once a majority holds it."""
+        """The table as it should be next.
+
+        The steward writes it, and acts on it only once a majority holds it.
+        """
         plan = self.plan
         if plan.version > table.version:
             return msgspec.structs.replace(
@@ -379,9 +331,8 @@
                 load=tuple(sorted((zone, round(load, 1)) for zone, load in self.port.load().items())),
             )
         if table.digest != self.digest:
-            return (
-                table  # a majority holds another plan of this version, or a newer one that is on its way here
-            )
+            # A majority holds another plan of this version, or a newer one that is on its way here
+            return table
         voters = table.voters or plan.voters
         if plan.voters_next and set(voters) != set(plan.voters_next):
             return msgspec.structs.replace(table, voters=self.one_changed(voters, plan.voters_next))
@@ -439,7 +390,8 @@
                     work_most_s=plan.work_most_s,
                 )
             self.started[name] = self.started.get(name, False) or not up
-            # Down and up again may also have been a failure of its own: as long as somebody may yet start it stays out.
+            # Down and up again may also have been a failure of its own: as long as somebody may yet start it
+            # stays out.
             begun = waited >= leased(plan.start_within_s)
             if up and self.started[name] and begun:
                 self.port.log("back", machine=name)
@@ -463,9 +415,11 @@
         return table
 
     def all_quiet(self, machine: Machine, now: float) -> bool:
-        """Whether nothing of any limiter is out at it: each says so. Those that are gone count out once the longest client
-        timeout has passed since they were last there; those that are there and silent, a lease later (each renewal asked
-        them): they may not know, and what they still send meets the drain that comes before the work.
+        """Whether nothing of any limiter is out at it: each says so.
+
+        Those that are gone count out once the longest client timeout has passed since they were last there;
+        those that are there and silent, a lease later (each renewal asked them): they may not know, and what
+        they still send meets the drain that comes before the work.
         """
         if self.me != machine.limiter and not self.port.quiet(machine):
             return False
--- a/brookhub/program/run.py
+++ b/brookhub/program/run.py
@@ -12,7 +12,7 @@
 
 from ..interface import GatewaySettings
 from ..policy import Gateway
-from ..routing.clients import Clients
+from ..routing.clients import ClientLimits, Clients
 from ..routing.connections import Reconnector
 from ..routing.counter import Counter
 from ..routing.discovery import Discovery
@@ -26,10 +26,8 @@
 SPARE = 24  # descriptors kept for the log, the listener, discovery and what is being closed
 COUNTER_LINKS = 2  # enough to have one while the other is dialled anew
 SERVER_PART = 0.25  # of the descriptors, for connections to servers: they are few for each, clients are many
-CLIENT_HELD, ALL_HELD = (
-    0.005,
-    0.2,
-)  # of the memory, for answers not read by one client, by all; also bodies, values
+# Of the memory, for answers not read by one client, by all; also bodies, values
+CLIENT_HELD, ALL_HELD = 0.005, 0.2
 LARGEST = 1 / 64  # of the memory, for one value of a server
 STALLED = 20.0  # s that a client may leave its answers unread
 MUTE, IDLE = 2.0, 4.0  # s until a client's connection is closed on which nothing whole came, or nothing since
@@ -39,25 +37,27 @@
 COUNTER_CONNECT, COUNTER_SILENT = 0.5, 1.0  # s to come up; s without a word while calls wait
 DISCOVERY_CONNECT, DISCOVERY_SILENT = 1.0, 4.5  # s to come up; s without a line: two are due every 4 s
 PAUSES = (0.05, 1.0)  # s between two dials, doubled while they bring nothing
-LIST_TAKES = (
-    0.1  # s of pause for each gateway where lists are asked for: discovery has them all to answer, one by one
-)
+# Seconds of pause for each gateway where lists are asked for: discovery has them all to answer, one by one
+LIST_TAKES = 0.1
 LIST_SOON, LIST_LATE = 0.5, 2.0  # shares of the time to ask in: the longest first pause, the longest of all
-LIST_AGAIN = 5.25  # s after discovery was last heard until it is called again: a change counts as told 6 s after it had
-# it and could be reached, whatever became of the calls before, and the answer needs a moment
+# Seconds after discovery was last heard until it is called again: a change counts as told 6 s after it had it
+# and could be reached, whatever became of the calls before, and the answer needs a moment
+LIST_AGAIN = 5.25
 GRAIN = 0.001  # s between looks at the timers: each costs a thread's wake; no timer is that exact
 GARBAGE = 5000  # objects made between two looks for garbage in cycles: that of about a hundred API calls
 SIGNALS = {signal.SIGTERM, signal.SIGINT, signal.SIGHUP}
-ACCEPTS_ON = (
-    0.45  # s after SIGTERM while new connections still come: 0.4 s, and some way; what waits then is taken
-)
-LONGEST, AFTER = 3.0, 0.2  # s after SIGTERM by which all is answered: the longest client timeout, this at the
-# most, and some more; SIGKILL may come 0.7 s after that
+# Seconds after SIGTERM while new connections still come: 0.4 s, and some way; what waits then is taken
+ACCEPTS_ON = 0.45
+# Seconds after SIGTERM by which all is answered: the longest client timeout, this at the most, and some more;
+# SIGKILL may come 0.7 s after that
+LONGEST, AFTER = 3.0, 0.2
 
 
 def list_pauses(settings: GatewaySettings) -> tuple[float, float]:
-    """The pauses (s) between two dials of discovery, the first and the longest. Where lists are asked for, its line is
-    that of the whole fleet, and what all ask at one moment it answers late or not at all: each waits for its part.
+    """The pauses (s) between two dials of discovery, the first and the longest.
+
+    Where lists are asked for, its line is that of the whole fleet, and what all ask at one moment it answers
+    late or not at all: each waits for its part.
     """
     if not settings.asks_for_servers:
         return PAUSES
@@ -69,89 +69,105 @@
     """One gateway on sockets."""
 
     def __init__(self, start: Start):
+        """Raises StartError where the start file asks for what can't be had."""
+        self.start = start
         self.log = log.open_log(start.name)
+        self.ends = log.Ends(self.log)
+        self.chance = Random(start.seed).random
         self.longest = max((route.client_timeout for route in start.gateway_settings.routes), default=LONGEST)
-        ends = log.Ends(self.log)
         self.port = port = SocketPort(self.fault, GRAIN, self.woken)
-        servers_most = max(8, int(start.sockets * SERVER_PART))
-        clients_most = max(8, start.sockets - servers_most - COUNTER_LINKS - SPARE)
-        port.servers = Servers(
-            port,
-            ends,
+        self.servers_most = max(8, int(start.sockets * SERVER_PART))
+        port.servers = self.make_servers()
+        port.discovery = self.discovery = self.make_discovery()
+        if start.counter:
+            port.counter = self.make_counter()
+        self.clients = self.make_clients()
+        port.gateway = Gateway(port, start.seed, start.gateway_settings)
+        self.recovering = self.recover(start)
+        self.peers = self.join(start)
+        self.keeper = self.keep(start) if self.peers and start.maintenance else None
+        if start.known:
+            port.run(monotonic(), self.discovery.heard, start.known)
+        self.listener = self.listen()
+
+    def make_servers(self) -> Servers:
+        """The connections to servers."""
+        start = self.start
+        return Servers(
+            self.port,
+            self.ends,
             start.connect_within,
             start.server_idle_for * IDLE_PART,
             SETTLE,
-            servers_most,
+            self.servers_most,
             int(start.memory * LARGEST),
             int(start.memory * ALL_HELD),
         )
-        self.start, chance = start, Random(start.seed).random
-        port.discovery = self.discovery = Discovery(
-            port,
-            lambda address: Reconnector(
+
+    def make_discovery(self) -> Discovery:
+        """The watch on the server list."""
+        start, pauses = self.start, list_pauses(self.start.gateway_settings)
+
+        def reconnector(address: tuple[str, int]) -> Reconnector:
+            return Reconnector(
                 "discovery",
                 address,
                 DISCOVERY_CONNECT,
-                list_pauses(start.gateway_settings),
-                chance,
-                ends,
+                pauses,
+                self.chance,
+                self.ends,
                 self.fault,
                 LIST_AGAIN,
-            ),
-            start.zones,
-            start.kinds,
-            time() - monotonic(),
-            DISCOVERY_SILENT,
-        )
-        if start.counter:
-            port.counter = Counter(
-                port,
-                lambda address: Reconnector(
-                    "counter", address, COUNTER_CONNECT, PAUSES, chance, ends, self.fault
-                ),
-                start.gateway_settings.counter_wait,
-                COUNTER_LINKS,
-                COUNTER_SILENT,
             )
-        self.clients = Clients(
-            port,
-            ends,
-            start.gateway_settings.routes,
-            start.gateway_settings.plans,
-            start.gateway_settings.gateways,
-            start.gateway_settings.largest,
-            self.discovery.fit,
-            clients_most,
-            SPARE // 2,
-            start.most_calls,
-            int(start.memory * CLIENT_HELD),
-            int(start.memory * ALL_HELD),
-            STALLED,
-            LINGER,
-            MUTE,
-            IDLE,
+
+        ahead = time() - monotonic()
+        return Discovery(self.port, reconnector, start.zones, start.kinds, ahead, DISCOVERY_SILENT)
+
+    def make_counter(self) -> Counter:
+        """The connections to the counter."""
+
+        def reconnector(address: tuple[str, int]) -> Reconnector:
+            return Reconnector(
+                "counter", address, COUNTER_CONNECT, PAUSES, self.chance, self.ends, self.fault
+            )
+
+        wait = self.start.gateway_settings.counter_wait
+        return Counter(self.port, reconnector, wait, COUNTER_LINKS, COUNTER_SILENT)
+
+    def make_clients(self) -> Clients:
+        """The connections of clients; what descriptors the others leave."""
+        start = self.start
+        limits = ClientLimits(
+            connections=max(8, start.sockets - self.servers_most - COUNTER_LINKS - SPARE),
+            spare_connections=SPARE // 2,
+            open_requests=start.most_calls,
+            unread_bytes_of_one=int(start.memory * CLIENT_HELD),
+            unread_bytes=int(start.memory * ALL_HELD),
+            stalled_for=STALLED,
+            lingers_for=LINGER,
+            mute_for=MUTE,
+            idle_for=IDLE,
         )
+        return Clients(self.port, self.ends, start.gateway_settings, self.discovery.fit, limits)
+
+    def listen(self) -> Listener:
+        """Listen last.
+
+        Who connects before requests are taken waits unseen, and its time begins once it is read.
+
+        Listening before the operator's files were read, requests were answered up to 0.5 s after their
+        deadline.
+        """
+        host, port = self.start.listen
         try:
-            port.gateway = Gateway(port, start.seed, start.gateway_settings)
-        except ValueError as refused:
-            raise StartError(f"settings: {refused}") from None
-        self.recovering = self.recover(start)
-        self.peers = self.join(start)
-        self.keeper = self.keep(start) if self.peers and start.maintenance else None
-        if start.known:
-            port.run(monotonic(), self.discovery.heard, start.known)
-        # Last: who connects before calls are taken waits in the system unseen, and its calls' time begins only once they are read.
-        # Listening before the operator's files were read, calls were answered up to 0.5 s after their client timeout.
-        try:
-            self.listener = Listener(start.listen)
+            return Listener(self.start.listen)
         except OSError as broken:
-            raise StartError(
-                f"can't listen at {start.listen[0]}:{start.listen[1]}: {broken.strerror}"
-            ) from None
+            raise StartError(f"can't listen at {host}:{port}: {broken.strerror}") from None
 
     def join(self, start: Start):
-        """The membership driver, where the start file names peers and the settings let limiters talk; else nothing:
-        no socket, no thread, and nothing of it imported.
+        """The membership driver, where the start file names peers and the settings let limiters talk.
+
+        Else nothing: no socket, no thread, and nothing of it imported.
         """
         if start.membership is None:
             return None
@@ -167,7 +183,10 @@
             raise StartError(f"membership: can't listen at {spec.listen}: {broken.strerror}") from None
 
     def recover(self, start: Start):
-        """The driver of recovery, where the start file names its file and there is a counter; else nothing of it is imported."""
+        """The driver of recovery, where the start file names its file and there is a counter.
+
+        Else nothing of it is imported.
+        """
         if start.recovery is None:
             return None
         spec = startfile.recovery(start)
@@ -190,7 +209,7 @@
         return made
 
     def keep(self, start: Start):
-        """The driver of maintenance, where the start file names a plan and there are peers to settle it with."""
+        """The driver of maintenance, where the start file names a plan and there are peers."""
         given = startfile.plan(start)
         from ..maintenance import Settings
         from ..routing.maintenance import Keeper
@@ -201,6 +220,7 @@
         return keeper
 
     def given(self, keeper, plan) -> None:
+        """Hand a plan of work to its driver; one that is refused is told in the log."""
         refused = keeper.give(plan)
         if refused:
             self.port.todo.append((lambda: self.log.error("plan not taken", why=refused),))
@@ -210,6 +230,7 @@
         self.log.error("fault", exc_info=met)
 
     def woken(self, seconds: float) -> None:
+        """This process stood still for so long."""
         self.log.warning("was stopped", seconds=round(seconds, 2))
 
     def run(self) -> None:
@@ -239,8 +260,9 @@
         self.stop(monotonic())
 
     def reload(self) -> None:
-        """Read the start file again: discovery and the counter move to where it says; the rest holds from the next
-        start on. One that can't be used changes nothing.
+        """Read the start file again: discovery and the counter move to where it says.
+
+        The rest holds from the next start on. One that can't be used changes nothing.
         """
         try:
             start = startfile.read(os.environ, again=True)
@@ -264,6 +286,7 @@
         )
 
     def stop(self, told_at: float) -> None:
+        """Drain and end; `told_at`: when the signal came (s, monotonic)."""
         self.log.info("stopping")
         if self.peers:
             self.port.run(told_at, self.peers.leave)
@@ -281,9 +304,9 @@
 
 
 def main() -> int:
-    signal.pthread_sigmask(
-        signal.SIG_BLOCK, SIGNALS
-    )  # before the first thread; one that comes early waits its turn
+    """Serve until a signal ends the program; exit code 2 where it can't start."""
+    # Before the first thread; one that comes early waits its turn
+    signal.pthread_sigmask(signal.SIG_BLOCK, SIGNALS)
     try:
         program = Program(startfile.read(os.environ))
     except StartError as refused:
--- a/brookhub/program/startfile.py
+++ b/brookhub/program/startfile.py
@@ -3,12 +3,15 @@
 from __future__ import annotations
 
 from pathlib import Path
-from typing import Mapping
+from typing import TYPE_CHECKING, Mapping
 
 from ..protocol import hosts
 from ..protocol.resp import MalformedError
 from ..settings import SettingsError, parse_object, read_gateway_settings, read_number, read_section
 
+if TYPE_CHECKING:
+    from ..maintenance import Plan
+
 
 class StartError(Exception):
     """The program can't start as it was told to: says why in one line."""
@@ -39,11 +42,13 @@
             self.seed = int(str(told.get("seed", "0")), 16)
         except ValueError:
             raise StartError("seed is not a hexadecimal number") from None
-        # Off where no file is named; deny by default: only settings that say so let limiters talk to each other.
+        # Off where no file is named; deny by default: only settings that say so let limiters talk to each
+        # other.
         self.membership, self.may_talk = told.get("membership"), limits.get("peer_messages") is True
         if self.membership is not None and not (isinstance(self.membership, str) and self.membership):
             raise StartError("membership is not the path of a file")
-        # Off where none is named, and without peers; a file that is not there yet is a plan that was not given yet.
+        # Off where none is named, and without peers; a file that is not there yet is a plan that was not
+        # given yet.
         self.maintenance = told.get("maintenance")
         if self.maintenance is not None and not (isinstance(self.maintenance, str) and self.maintenance):
             raise StartError("maintenance is not the path of a file")
@@ -60,6 +65,7 @@
 
 
 def names(settings: dict, name: str) -> list[str]:
+    """A list of names in the settings. Raises StartError."""
     value = settings.get(name, [])
     if not isinstance(value, list):
         raise StartError(f"settings: {name} is not a list")
@@ -67,6 +73,7 @@
 
 
 def address(text, what: str) -> tuple[str, int]:
+    """An address of the form HOST:PORT. Raises StartError."""
     try:
         return hosts.address(text if isinstance(text, str) else "")
     except ValueError:
@@ -84,7 +91,10 @@
 
 
 def peers(start: Start):
-    """The file of peers that a start file names (config.models.MembershipFile); raises StartError in one line."""
+    """The file of peers that a start file names (config.models.MembershipFile).
+
+    Raises StartError in one line.
+    """
     from ..config import ConfigError, MembershipFile, load
 
     try:
@@ -94,7 +104,10 @@
 
 
 def recovery(start: Start):
-    """The file that a start file names for the counter's recovery (config.models.RecoveryFile); raises StartError in one line."""
+    """The file that a start file names for the counter's recovery (config.models.RecoveryFile).
+
+    Raises StartError in one line.
+    """
     from ..config import ConfigError, RecoveryFile, load
 
     try:
@@ -103,15 +116,23 @@
         raise StartError(f"recovery: {broken}") from None
 
 
-def plan(start: Start):
-    """The plan of work that a start file names (maintenance.Plan), None where there is none yet; raises StartError in one line."""
-    from ..config import ConfigError, PlanFile, load
-    from ..maintenance import Machine, Plan
+def plan(start: Start) -> Plan | None:
+    """The plan of work that a start file names, None where there is none yet.
 
+    Raises StartError in one line.
+    """
     if not start.maintenance or not Path(start.maintenance).exists():
         return None
+    return plan_from_file(Path(start.maintenance))
+
+
+def plan_from_file(path: Path) -> Plan:
+    """A plan of work; raises StartError in one line."""
+    from ..config import ConfigError, PlanFile, load
+    from ..maintenance import Machine, Plan
+
     try:
-        spec = load(start.maintenance, PlanFile)
+        spec = load(str(path), PlanFile)
     except ConfigError as broken:
         raise StartError(f"maintenance: {broken}") from None
     machines = tuple(
--- a/brookhub/routing/discovery.py
+++ b/brookhub/routing/discovery.py
@@ -21,6 +21,7 @@
         self.discovery, self.reconnector, self.stream = discovery, reconnector, None
 
     def run(self) -> None:
+        """Dial and read until the watch is left. Runs in a thread of its own."""
         self.reconnector.run(self.serve)
 
     def serve(self, sock) -> tuple[str, int]:
@@ -58,6 +59,7 @@
     # under the port's lock
 
     def up(self, stream: Stream) -> None:
+        """The connection is up: ask for changes since the last known version."""
         self.stream = stream
         stream.put(
             http.request(
@@ -68,6 +70,7 @@
             self.leave()
 
     def heard(self, news: hosts.News) -> None:
+        """A line came."""
         if not self.reconnector.over.is_set():
             self.discovery.heard(news)
 
@@ -93,16 +96,18 @@
         self.port, self.reconnector, self.clock_ahead = port, reconnector, clock_ahead
         self.zones, self.kinds, self.silent_after = list(zones), list(kinds), silent_after
         self.roster, self.version, self.begun, self.watch = Roster(), 0, False, None
-        self.held: set[str] = (
-            set()
-        )  # servers by name that a plan keeps off; else they are used as the list says
+        # Servers by name that a plan keeps off; else they are used as the list says
+        self.held: set[str] = set()
         self.ready: dict[str, bool] = {}  # what the list says of a server, by name: ready or not
         self.places, self.where = {}, {}  # who is at an address, and the address of each, by its id
 
     # under the port's lock
 
     def move(self, address: tuple[str, int]) -> None:
-        """Watch there from now on. Its versions may be of another count: the first news of it counts in any case."""
+        """Watch there from now on.
+
+        Its versions may be of another count: the first news of it counts in any case.
+        """
         if self.watch:
             if self.watch.reconnector.address == address:
                 return
@@ -134,10 +139,14 @@
         return self.ready.get(name, False)
 
     def ident(self, name: str) -> int:
+        """The number by which a server is known here."""
         return hosts.ident(name)
 
     def hold(self, names: set[str]) -> None:
-        """Keep off these servers, as if the list said that they drain; those not named any more are used as it says."""
+        """Keep off these servers, as if the list said that they drain.
+
+        Those not named any more are used as it says.
+        """
         told = []
         for name in sorted(self.held ^ names):
             server = self.roster.servers.get(hosts.ident(name))
@@ -151,7 +160,10 @@
             self.port.gateway.servers_told(told)
 
     def displaced(self, told: list, addresses: dict) -> list:
-        """Those whose address a server has that started later: they are gone, though nobody has said so yet."""
+        """Those whose address a server has that started later.
+
+        They are gone, though nobody has said so yet.
+        """
         gone = []
         for server in told:
             if server.state is State.GONE:
@@ -171,9 +183,11 @@
         return [server for server in gone if server not in told]
 
     def vacate(self, server) -> None:
+        """A server is gone: its connections are left."""
         self.places.pop(self.where.pop(server.id, None), None)
 
     def entry(self, host: hosts.Host) -> tuple:
+        """An entry of the list as the roster takes it."""
         born = host.born - self.clock_ahead if host.born else 0.0
         state = State.DRAINING if host.name in self.held and host.state is State.READY else host.state
         return (
--- a/brookhub/routing/maintenance.py
+++ b/brookhub/routing/maintenance.py
@@ -1,4 +1,7 @@
-"""Maintenance's driver: a plan from the operator's file, words over membership, servers held back, events in the log."""
+"""Maintenance's driver.
+
+A plan from the operator's file, words over membership, servers held back, events in the log.
+"""
 
 from __future__ import annotations
 
@@ -11,8 +14,10 @@
 
 
 class Keeper:
-    """The maintenance of one limiter on sockets. `peers`: routing.peers.Peers, whose membership carries the words; `discovery`
-    tells of the servers. All methods run under the port's lock. A maintenance.MaintenancePort.
+    """The maintenance of one limiter on sockets.
+
+    `peers`: routing.peers.Peers, whose membership carries the words; `discovery` tells of the servers. All
+    methods run under the port's lock. A maintenance.MaintenancePort.
     """
 
     def __init__(self, port, log, peers, discovery, settings: Settings):
@@ -24,13 +29,16 @@
         peers.on_topic[TOPIC] = self.heard
 
     def start(self) -> None:
+        """Begin to beat."""
         self.core.tick()
         self.port.later(TICK, self.start)
 
     def give(self, plan: Plan) -> str:
+        """Take a plan; why it is refused, else an empty text."""
         return self.core.give(plan)
 
     def heard(self, peer: str, data: bytes) -> None:
+        """A peer's message came."""
         try:
             message = unpack(data)
         except UnreadableError:
@@ -50,20 +58,24 @@
     # the port of maintenance
 
     def now(self) -> float:
+        """Seconds on this limiter's clock."""
         return max(self.port.now, monotonic())
 
     def present(self) -> list[str]:
+        """The peers that are there, by name."""
         return sorted(self.peers.core.present)
 
     def listed(self) -> list[str]:
+        """The servers that discovery lists, by name."""
         return self.peers.core.names
 
     def send(self, peer: str, message) -> None:
+        """Send a message to a peer."""
         if peer in self.peers.core.members:
             self.peers.core.say(TOPIC, pack(message), [peer])
 
     def up(self, machine: Machine) -> bool:
-        """Whether discovery lists all its servers as ready (held back here or not), and its limiter is there."""
+        """Whether its limiter is there and discovery lists all its servers as ready, held back or not."""
         here = (
             not machine.limiter
             or machine.limiter == self.core.me
@@ -72,17 +84,21 @@
         return here and all(self.discovery.lists(name) for name in machine.servers)
 
     def hold(self, names: tuple[str, ...]) -> None:
+        """Send nothing to these servers, whatever the list says."""
         machines = [one for one in map(self.core.plan.machine, names) if one]
         self.discovery.hold({server for one in machines for server in one.servers})
 
     def quiet(self, machine: Machine) -> bool:
-        """Whether nothing of this limiter is out at the machine's servers. A limiter on it ends as planned (SIGTERM) when work
-        begins: its clients' connections end between calls then, and the others take its parts.
+        """Whether nothing of this limiter is out at the machine's servers.
+
+        A limiter on it ends as planned (SIGTERM) when work begins: its clients' connections end between calls
+        then, and the others take its parts.
         """
         out = {one.server.id for one in self.port.servers.out}
         return not any(self.discovery.ident(name) in out for name in machine.servers)
 
     def lately(self) -> tuple[float, float, float]:
+        """Requests, served ones, and seconds that the served ones took in all, over the last while."""
         fresh = [one for one in self.seconds if one[0] > self.port.now - LATELY]
         return tuple(sum(one[place] for one in fresh) for place in (1, 2, 3))
 
@@ -97,4 +113,5 @@
         return found
 
     def log(self, event: str, **facts) -> None:
+        """Log an event of the plan."""
         self.port.todo.append((lambda: self.out.info(event, **{"what": "maintenance", **facts}),))
--- a/tests/test_emulator.py
+++ b/tests/test_emulator.py
@@ -131,7 +131,8 @@
     ],
 )
 def test_every_fault_is_played_with_the_rules_judged_at_each_event(fault):
-    # Strict: any break of rules 1 to 4 raises with its trail; the faults cause the failures the module handles.
+    # Strict: any break of rules 1 to 4 raises with its trail; the faults cause the failures the module
+    # handles.
     spec = experiment(("3.0", fault))
     spec = spec.model_copy(
         update={"fleet": spec.fleet.model_copy(update={"membership": MembershipSpec(on=True)})}
@@ -139,6 +140,7 @@
     result = Fleet(spec).run()
     metrics = result.metrics()
     assert not result.broken and metrics["calls"] > 300
+    # Every API call ended one way, or is still open
     assert (
         metrics["calls"]
         == metrics["proxied"]
@@ -147,7 +149,7 @@
         + metrics["lost"]
         + metrics["left"]
         + metrics["open"]
-    )  # every API call ended one way, or is still open
+    )
     if fault == "zone_lost":
         assert (
             metrics["errored_share"] + metrics["rate_limited_share"] > 0.0
@@ -193,15 +195,15 @@
         experiment(),
     )
     fleet.discovery.delay = 5.0  # the list comes later than the grace: the limiters send on
-    fleet.schedule(loads(SMALL + FAULTS % ("1.0", "drain_servers"), Experiment).faults[0])
+    fleet.faults.schedule(loads(SMALL + FAULTS % ("1.0", "drain_servers"), Experiment).faults[0])
     with pytest.raises(RuleBrokenError) as caught:
         fleet.run()
     assert caught.value.rule == 3
 
 
 def test_a_wait_below_the_clocks_resolution_still_moves_the_clock():
-    # Without the engine's grain a store short by a rounding remainder asked for 1e-17 s again and again at the
-    # same instant, and the run never ended.
+    # Without the engine's grain a store short by a rounding remainder asked for 1e-17 s again and again at
+    # the same instant, and the run never ended.
     engine, fired = Engine(), []
 
     def retake():
@@ -215,8 +217,8 @@
 
 
 def test_a_cold_server_pushed_over_inside_a_send_ends_its_tries_after_the_send():
-    # A fall seen as the try was handed over ended the tries inside Port.send, before the module had recorded the
-    # try: the module's own bookkeeping then failed. The fall is a rule 4 break, counted where not strict.
+    # A fall seen as the try was handed over ended the tries inside Port.send, before the module had recorded
+    # the try: the module's own bookkeeping then failed. The fall is a rule 4 break, counted where not strict.
     spec = experiment(("2.0", "zone_lost"), strict=False)
     spec = spec.model_copy(
         update={
@@ -265,7 +267,10 @@
 @pytest.mark.parametrize("most", [1, 2])
 @pytest.mark.parametrize("seed", range(8))
 def test_random_faults_on_a_plan_of_work_break_nothing_and_the_plan_ends(most, seed):
-    """Kills that forget all, stops, splits, lost words, machines that fail by themselves; clocks up to 5% fast or slow."""
+    """Kills that forget all, stops, splits, lost words, machines that fail by themselves.
+
+    Clocks up to 5% fast or slow.
+    """
     from brookhub.emulator.site import Site
 
     site = Site(plan_of_work(most), limiters=12, seed=seed, work_s=8.0)
@@ -305,7 +310,10 @@
 
 
 def test_what_all_voters_forgot_the_others_remember():
-    """Found by random faults: voters that had all restarted began with low ballots, and who had no vote heeded them no more."""
+    """Found by random faults.
+
+    Voters that had all restarted began with low ballots, and who had no vote heeded them no more.
+    """
     from brookhub.emulator.site import Site
 
     site = Site(plan_of_work(1), limiters=8, seed=2, work_s=40.0)
@@ -341,3 +349,51 @@
     site.run(1500.0)
     assert not site.breaks, site.breaks[:3]
     assert site.ended and site.seats["n4"].core.register.table.voters == ("n2", "n4", "n5")
+
+
+class WatchedFleet(Fleet):
+    """Notes for each final answer which limiter gave it, when (s), and whether an attempt had gone out."""
+
+    def answer(self, seat, call, how, retry_after=0.0, one=None):
+        self.noted.append((seat.index, self.engine.now, bool(call.attempts)))
+        super().answer(seat, call, how, retry_after, one)
+
+
+def longest_refusals(noted, limiters, span=4.0):
+    """The most requests that each turned away on end, for so many seconds (s), with no attempt in between."""
+    worst = dict.fromkeys(range(limiters), 0)
+    refused = {limiter: [] for limiter in worst}
+    for limiter, at, sent in noted:
+        refused[limiter] = [] if sent else [*refused[limiter], at]
+        if refused[limiter] and at - refused[limiter][0] >= span:
+            worst[limiter] = max(worst[limiter], len(refused[limiter]))
+    return worst
+
+
+ROLL = "".join(
+    f'[[faults]]\nat_s = {at}\naction = "term_limiters"\nshare = 0.1\n' for at in (3.0, 5.0, 7.0, 9.0, 11.0)
+)
+
+
+@pytest.mark.parametrize("seed", [1, 2, 3])
+@pytest.mark.parametrize("faults", ["", ROLL], ids=["calm", "a tenth restarted at a time"])
+def test_no_limiter_turns_away_all_that_it_gets_for_four_seconds_while_others_serve(seed, faults):
+    """The operators allow one limiter in ten to; on these days none has a reason."""
+    text = (Path(__file__).parent.parent / "experiments" / "limiters.toml").read_text()
+    spec = loads(text.replace("[sweep]", faults + "[sweep]"), Experiment)
+    fleet_spec = spec.fleet.model_copy(update={"limiters": 20})
+    fleet = WatchedFleet(
+        spec.model_copy(update={"fleet": fleet_spec, "duration_s": 20.0, "strict": True}), seed=seed
+    )
+    fleet.noted = []
+    result = fleet.run()
+    assert result.proxied > 0.5 * result.calls and not result.broken
+    worst = longest_refusals(fleet.noted, 20)
+    assert max(worst.values()) < 15, worst
+
+
+def test_the_judge_of_refusals_sees_a_limiter_that_turns_all_away():
+    quiet = [(0, at / 4, True) for at in range(40)]
+    closed = [(1, at / 4, False) for at in range(40)]
+    worst = longest_refusals(sorted(quiet + closed, key=lambda one: one[1]), 2)
+    assert worst[0] == 0 and worst[1] >= 15
--- a/tests/test_processes.py
+++ b/tests/test_processes.py
@@ -1,4 +1,6 @@
-"""The process lab: several processes of the program on loopback, faults between them, and a judge that catches.
+"""The process lab.
+
+Several processes of the program on loopback, faults between them, and a judge that catches.
 
 Each run here takes a few seconds; long ones are `brookhub lab processes` (docs/process-lab.md).
 """
@@ -14,17 +16,18 @@
 
 from brookhub.emulator.world import ServerModel
 from brookhub.interface import State
+from brookhub.lab.errors import LabError
 from brookhub.lab.judge import Outage, judge
+from brookhub.lab.lanes import LANES, Lane
 from brookhub.lab.load import Asked, Load
-from brookhub.lab.processes import LabError, ProcessLab
+from brookhub.lab.processes import ProcessLab
 from brookhub.protocol import resp
 from brookhub.stand_ins import ModelServer, StandIn, Timers, read_value
 from brookhub.stand_ins.server import Seen
 from helpers import experiment, until
 
-pytestmark = pytest.mark.xdist_group(
-    "process lab"
-)  # its limiters have the same addresses in each lab: one at a time
+# Two labs at a time are what this machine carries; each has addresses of its own
+pytestmark = pytest.mark.xdist_group("second process lab")
 
 
 class Rogue(StandIn):
@@ -95,7 +98,10 @@
 
 @pytest.mark.parametrize("killed, breaks", [(True, False), (False, True)])
 def test_a_call_that_its_client_repeats_after_its_limiter_was_killed_is_judged_by_each_asking(killed, breaks):
-    """Seen once in a restart of all limiters: the client's own repeat was held against the limiters as a second effect."""
+    """Seen once in a restart of all limiters.
+
+    The client's own repeat was held against the limiters as a second effect.
+    """
     spec = experiment()
     call = Asked(1, 0, 1, 2, 10.0, 11.0, answers=[(10.5, "proxied")], end="answered", again=10.3, before=0)
     seen = [
@@ -166,7 +172,7 @@
         ProcessLab(experiment(limiters=1), tmp_path) as lab,
         pytest.raises(LabError, match="no membership, so no peer links"),
     ):
-        lab.fault(experiment(faults=[{"at_s": 0, "action": "split_limiters"}]).faults[0])
+        lab.faults.play(experiment(faults=[{"at_s": 0, "action": "split_limiters"}]).faults[0])
 
 
 def test_a_model_server_keeps_its_places_its_queue_and_the_rule_of_cold_servers():
@@ -192,10 +198,11 @@
     assert until(lambda: sum(one.ran for one in seen) == 3 and seen[0].how == "abandoned")
     for one in held:
         one.close()
+    # cold: 5 calls/s of capacity at first, falls beyond 15 a second
     model.mode, model.up_since = (
         "ok",
         time.monotonic(),
-    )  # cold: 5 calls/s of capacity at first, falls beyond 15 a second
+    )
 
     def push(n):
         with contextlib.suppress(OSError):  # once it fell it refuses
@@ -210,3 +217,16 @@
     assert until(lambda: server.sock.fileno() >= 0, 1.0)  # back after the model's time
     server.close()
     timers.close()
+
+
+def test_two_labs_at_a_time_have_no_address_in_common_and_a_lane_is_free_again_after_its_lab():
+    first, second = Lane(), Lane()
+    numbers = first.number, second.number
+    assert numbers[0] != numbers[1] and first.address(0) != second.address(0)
+    assert first.address(0) != first.address(1)
+    second.close()
+    for _ in range(LANES + 1):  # each is given back, or none would be left
+        lane = Lane()
+        assert lane.number != first.number
+        lane.close()
+    first.close()
--- a/tests/test_routing.py
+++ b/tests/test_routing.py
@@ -1,4 +1,7 @@
-"""The port on sockets and its routing, without sockets: streams that only remember, and a clock that the test moves."""
+"""The port on sockets and its routing, without sockets.
+
+Streams that only remember, and a clock that the test moves.
+"""
 
 import random
 import socket
@@ -20,8 +23,8 @@
 from brookhub.routing import (
     servers as servers_module,
 )
-from brookhub.routing.clients import Client as ClientConnection
-from brookhub.routing.clients import Clients
+from brookhub.routing.client_connection import ClientConnection
+from brookhub.routing.clients import ClientLimits, Clients
 from brookhub.routing.connections import Reconnector
 from brookhub.routing.counter import Counter
 from brookhub.routing.discovery import Discovery
@@ -106,6 +109,19 @@
     assert faults == []
 
 
+LIMITS = ClientLimits(
+    connections=9,
+    spare_connections=1,
+    open_requests=9,
+    unread_bytes_of_one=9999,
+    unread_bytes=9999,
+    stalled_for=9.0,
+    lingers_for=1.0,
+    mute_for=2.0,
+    idle_for=4.0,
+)
+
+
 def at(port, event, *args, after=0.0):
     port.run(port.now + after, event, *args)
 
@@ -356,9 +372,8 @@
 def test_a_fault_costs_its_call_an_error_and_those_behind_it_nothing(port):
     heard, port.faults = [], lambda met: heard.append(str(met))
     routes, plans = [Route("look", 1.0, 2.0)], [Plan("wide")]
-    clients = Clients(
-        port, lambda *_: None, routes, plans, 1, 1.0, lambda: True, 9, 1, 9, 9999, 9999, 9.0, 1.0, 2.0, 4.0
-    )
+    settings = replace(DEFAULT_SETTINGS, routes=tuple(routes), plans=tuple(plans), gateways=1)
+    clients = Clients(port, lambda *_: None, settings, lambda: True, replace(LIMITS, connections=9))
     client = ClientConnection(clients, None)
     client.stream = Remembering()
 
@@ -379,9 +394,8 @@
 
 
 def test_who_has_asked_again_is_not_closed_as_idle_and_nobody_is_once_the_end_is_near(port):
-    clients = Clients(
-        port, lambda *_: None, [], [], 1, 1.0, lambda: True, 3, 9, 9, 9999, 9999, 9.0, 1.0, 2.0, 4.0
-    )
+    limits = replace(LIMITS, connections=3, spare_connections=9)
+    clients = Clients(port, lambda *_: None, DEFAULT_SETTINGS, lambda: True, limits)
     clients.start = lambda client: None
 
     def met(asked):
@@ -614,9 +628,8 @@
     (new,) = watch.roster.servers.values()
     assert new is not old and old.state is State.GONE and stream.reason == "unlisted"
     assert port.gateway.lists[-1] == [(new.id, State.READY), (old.id, State.GONE)]
-    at(
-        port, watch.heard, news(3, False, ("old", "Terminating", 0))
-    )  # late news of the old one takes nothing away
+    # Late news of the old one takes nothing away
+    at(port, watch.heard, news(3, False, ("old", "Terminating", 0)))
     at(port, watch.heard, news(4, False, ("old", "Gone", 0)))
     assert new.state is State.READY and list(watch.roster.servers.values()) == [new]
     for n in range(200):
@@ -681,8 +694,9 @@
 
 
 def test_gateways_that_lose_discovery_together_do_not_come_back_together():
-    # Guards: 28 restarted gateways asked for lists at the same instants, once a second for good; discovery, which
-    # answers some seven calls a second in turn, had a line of its full 2 s and turned all of them away (700 of 740).
+    # Guards: 28 restarted gateways asked for lists at the same instants, once a second for good; discovery,
+    # which answers some seven calls a second in turn, had a line of its full 2 s and turned all of them away
+    # (700 of 740).
     from random import Random
 
     from brookhub.program.run import list_pauses
