--- a/brookhub/choices/parts.py
+++ b/brookhub/choices/parts.py
@@ -49,6 +49,7 @@
         self.match()
 
     def fits(self) -> bool:
+        """Whether there are few enough names and servers for a matching."""
         return 0 < len(self.numbers) * len(self.servers) <= MOST_PAIRS
 
     def listed(self, servers: dict[Hashable, tuple[Hashable, float]]) -> None:
--- a/brookhub/choices/subsets.py
+++ b/brookhub/choices/subsets.py
@@ -99,11 +99,13 @@
                     insort(ranked, (self.cost(limiter, server), server))
 
     def join(self, limiter: Hashable) -> None:
+        """A limiter is there: servers deal it ranks."""
         self.matched = {}
         self.limiters.append(limiter)
         self.ranks[limiter] = sorted((self.cost(limiter, server), server) for server in self.weights)
 
     def leave(self, limiter: Hashable) -> None:
+        """A limiter is gone."""
         self.matched = {}
         self.limiters.remove(limiter)
         del self.ranks[limiter]
--- a/brookhub/config/load.py
+++ b/brookhub/config/load.py
@@ -40,6 +40,7 @@
 
 
 def loads(text: str, model: type[M], source: str = "<text>") -> M:
+    """A checked configuration from text; `source` names it in errors. Raises ConfigError."""
     try:
         raw = tomllib.loads(text)
     except tomllib.TOMLDecodeError as broken:
@@ -63,6 +64,7 @@
 
 
 def load(path: str | Path, model: type[M]) -> M:
+    """A checked configuration file. Raises ConfigError."""
     try:
         text = Path(path).read_text()
     except OSError as broken:
--- a/brookhub/config/models.py
+++ b/brookhub/config/models.py
@@ -14,6 +14,8 @@
 
 
 class Strict(BaseModel):
+    """A part of a file: unknown keys are refused."""
+
     model_config = ConfigDict(extra="forbid", frozen=True)
 
 
@@ -216,6 +218,8 @@
 
 
 class Limits(Strict):
+    """What the program may take: descriptors, and memory (MB) for what is held for clients."""
+
     sockets: int = Field(1024, ge=16)
     memory_mb: float = Field(192, gt=0)
 
--- a/brookhub/config/site.py
+++ b/brookhub/config/site.py
@@ -23,6 +23,7 @@
 
 
 def check_positive(ends: tuple[float, float]) -> tuple[float, float]:
+    """Both ends of a range have to be above 0, the first not above the second."""
     if not 0 < ends[0] <= ends[1] < float("inf"):
         raise ValueError(f"only numbers above 0 are possible, not {list(ends)}")
     return ends
@@ -33,6 +34,7 @@
 
 
 def middle(ends: tuple[float, float]) -> float:
+    """The middle of a range."""
     return sum(ends) / 2
 
 
@@ -111,6 +113,7 @@
 
     @model_validator(mode="after")
     def check_times(self) -> RequestClass:
+        """A request has to have time for its answer."""
         if self.deadline_ms < self.aim_ms:
             raise ValueError("deadline_ms is below aim_ms")
         if self.effect == "keyed" and not self.window_ms:
@@ -173,6 +176,7 @@
 
     @model_validator(mode="after")
     def check_plans(self) -> SiteFile:
+        """What the plans name has to be there."""
         if len(self.fam.plan) != len(self.tenant):
             raise ValueError(f"{len(self.tenant)} tenants need as many plans, not {len(self.fam.plan)}")
         return self
@@ -217,6 +221,7 @@
 
 
 def class_settings(one: RequestClass) -> dict[str, Any]:
+    """A class as the settings name its parts."""
     semantics = {"safe": "read_like", "keyed": "idempotency_key", "unsafe": "non_idempotent"}[one.effect]
     return {
         "name": one.name,
@@ -231,6 +236,7 @@
 
 
 def plan_settings(name: str, quota: Quota, slack: float) -> dict[str, Any]:
+    """A plan as the settings name its parts."""
     rate, burst, ceiling = (
         middle(quota.rate),
         middle(quota.rate) * middle(quota.burst_s),
--- a/brookhub/drill/__main__.py
+++ b/brookhub/drill/__main__.py
@@ -7,6 +7,7 @@
 
 
 def main() -> int:
+    """Play the decisions on the simulator's wire until it ends; the exit code."""
     try:
         Host(sys.stdin.buffer, sys.stdout.buffer).run()
     except WireError as broken:
--- a/brookhub/drill/frames.py
+++ b/brookhub/drill/frames.py
@@ -73,6 +73,7 @@
         self._tail = body[count * RECORD_IN :]
 
     def records(self) -> Iterator[tuple[int, tuple]]:
+        """The records in the order in which they came: code and fields."""
         for index in range(self._count):
             at = index * RECORD_IN
             code = self._body[at]
@@ -82,15 +83,18 @@
             yield code, layout.unpack_from(self._body, at + 1)
 
     def tail(self, offset: int, length: int) -> memoryview:
+        """Bytes behind the records."""
         if offset + length > len(self._tail):
             raise WireError(f"batch {self.number}: bytes {offset}+{length} lie outside its tail")
         return self._tail[offset : offset + length]
 
     def entries(self, offset: int, count: int) -> list[tuple]:
+        """Entries of the server list behind the records."""
         return list(ENTRY.iter_unpack(self.tail(offset, count * ENTRY.size)))
 
 
 def read_exactly(source: BinaryIO, length: int, what: str) -> bytes:
+    """So many bytes. Raises WireError where the stream ends before."""
     data = source.read(length)
     if len(data) != length:
         raise WireError(f"input ended inside {what}: {len(data)} of {length} bytes")
@@ -120,6 +124,7 @@
         self._tail = bytearray()
 
     def add(self, code: int, *fields) -> None:
+        """Append a record."""
         self._records.append(ACTIONS[code].pack(code, *fields).ljust(RECORD_OUT, b"\0"))
 
     def keep(self, data: bytes) -> tuple[int, int]:
@@ -129,5 +134,6 @@
         return at, len(data)
 
     def encode(self) -> bytes:
+        """All records as one frame."""
         body = b"".join(self._records) + self._tail
         return REPLY_HEADER.pack(self._number, len(body) + 4, len(self._records)) + body
--- a/brookhub/drill/host.py
+++ b/brookhub/drill/host.py
@@ -30,12 +30,14 @@
 
 
 def named(table: dict, code: int, what: str):
+    """What a code stands for. Raises WireError."""
     if code not in table:
         raise WireError(f"unknown {what} {code}")
     return table[code]
 
 
 def parse(text: bytes) -> dict:
+    """The settings of a text. Raises WireError."""
     try:
         return parse_object(text)
     except SettingsError as broken:
@@ -63,50 +65,63 @@
     # the port
 
     def act(self, code: int, *fields) -> None:
+        """Append a record of this gateway to the reply."""
         self.reply.add(code, self.instance, *fields)
 
     def send(self, call: ApiCall, server: Server, timeout: float) -> Attempt:
+        """Begin an attempt (interface.Port)."""
         upstream = Attempt(call, server, len(call.attempts), self.now)
         call.attempts.append(upstream)
         self.act(frames.FORWARD, call.id, server.id, timeout)
         return upstream
 
     def cancel(self, upstream: Attempt) -> None:
+        """Give an attempt up (interface.Port)."""
         self.act(frames.WITHDRAW, upstream.call.id, upstream.number)
 
     def rate_limit(self, call: ApiCall, retry_after: float) -> None:
+        """Refuse a request (interface.Port)."""
         self.act(frames.PUSH_BACK, call.id, retry_after)
         self.release(call)
 
     def error(self, call: ApiCall) -> None:
+        """Tell that a request failed (interface.Port)."""
         self.act(frames.LOSE, call.id)
         self.release(call)
 
     def count(self, name: int, amount: float, lives: float, told: Told) -> None:
+        """Add to a count (interface.Port)."""
         self.counts.setdefault(name, []).append(told)
         self.act(frames.ADD_AND_GET, name, amount, lives)
 
     def probe(self, server: Server) -> None:
+        """Probe a server (interface.Port)."""
         self.act(frames.SOUND_OUT, server.id)
 
     def tell(self, peer: int | None, data: bytes) -> None:
+        """Send a message to a gateway (interface.Port)."""
         self.act(frames.POST, TO_ALL if peer is None else peer, *self.reply.keep(data))
 
     def close_idle(self, server: Server) -> None:
+        """Close idle connections (interface.Port)."""
         self.act(frames.FREE_LINKS, server.id)
 
     def follow_servers(self, on: bool) -> None:
+        """Ask for the server list's changes (interface.Port)."""
         self.act(frames.SUBSCRIBE, int(on))
 
     def fetch_servers(self) -> None:
+        """Ask for the whole server list (interface.Port)."""
         self.act(frames.RELOAD)
 
     def later(self, seconds: float, callback: Callable[[], None]) -> None:
+        """Call back after so many seconds (interface.Port)."""
         self.mark += 1
         self.alarms[self.mark] = callback
         self.act(frames.SET_ALARM, seconds, self.mark)
 
     def log(self, text: str) -> None:
+        """A line for the people on call (interface.Port)."""
         self.act(frames.TRACE, *self.reply.keep(text.encode()))
 
     # what comes in
@@ -128,6 +143,7 @@
         bits: int,
         route: int,
     ) -> None:
+        """A client's request came."""
         if plan >= len(self.plans) or route >= len(self.routes):
             raise WireError(f"API call {ident}: plan {plan} or route {route} is not in the settings")
         payer = self.customers.find(customer, self.plans[plan])
@@ -146,6 +162,7 @@
         self.gateway.arrived(call)
 
     def opened(self, ident: int, took: float, server: int, number: int) -> None:
+        """A server's answer began."""
         upstream = self.find(ident, number)
         if upstream:
             self.gateway.answer_began(upstream, took)
@@ -163,6 +180,7 @@
         columns: int,
         *values: float,
     ) -> None:
+        """An attempt ended."""
         upstream = self.find(ident, number)
         if upstream is None:
             return
@@ -174,21 +192,25 @@
             self.release(upstream.call)
 
     def find(self, ident: int, number: int) -> Attempt | None:
+        """An attempt by the ids of its request and its number."""
         call = self.calls.get(ident)
         return call.attempts[number] if call and number < len(call.attempts) else None
 
     def hangup(self, ident: int) -> None:
+        """A client left."""
         call = self.calls.get(ident)
         if call:
             self.gateway.client_left(call)
             self.release(call)
 
     def fired(self, mark: int) -> None:
+        """A timer is due."""
         callback = self.alarms.pop(mark, None)
         if callback:
             callback()
 
     def counted(self, name: int, code: int, total: float, took: float) -> None:
+        """A count ended."""
         waiting = self.counts.get(name)
         if not waiting:
             return
@@ -198,6 +220,7 @@
         told(named(OUTCOMES, code, "count outcome"), total, took)
 
     def probed(self, code: int, server: int, took: float, columns: int, *values: float) -> None:
+        """A probe ended."""
         if server in self.roster.servers:
             report = dict(zip(self.columns, values[:columns], strict=False))
             self.gateway.probed(
@@ -205,6 +228,7 @@
             )
 
     def server_list(self, scope: int, entries: list[tuple]) -> None:
+        """The server list, or changes of it."""
         if scope == FAILED:
             self.gateway.servers_unheard()
             return
@@ -225,6 +249,7 @@
         self.seats: dict[int, Seat] = {}
 
     def run(self) -> None:
+        """Answer batches until the stream ends."""
         while (batch := frames.read_batch(self.source)) is not None:
             reply = Reply(batch.number)
             for code, fields in batch.records():
@@ -233,6 +258,7 @@
             self.sink.flush()
 
     def take(self, batch: Batch, reply: Reply, code: int, fields: tuple) -> None:
+        """Take a record of a batch."""
         instance, *rest = fields
         if code == frames.KILLED:
             self.seats.pop(instance, None)
@@ -256,6 +282,7 @@
             reply.add(frames.BUG, instance, *reply.keep(text[-2000:].encode()))
 
     def hand(self, seat: Seat, batch: Batch, code: int, rest: list) -> None:
+        """Hand a record to its gateway."""
         if code == frames.ARRIVAL:
             seat.arrival(*rest)
         elif code == frames.TRY_END:
--- a/brookhub/membership/baseline.py
+++ b/brookhub/membership/baseline.py
@@ -35,9 +35,11 @@
         self.heard: dict[str, float] = {}
 
     def start(self) -> None:
+        """Begin to send."""
         self.port.later(self.period * self.rng.random(), self.tick)
 
     def tick(self) -> None:
+        """Send to all, and see who was not heard."""
         if self.over:
             return
         data = encode(Message(self.fleet, messages.VERSION, NEWS, self.name))
@@ -51,15 +53,18 @@
         self.port.later(self.period, self.tick)
 
     def received(self, peer: str, message: Message) -> None:
+        """A message came from a peer."""
         if not self.over and peer in self.members:
             self.heard[peer] = self.port.now
             if self.members[peer].state in ABSENT:
                 self.become(peer, ALIVE)
 
     def become(self, name: str, state: int) -> None:
+        """A member is in another state now."""
         self.members[name].state = state
         (self.present.add if state == ALIVE else self.present.discard)(name)
         self.port.changed(name, state)
 
     def leave(self) -> None:
+        """Send nothing more; the others find out."""
         self.over = True
--- a/brookhub/membership/core.py
+++ b/brookhub/membership/core.py
@@ -48,11 +48,20 @@
 
     now: float
 
-    def later(self, seconds: float, callback: Callable[[], None]) -> None: ...
-    def send(self, peer: str, data: bytes) -> None: ...
-    def told(self, live: int, rank: int, sure: int) -> None: ...
-    def changed(self, member: str, state: int) -> None: ...
-    def said(self, peer: str, topic: int, data: bytes) -> None: ...
+    def later(self, seconds: float, callback: Callable[[], None]) -> None:
+        """Call back after so many seconds."""
+
+    def send(self, peer: str, data: bytes) -> None:
+        """Send a datagram to a listed peer; it may be lost."""
+
+    def told(self, live: int, rank: int, sure: int) -> None:
+        """The fleet's numbers changed (numbers.FleetNumbers)."""
+
+    def changed(self, member: str, state: int) -> None:
+        """A member's state changed."""
+
+    def said(self, peer: str, topic: int, data: bytes) -> None:
+        """Another part's word came from a peer."""
 
 
 class Membership:
@@ -95,6 +104,14 @@
         )  # s: when the next probe is to be made; when it last had slept
         # Datagrams and bytes sent, messages dropped and why, refutations
         self.counts: Counter[str] = Counter()
+        self.handlers = {
+            ACK: self.answered,
+            PING_FOR: self.probe_for,
+            NACK: self.nacked,
+            WORD: self.said,
+            HELLO: self.greeted,
+            TABLE: self.told_table,
+        }
         self.present: set[str] = set()
         self.names: list[str] = []
         self.relist(peers)
@@ -102,6 +119,7 @@
     # told from outside
 
     def start(self) -> None:
+        """Begin to probe, to reach out and to exchange."""
         self.due = self.port.now + self.period * self.rng.random()
         self.port.later(self.due - self.port.now, self.tick)
         self.port.later(0.0, self.reach)
@@ -155,37 +173,36 @@
             return
         if self.lifeguard and self.port.now - self.due > SLEPT * self.period:
             self.slept()
-        table = message.kind == TABLE
         held = self.members[peer].state
-        wronged = False
+        wronged = any(piece[0] == self.name and piece[1] != ALIVE for piece in message.news)
         for piece in message.news:
-            wronged = wronged or piece[0] == self.name and piece[1] != ALIVE
-            self.hear(*piece, table=table)
-        if message.kind == PING:  # who thinks wrongly of this member hears at once how it is, new or not
-            self.send(
-                peer,
-                ACK,
-                message.number,
-                news=self.yours(peer) + ([self.piece(self.name)] if wronged else []),
-            )
-        elif message.kind == ACK:
-            self.answered(peer, message)
-        elif message.kind == PING_FOR:
-            self.probe_for(peer, message)
-        elif message.kind == NACK:
-            self.nacks += message.number == self.probe_number
-        elif message.kind == WORD:
-            self.port.said(peer, message.number, message.data)
-        elif message.kind == HELLO:
-            # With what is thought of it: only the member itself can put that right
-            self.table(peer, whole=True)
-        if table and message.number:  # it sent a part of its table: what is newer here goes back
-            newer = [self.piece(piece[0]) for piece in message.news if self.newer(*piece)]
-            if newer:
-                self.send(peer, TABLE, 0, news=newer)
+            self.hear(*piece, table=message.kind == TABLE)
+        if message.kind in self.handlers:
+            self.handlers[message.kind](peer, message)
+        elif message.kind == PING:  # who thinks wrongly of this member hears at once how it is, new or not
+            news = self.yours(peer) + ([self.piece(self.name)] if wronged else [])
+            self.send(peer, ACK, message.number, news=news)
         if held in ABSENT and message.kind in (PING, ACK):  # met again: what each knows of all others
             self.table(peer, whole=True)
 
+    def nacked(self, peer: str, message: Message) -> None:
+        """A helper says in time that it had no answer."""
+        self.nacks += message.number == self.probe_number
+
+    def said(self, peer: str, message: Message) -> None:
+        """Another part's word came."""
+        self.port.said(peer, message.number, message.data)
+
+    def greeted(self, peer: str, message: Message) -> None:
+        """One that was absent: all that is known, and what is thought of it, which it alone can put right."""
+        self.table(peer, whole=True)
+
+    def told_table(self, peer: str, message: Message) -> None:
+        """A part of a table: what is newer here goes back, where that is wanted."""
+        newer = [self.piece(piece[0]) for piece in message.news if self.newer(*piece)]
+        if message.number and newer:
+            self.send(peer, TABLE, 0, news=newer)
+
     # probes
 
     def tick(self) -> None:
@@ -206,9 +223,11 @@
         self.port.later(self.stretched(), self.tick)
 
     def stretched(self) -> float:
+        """Seconds of a period, longer while this member doubts itself."""
         return self.period * (1 + self.health if self.lifeguard else 1)
 
     def next(self) -> Member | None:
+        """The next member to probe, None where there is none."""
         for _ in range(len(self.order) + 1):
             if self.turn >= len(self.order):
                 self.order = [self.members[name] for name in self.names if name in self.present]
@@ -232,6 +251,7 @@
                 self.send(helper, PING_FOR, number, about=target)
 
     def probe_for(self, peer: str, message: Message) -> None:
+        """A peer asks to probe a member for it."""
         if message.about in self.members and len(self.asked) < 4 * len(self.members) + 16:
             number = self.count_up()
             self.asked[number] = (peer, message.number)
@@ -248,9 +268,11 @@
             self.port.later(self.period, lambda: self.forget_asked(-number))
 
     def forget_asked(self, number: int) -> None:
+        """An answer that comes now is passed on no more."""
         self.asked.pop(number, None)
 
     def answered(self, peer: str, message: Message) -> None:
+        """A probe was answered: this member's own, or one made for another."""
         number = message.number
         waits = self.asked.pop(number, None) or self.asked.pop(-number, None)
         if waits:
@@ -307,6 +329,7 @@
             self.tell(name, SUSPECT, incarnation, by)
 
     def become(self, member: Member, state: int, incarnation: int, by: str) -> None:
+        """A member's state is another one now; tell the others."""
         name, before = member.name, member.state
         member.state, member.incarnation = state, incarnation
         member.by, member.since = {}, self.port.now
@@ -345,6 +368,7 @@
             self.tell(self.name, ALIVE, self.incarnation)
 
     def tell(self, name: str, state: int, incarnation: int, by: str = "") -> None:
+        """Spread a piece of news."""
         self.news.add((name, state, incarnation, by))
         if not self.pulsing and not self.over:
             self.pulsing = True
@@ -388,6 +412,7 @@
     # tables: what news missed, and what a newcomer needs
 
     def exchange(self) -> None:
+        """Send a part of the table to some member, again and again."""
         if not self.over:
             target = self.some(1, self.present)
             if target:
@@ -423,6 +448,7 @@
         self.port.later((REACH_FIRST if hurry else REACH) * (0.5 + self.rng.random()), self.reach)
 
     def newer(self, name: str, state: int, incarnation: int, by: str) -> bool:
+        """Whether this member knows something newer than a piece of news."""
         member = self.members.get(name)
         return (
             member is not None
@@ -433,6 +459,7 @@
     # what is sent
 
     def piece(self, name: str) -> Piece:
+        """What is known of a member, as a piece of news."""
         if name == self.name:
             return (name, self.state, self.incarnation, "")
         member = self.members[name]
@@ -457,6 +484,7 @@
         room: int = PIGGYBACK,
         chosen: bool = False,
     ) -> None:
+        """Send a message, with as much news as there is room for."""
         pieces = list(news or ())
         if kind == HELLO:
             pieces.append(self.piece(self.name))
@@ -466,6 +494,7 @@
         self.post(peer, Message(self.fleet, messages.VERSION, kind, self.name, number, about, pieces))
 
     def post(self, peer: str, message: Message) -> None:
+        """Encode and send a message."""
         data = encode(message)
         self.counts["datagrams"] += 1
         self.counts["bytes"] += len(data)
@@ -487,6 +516,7 @@
         return self.rng.sample(sorted(among), most)
 
     def count_up(self) -> int:
+        """A number that no probe had before."""
         self.number += 1
         return self.number
 
--- a/brookhub/membership/messages.py
+++ b/brookhub/membership/messages.py
@@ -32,6 +32,8 @@
 
 
 class Message(msgspec.Struct, array_like=True, frozen=True, gc=False):
+    """A datagram between members; what `number`, `about` and `data` say goes by its kind."""
+
     fleet: Name
     version: Number
     kind: Annotated[int, msgspec.Meta(ge=1, le=8)]
@@ -51,6 +53,7 @@
 
 
 def encode(message: Message) -> bytes:
+    """The message as a datagram's data."""
     data = _encoder.encode(message)
     if len(data) > LARGEST:
         raise ValueError(f"a message of {len(data)} bytes")
--- a/brookhub/recovery/core.py
+++ b/brookhub/recovery/core.py
@@ -36,13 +36,26 @@
     `chance()` in [0, 1).
     """
 
-    def now(self) -> float: ...
-    def clock(self) -> float: ...
-    def chance(self) -> float: ...
-    def add(self, name: int, amount: float, lives: float, told: Told) -> None: ...
-    def later(self, seconds: float, callback: Callable[[], None]) -> None: ...
-    def grant(self, part: float) -> None: ...
-    def log(self, event: str, **facts: Any) -> None: ...
+    def now(self) -> float:
+        """Seconds on this limiter's clock."""
+
+    def clock(self) -> float:
+        """Seconds on the clock that all limiters share."""
+
+    def chance(self) -> float:
+        """A number from 0 to 1 by chance."""
+
+    def add(self, name: int, amount: float, lives: float, told: Told) -> None:
+        """Add to a count at the counter; `told` hears the total."""
+
+    def later(self, seconds: float, callback: Callable[[], None]) -> None:
+        """Call back after so many seconds."""
+
+    def grant(self, part: float) -> None:
+        """Tell the decisions which part of each quota is granted."""
+
+    def log(self, event: str, **facts: Any) -> None:
+        """Log an event."""
 
 
 @dataclass(frozen=True)
@@ -88,6 +101,7 @@
         self.port.later(self.settings.beat * self.port.chance(), self.tick)
 
     def tick(self) -> None:
+        """Look at the counter once a beat."""
         self.port.later(self.settings.beat, self.tick)
         self.beat()
 
@@ -97,6 +111,7 @@
         self.judge()
 
     def sure(self) -> bool:
+        """Whether the counter holds what was added to it, as far as is known."""
         return self.port.now() >= self.sure_at and self.part > 0
 
     # the decisions' counts
@@ -146,12 +161,14 @@
         self.resend()
 
     def unit(self, name: int, amount: float, lives: float) -> None:
+        """Tell the disk of units, where there is one."""
         if amount:
             self.on_unit(name, amount, lives)
 
     # the beat
 
     def beat(self) -> None:
+        """Look at the register, unless a look is out or was just made."""
         now, clock, epochs = self.port.now(), self.port.clock(), self.epochs
         if self.looking or now < self.beat_at + AGAIN * self.settings.beat:
             return
@@ -162,6 +179,7 @@
         )
 
     def read(self, outcome: Outcome, total: float, clock: float) -> None:
+        """What the register holds, or that it was not to be read."""
         self.looking = False
         if outcome is not Outcome.OK:
             return
@@ -190,6 +208,7 @@
         self.port.add(self.epochs.claim(clock, value), 1.0, self.settings.beat, answered)
 
     def add_token(self, clock: float, why: str) -> None:
+        """Add to an empty register, or to one that came back, what makes its epoch a new one."""
         token = 1 + int(self.port.chance() * TOKEN)
 
         def answered(outcome: Outcome, total: float, took: float) -> None:
@@ -212,6 +231,7 @@
         self.port.add(name, 0.0, LIVES, answered)
 
     def enter(self, value: float, why: str) -> None:
+        """Another epoch begins: the keeper lacks all of this limiter's units."""
         first, now = self.epochs.epoch == 0, self.port.now()
         self.epochs.enter(value, self.port.clock())
         self.ledger.forgotten()
@@ -232,6 +252,7 @@
         self.resend()
 
     def carry(self, clock: float) -> None:
+        """Write the epoch into the next era's register, where it is this limiter's turn."""
         if not self.epochs.carries(clock):
             return
         name, epoch = self.epochs.register(clock, 1), self.epochs.epoch
@@ -249,6 +270,7 @@
         self.port.add(name, 0.0, LIVES, answered)
 
     def call_the_roll(self, clock: float) -> None:
+        """Add this limiter to the beat's roll, and read the last beat's."""
         epochs, last = self.epochs, 4 * self.settings.beat
         mark = (epochs.epoch, int(clock // self.settings.beat))
         if mark != self.marked:  # once a beat, also where a doubt brought a look forward
@@ -285,11 +307,13 @@
     # what the keeper lacks
 
     def resend(self) -> None:
+        """Begin to add again what the keeper lacks."""
         if not self.sending:
             self.sending = True
             self.port.later(STROKE * self.port.chance(), self.stroke)
 
     def stroke(self) -> None:
+        """Add some names again, and go on while there are more."""
         now = self.port.now()
         owing = self.ledger.owing(now) if self.epochs.epoch else []
         for name in owing[:AT_ONCE]:
@@ -299,6 +323,7 @@
             self.port.later(STROKE, self.stroke)
 
     def add_again(self, name: int) -> None:
+        """Add what the keeper lacks of a name."""
         entry, epoch = self.ledger.entries[name], self.epochs.epoch
         owed = entry.owed()
         entry.held += owed
--- a/brookhub/recovery/disk.py
+++ b/brookhub/recovery/disk.py
@@ -52,6 +52,7 @@
 
 
 def append(record: Record) -> bytes:
+    """A record as it is appended to the ledger's file."""
     body = _encode(record)
     return MARK + HEAD.pack(len(body), xxhash.xxh32_intdigest(body)) + body
 
@@ -68,45 +69,67 @@
     )
 
 
-def scan(data: bytes, now: float, calendar: float) -> Scanned:
-    """Read a file; names that died meanwhile are left out.
+class Scanner:
+    """Reads a file record by record; what is spoilt is skipped and counted."""
 
-    Raises UnusableError where nothing in it is a record.
-    """
-    found, at, whole = Scanned(Ledger()), 0, True  # whole: the one before ended where this begins
-    entries = found.ledger.entries
-    while True:
-        begins = data.find(MARK, at)
+    def __init__(self, data: bytes) -> None:
+        self.data, self.at = data, 0
+        self.whole = True  # the one before ended where this begins
+        self.found = Scanned(Ledger())
+
+    def next_body(self) -> tuple[int, bytes] | None:
+        """Checksum and bytes of the next record; None at the end, where a record may be torn."""
+        data, found = self.data, self.found
+        begins = data.find(MARK, self.at)
         if begins < 0:
-            if MARK.startswith(data[at:]):
-                found.torn = len(data) - at
-            elif whole:  # what follows a whole record, and is none
+            if MARK.startswith(data[self.at :]):
+                found.torn = len(data) - self.at
+            elif self.whole:  # what follows a whole record, and is none
                 found.skipped += 1
-            break
-        found.skipped += whole and begins > at
-        at = begins + len(MARK)
-        if len(data) < at + HEAD.size:
+            return None
+        found.skipped += self.whole and begins > self.at
+        self.at = begins + len(MARK)
+        if len(data) < self.at + HEAD.size:
             found.torn = len(data) - begins
-            break
-        length, checksum = HEAD.unpack_from(data, at)
-        body = data[at + HEAD.size : at + HEAD.size + length]
-        if len(body) < length and data.find(MARK, at) < 0:
+            return None
+        length, checksum = HEAD.unpack_from(data, self.at)
+        body = data[self.at + HEAD.size : self.at + HEAD.size + length]
+        if len(body) == length:
+            return checksum, body
+        if data.find(MARK, self.at) < 0:
             found.torn = len(data) - begins
-            break
-        try:
-            if xxhash.xxh32_intdigest(body) != checksum or len(body) < length:
-                raise ValueError("checksum")
-            record = _decoder.decode(body)
-            name = int(record.name)
-        except (msgspec.DecodeError, ValueError):
-            found.skipped, whole = found.skipped + 1, False
-            # The next mark is looked for right behind this one: a spoilt length may have swallowed records
-            continue
-        at, whole = at + HEAD.size + length, True
-        found.records += 1
-        entry = entries.get(name)
+            return None
+        return checksum, b""  # a spoilt length: the next mark is looked for right behind this one
+
+    def next_record(self) -> Record | None:
+        """The next record that can be read, None at the end."""
+        while (found := self.next_body()) is not None:
+            checksum, body = found
+            try:
+                if not body or xxhash.xxh32_intdigest(body) != checksum:
+                    raise ValueError("checksum")
+                record = _decoder.decode(body)
+                int(record.name)
+            except (msgspec.DecodeError, ValueError):
+                self.found.skipped, self.whole = self.found.skipped + 1, False
+                continue  # a spoilt length may have swallowed records
+            self.at, self.whole = self.at + HEAD.size + len(body), True
+            self.found.records += 1
+            return record
+        return None
+
+
+def scan(data: bytes, now: float, calendar: float) -> Scanned:
+    """Read a file; names that died meanwhile are left out.
+
+    Raises UnusableError where nothing in it is a record.
+    """
+    scanner = Scanner(data)
+    found, entries = scanner.found, scanner.found.ledger.entries
+    while (record := scanner.next_record()) is not None:
+        entry = entries.get(int(record.name))
         if entry is None:
-            entry = entries[name] = Entry(record.lives, record.dies - calendar + now)
+            entry = entries[int(record.name)] = Entry(record.lives, record.dies - calendar + now)
         entry.own = record.amount if record.whole else entry.own + record.amount
     if data and not found.records and not found.torn:
         raise UnusableError("no record in it")
--- a/brookhub/recovery/epochs.py
+++ b/brookhub/recovery/epochs.py
@@ -40,9 +40,11 @@
     # names
 
     def register(self, clock: float, ahead: int = 0) -> int:
+        """The name of an era's register."""
         return REGISTER | floor(clock / ERA) + ahead
 
     def roll(self, clock: float, behind: int = 0) -> int:
+        """The name of a beat's roll under this epoch."""
         return ROLL | self.epoch << 40 | floor(clock / self.beat) - behind & (1 << 40) - 1
 
     def claim(self, clock: float, value: float, ahead: int = 0) -> int:
@@ -59,6 +61,7 @@
     # the register
 
     def late_half(self, clock: float) -> bool:
+        """Whether the next era's register may be there already."""
         return clock % ERA >= ERA / 2
 
     def carries(self, clock: float) -> bool:
@@ -83,6 +86,7 @@
         return "left" if value in self.past else "new"
 
     def enter(self, value: float, clock: float) -> None:
+        """This epoch begins; the one before is remembered."""
         if self.epoch:
             self.past = [*self.past[-31:], self.epoch]
         self.epoch, self.rolls, self.since = round(value), {}, floor(clock / self.beat)
--- a/brookhub/recovery/ledger.py
+++ b/brookhub/recovery/ledger.py
@@ -28,6 +28,7 @@
     unseen: float = 0.0
 
     def owed(self) -> float:
+        """Units that the keeper lacks; below 0 it has some too many."""
         return self.own - self.held
 
 
@@ -41,12 +42,14 @@
         self.entries: dict[int, Entry] = {}
 
     def entry(self, name: int, lives: float, now: float) -> Entry:
+        """The entry of a name, a new one where there is none or its time is over."""
         held = self.entries.get(name)
         if held is None or held.dies <= now:
             held = self.entries[name] = Entry(lives, now + lives)
         return held
 
     def sweep(self, now: float) -> None:
+        """Forget the names whose time is over."""
         self.entries = {name: one for name, one in self.entries.items() if one.dies > now}
 
     def forgotten(self) -> None:
