--- a/brookhub/emulator/fleet.py
+++ b/brookhub/emulator/fleet.py
@@ -151,6 +151,7 @@
         )
 
     def launch(self, index: int) -> Seat:
+        """A limiter that begins with nothing, but what a disk kept."""
         zones = self.experiment.fleet.zones
         seat = Seat(
             self, index, index % zones, self.rng.getrandbits(63), replace(self.settings, zone=index % zones)
@@ -207,22 +208,26 @@
         peer.core.start()
 
     def turns(self, seat: Seat) -> Turns:
+        """The turns of a limiter that sees all others."""
         turns = Turns(self.seed, f"n{seat.index}")
         turns.told(f"n{index}" for index in range(self.experiment.fleet.limiters))
         return turns
 
     def entries(self) -> list[tuple]:
+        """The server list as discovery has it."""
         return [model.entry() for model in self.servers.models.values() if model.state is not State.GONE]
 
     # the clients
 
     def offered(self, now: float) -> float:
+        """Requests a second that clients offer now."""
         load = self.experiment.load
         if load.shape == "bursty" and now % load.burst_every_s < load.burst_for_s:
             return self.rate * load.burst_factor
         return self.rate
 
     def arrival(self) -> None:
+        """A request comes, and the next one is drawn."""
         now = self.engine.now
         self.engine.after(self.rng.expovariate(self.offered(now)), self.arrival)
         customer = self.rng.choices(self.customers, self.weights)[0]
@@ -265,6 +270,7 @@
             seat.later(leave, lambda: self.leave(seat, call))
 
     def leave(self, seat: Seat, call: ApiCall) -> None:
+        """A client has no patience left."""
         if call.id in self.started:
             self.referee.note("leave", seat.index, call.id)
             self.started.pop(call.id)
@@ -274,6 +280,7 @@
     # final answers
 
     def answer(self, seat: Seat, call: ApiCall, how: str, retry_after: float = 0.0, one=None) -> None:
+        """A limiter gives a final answer; `how` in the protocol's words."""
         now = self.engine.now
         self.referee.now = now
         self.referee.note("answer", seat.index, call.id, how)
@@ -311,6 +318,7 @@
         self.result, self.early = Result(), set(self.started)
 
     def lost(self, call: ApiCall) -> None:
+        """A request that nobody will answer."""
         if self.started.pop(call.id, None) is not None and call.id not in self.early:
             self.result.lost += 1
 
@@ -333,6 +341,7 @@
             seat.gateway.servers_told(seat.roster.update(told, whole=False))
 
     def restart(self, index: int) -> None:
+        """Start a limiter anew in its place."""
         seat = self.seats[index] = self.launch(index)
         self.discovery.seats = self.seats
         self.referee.note("restarted", seat.index)
@@ -369,6 +378,7 @@
         return self.result
 
     def overdue(self, now: float) -> None:
+        """Count requests as lost whose time is over for long."""
         self.referee.now = now
         for ident, began in list(self.started.items()):
             if began + 60.0 < now:  # far past any client timeout: this one was never answered
@@ -376,6 +386,7 @@
                 self.started.pop(ident)
 
     def finish(self, wall: float) -> None:
+        """Sum up the run; `wall`: s that it took."""
         result, end = self.result, self.experiment.duration_s
         result.wall_s, result.events = wall, self.engine.events
         result.open = len(self.started)
--- a/brookhub/emulator/limiter.py
+++ b/brookhub/emulator/limiter.py
@@ -26,14 +26,17 @@
         self.add, self.later = seat.add, seat.later
 
     def now(self) -> float:
+        """Simulated seconds."""
         return self.seat.now
 
     clock = now
 
     def grant(self, part: float) -> None:
+        """Tell the decisions which part of each quota is granted."""
         self.seat.gateway.counter_told(part)
 
     def log(self, event: str, **facts) -> None:
+        """Note an event."""
         self.seat.fleet.heard.append((self.seat.now, self.seat.index, event, facts))
 
 
@@ -59,9 +62,11 @@
 
     @property
     def now(self) -> float:
+        """Simulated seconds."""
         return self.engine.now
 
     def kill(self) -> None:
+        """End it, with all that it holds."""
         self.alive = False
         if self.peer:
             self.peer.kill()
@@ -72,6 +77,7 @@
     # the port
 
     def send(self, call: ApiCall, server: Server, timeout: float) -> Attempt:
+        """Begin an attempt (interface.Port)."""
         model = self.fleet.servers.models[server.id]
         self.fleet.referee.note("send", self.index, call.id, server.id, len(call.attempts))
         self.fleet.referee.sending(call, server, self.fleet.second_copies, model.drained_at, self.fleet.grace)
@@ -87,16 +93,19 @@
         return one
 
     def cancel(self, upstream: Attempt) -> None:
+        """Give an attempt up (interface.Port)."""
         if upstream.outcome is None:
             self.fleet.servers.abandon(upstream)
             self.later(0.0, lambda: self.end_try(upstream, Outcome.CANCELLED))
 
     def rate_limit(self, call: ApiCall, retry_after: float) -> None:
+        """Refuse a request (interface.Port)."""
         self.fleet.referee.rate_limiting(call)
         self.fleet.answer(self, call, "rate-limited", retry_after)
         self.release(call)
 
     def error(self, call: ApiCall) -> None:
+        """Tell that a request failed (interface.Port)."""
         self.fleet.answer(self, call, "errored")
         self.release(call)
 
@@ -106,9 +115,11 @@
             self.calls.pop(call.id, None)
 
     def count(self, name: int, amount: float, lives: float, told: Told) -> None:
+        """Add to a count (interface.Port)."""
         (self.recovery.count if self.recovery else self.add)(name, amount, lives, told)
 
     def add(self, name: int, amount: float, lives: float, told: Told) -> None:
+        """Add to a count at the counter."""
         self.fleet.counter.count(self, name, amount, lives, told)
 
     def recover(self, spec, limiters: int, ledger: Ledger | None) -> None:
@@ -135,12 +146,15 @@
         """Discovery pushes every change to every living limiter."""
 
     def fetch_servers(self) -> None:
+        """Ask for the whole server list (interface.Port)."""
         self.later(self.fleet.discovery.delay, lambda: self.servers(self.fleet.entries(), whole=True))
 
     def later(self, seconds: float, callback: Callable[[], None]) -> None:
+        """Call back after so many seconds, once it is awake."""
         self.engine.after(seconds, lambda: self.when_awake(callback))
 
     def when_awake(self, callback: Callable[[], None]) -> None:
+        """Call back now, or once it is awake."""
         if not self.alive:
             return
         if self.engine.now < self.wakes:
@@ -149,11 +163,13 @@
             callback()
 
     def log(self, text: str) -> None:
+        """Note an event."""
         self.logged += 1
 
     # what comes in
 
     def servers(self, entries: list[tuple], whole: bool) -> None:
+        """The server list, or changes of it, arrive."""
         if self.alive:
             off = [
                 (*entry[:4], State.DRAINING, *entry[5:])
@@ -164,6 +180,7 @@
             self.gateway.servers_told(self.roster.update(off, whole))
 
     def arrive(self, call: ApiCall) -> None:
+        """A request arrives."""
         if (
             self.engine.now < self.wakes
         ):  # it waits in the system; woken too late, its connection is ended unread
@@ -180,11 +197,13 @@
         self.gateway.arrived(call)
 
     def give_up(self, one: Attempt, outcome: Outcome) -> None:
+        """End an attempt from this side."""
         if one.outcome is None:
             self.fleet.servers.abandon(one)
             self.end_try(one, outcome)
 
     def end_try(self, one: Attempt, outcome: Outcome) -> None:
+        """An attempt ended: tell the decisions."""
         if self.alive and self.engine.now < self.wakes:
             self.engine.at(self.wakes, lambda: self.end_try(one, outcome))
             return
--- a/brookhub/emulator/peers.py
+++ b/brookhub/emulator/peers.py
@@ -32,6 +32,7 @@
         self.apart: Callable[[str, str], bool] | None = None
 
     def send(self, source: str, peer: str, data: bytes) -> None:
+        """Carry a datagram, as far as the links allow."""
         chance = self.rng.random
         if self.loss and chance() < self.loss or self.apart and self.apart(source, peer):
             return
@@ -40,6 +41,7 @@
             self.engine.after(wait, lambda: self.arrive(source, peer, data))
 
     def arrive(self, source: str, peer: str, data: bytes) -> None:
+        """A datagram is there."""
         seat = self.seats.get(peer)
         if seat:
             seat.arrive(source, data)
@@ -67,14 +69,17 @@
 
     @property
     def now(self) -> float:
+        """Simulated seconds."""
         return self.engine.now
 
     calendar = now
 
     def later(self, seconds: float, callback: Callable[[], None]) -> None:
+        """Call back after so many seconds, once it is awake."""
         self.engine.after(seconds, lambda: self.when_awake(callback))
 
     def when_awake(self, callback: Callable[[], None], waits: float = 0.0) -> None:
+        """Call back now, or once it is awake and its turn has come."""
         if not self.alive:
             return
         if self.engine.now < self.wakes:
@@ -83,9 +88,12 @@
             callback()
 
     def send(self, peer: str, data: bytes) -> None:
+        """Send a datagram to a peer."""
         self.net.send(self.name, peer, data)
 
     def arrive(self, source: str, data: bytes) -> None:
+        """A datagram arrives."""
+
         def take() -> None:
             try:
                 self.core.received(source, decode(data, FLEET))
@@ -95,15 +103,19 @@
         self.when_awake(take, AFTER_TIMERS)
 
     def told(self, live: int, rank: int, sure: int) -> None:
+        """Membership tells the fleet's numbers."""
         self.on_told(live, rank, sure)
 
     def changed(self, member: str, state: int) -> None:
+        """A member's state changed."""
         self.on_changed(member, state)
 
     def said(self, peer: str, topic: int, data: bytes) -> None:
+        """Another part's word came."""
         self.on_said(peer, topic, data)
 
     def kill(self) -> None:
+        """End it."""
         self.alive = False
         self.net.seats.pop(self.name, None)
 
@@ -133,6 +145,7 @@
             self.launch(name, warm)
 
     def launch(self, name: str, warm: bool = False) -> PeerSeat:
+        """A member that begins; `warm`: knowing all others."""
         seat = PeerSeat(self.net, name, changed=lambda member, state: self.changed(name, member, state))
         peers = [other for other in self.names if other != name]
         if self.protocol == "heartbeat":
@@ -148,6 +161,7 @@
         return seat
 
     def warm(self, core) -> None:
+        """Let a member know all others."""
         for member in core.members.values():
             member.state, member.incarnation = ALIVE, 0
         core.present = set(core.names)
@@ -155,6 +169,7 @@
             core.heard = dict.fromkeys(core.names, 0.0)
 
     def changed(self, observer: str, member: str, state: int) -> None:
+        """Note what a member thinks of another now."""
         now = self.engine.now
         if state in (DEAD, LEFT):
             self.deaths.setdefault(member, {})[observer] = now
@@ -177,6 +192,7 @@
         self.stalls[name] = seat.wakes + excuse
 
     def run(self, seconds: float) -> None:
+        """Play for so many seconds."""
         self.engine.run(self.engine.now + seconds)
 
     def agree(self) -> bool:
@@ -191,4 +207,5 @@
         return datagrams, sum(one["bytes"] for one in counts) + HEADER * datagrams
 
     def absent_at(self, observer: str) -> list[str]:
+        """Whom a member holds for gone."""
         return [name for name, one in self.seats[observer].core.members.items() if one.state in ABSENT]
--- a/brookhub/emulator/rules.py
+++ b/brookhub/emulator/rules.py
@@ -35,12 +35,14 @@
         self.now = 0.0
 
     def note(self, *fields) -> None:
+        """Add a line to the trail and the digest."""
         if self.keep:
             line = f"{self.now:.6f} " + " ".join(map(str, fields))
             self.trail.append(line)
             self.digest.update(line.encode())
 
     def breaks(self, rule: int, text: str) -> None:
+        """A rule is broken: count it, or raise where the run is strict."""
         self.note("BROKEN", rule, text)
         self.broken[rule] = self.broken.get(rule, 0) + 1
         self.first_break = self.first_break or f"rule {rule}: {text}"
@@ -50,6 +52,7 @@
     # rule 2, and the one try out where second copies are off; rule 3 by the true state of the server
 
     def sending(self, call, server, second_copies: bool, drained_at: float | None, grace: float) -> None:
+        """Judge an attempt as it is sent."""
         now = self.now
         if now > call.expires + LATE:
             self.breaks(1, f"call {call.id} sent on after its client timeout")
@@ -73,6 +76,7 @@
                 self.breaks(2, f"tokened call {call.id} repeated outside its cell")
 
     def rate_limiting(self, call) -> None:
+        """Judge a refusal."""
         from ..policy import NEVER_RAN
 
         ran = any(one.outcome not in NEVER_RAN for one in call.attempts)
@@ -81,6 +85,7 @@
             self.breaks(2, f"call {call.id} rate-limited after a try that may have run")
 
     def answering(self, call, answered: bool) -> None:
+        """Judge a final answer."""
         if answered:
             self.breaks(1, f"call {call.id} answered twice")
         elif self.now > call.expires + LATE:
--- a/brookhub/emulator/site.py
+++ b/brookhub/emulator/site.py
@@ -35,12 +35,14 @@
         self.core: Maintenance | None = None
 
     def begin(self, knows: bool = False) -> None:
+        """Start, remembering nothing; `knows`: where all begin together."""
         self.life += 1
         self.alive, self.held = True, ()
         self.core = Maintenance(self, self.name, self.site.settings, knows)
         self.tick(self.life)
 
     def tick(self, life: int) -> None:
+        """Its clock moves on."""
         if not self.alive or life != self.life:
             return
         engine = self.site.engine
@@ -51,6 +53,7 @@
         engine.after(TICK / self.rate, lambda: self.tick(life))
 
     def arrive(self, source: str, message, life: int) -> None:
+        """A message arrives in this life."""
         if not self.alive or life != self.life:
             return
         if self.site.engine.now < self.wakes:
@@ -61,34 +64,44 @@
     # the port of maintenance
 
     def now(self) -> float:
+        """Seconds on its own clock, which drifts."""
         return self.site.engine.now * self.rate
 
     def present(self) -> list[str]:
+        """Whom membership holds for there."""
         return self.site.seen_by(self.name)
 
     def listed(self) -> list[str]:
+        """All others of the fleet."""
         return [name for name in self.site.seats if name != self.name]
 
     def send(self, peer: str, message) -> None:
+        """Send a message to a peer."""
         self.site.send(self.name, peer, message)
 
     def up(self, machine: Machine) -> bool:
+        """Whether the list has a machine's servers."""
         return self.site.listed_up[machine.name]
 
     def hold(self, machines: tuple[str, ...]) -> None:
+        """Keep off these machines."""
         self.held = machines
         self.site.held(self.name, machines)
 
     def quiet(self, machine: Machine) -> bool:
+        """Whether nothing of this one is out there."""
         return self.site.quiet(self.name, machine)
 
     def lately(self) -> tuple[float, float, float]:
+        """Nothing is judged by answers here."""
         return (0.0, 0.0, 0.0)
 
     def load(self) -> dict[str, float]:
+        """No load to go by."""
         return {}
 
     def log(self, event: str, **facts) -> None:
+        """Tell the site what happened."""
         self.site.heard(self.name, event, facts)
 
 
@@ -143,6 +156,7 @@
     # links
 
     def send(self, source: str, peer: str, message) -> None:
+        """Carry a message, as far as the links allow."""
         if self.loss and self.rng.random() < self.loss or (source in self.side) != (peer in self.side):
             return
         seat = self.seats[peer]
@@ -150,6 +164,7 @@
         self.engine.after(DELAY + SPREAD * self.rng.random(), lambda: seat.arrive(source, message, life))
 
     def seen_by(self, name: str) -> list[str]:
+        """Whom a limiter sees."""
         mine = name in self.side
         key = f"{mine}"
         if key not in self.views:
@@ -167,6 +182,7 @@
     # faults
 
     def kill(self, name: str, back_s: float) -> None:
+        """End a limiter; it is back after a while."""
         seat = self.seats[name]
         if not seat.alive:
             return
@@ -181,6 +197,7 @@
         self.engine.after(back_s, back)
 
     def gone_later(self, name: str) -> None:
+        """Membership finds out that a limiter is gone."""
         life = self.seats[name].life
 
         def known() -> None:
@@ -192,6 +209,7 @@
         self.engine.after(DETECT, known)
 
     def stall(self, name: str, seconds: float) -> None:
+        """A limiter stands still for a while."""
         seat = self.seats[name]
         seat.wakes = self.engine.now + seconds
         self.gone_later(name)
@@ -203,6 +221,7 @@
         self.engine.after(seconds + 0.01, woke)
 
     def split(self, side: set[str], seconds: float) -> None:
+        """Two sides hear nothing of each other for a while."""
         self.side = set(side)
         self.engine.after(DETECT, self.told)
 
@@ -213,6 +232,7 @@
         self.engine.after(seconds, heal)
 
     def lose(self, share: float, seconds: float) -> None:
+        """Messages get lost for a while."""
         self.loss = share
         self.engine.after(seconds, lambda: setattr(self, "loss", 0.0))
 
@@ -272,6 +292,7 @@
         self.up[machine] = up
 
     def on_fleet(self, models: list[ServerModel], up: bool, grace: float) -> None:
+        """Servers of an emulated fleet go down or come back."""
         fleet, now = self.fleet, self.engine.now
         for model in models:
             if up:
@@ -288,9 +309,11 @@
             )
 
     def machine_of(self, model: ServerModel) -> str:
+        """The machine of a server."""
         return next(one.name for one in self.plan.machines if f"s-{model.id}" in one.servers)
 
     def heard(self, name: str, event: str, facts: dict) -> None:
+        """A limiter tells an event."""
         self.log.append((self.engine.now, name, event, facts))
         if event.startswith("safe to work on "):
             self.begin(facts["machine"])
@@ -307,11 +330,13 @@
         self.engine.after(late, lambda: self.work(machine))
 
     def work(self, machine: str) -> None:
+        """Somebody begins to work on a machine."""
         self.working.add(machine)
         self.set_up(machine, False)
         self.engine.after(GRACE + self.work_s * (0.75 + 0.5 * self.rng.random()), lambda: self.back(machine))
 
     def back(self, machine: str) -> None:
+        """A machine is back."""
         self.out.pop(machine, None)
         self.working.discard(machine)
         self.done.add(machine)
@@ -332,6 +357,7 @@
     # the fleet's side
 
     def held(self, name: str, machines: tuple[str, ...]) -> None:
+        """A limiter keeps off machines."""
         if self.fleet:
             self.fleet.keep_off(
                 int(name[1:]),
@@ -339,6 +365,7 @@
             )
 
     def quiet(self, name: str, machine: Machine) -> bool:
+        """Whether nothing of a limiter is out at a machine."""
         if not self.fleet:
             return True
         mine = {int(server[2:]) for server in machine.servers}
@@ -381,6 +408,7 @@
         return self
 
     def look(self) -> None:
+        """Look whether bounds are kept."""
         if self.how != "agreed":
             return
         acting = [
--- a/brookhub/emulator/world.py
+++ b/brookhub/emulator/world.py
@@ -75,10 +75,12 @@
         return (self.id, self.zone, 0, self.cell, self.state, 1.0, self.up_since)
 
     def capacity(self, now: float) -> float:
+        """Places that the server has now, fewer while it is cold."""
         warm = 1.0 if self.warm_after <= 0 else min(1.0, (now - self.up_since) / self.warm_after)
         return self.places * (self.cold_from + (1.0 - self.cold_from) * warm)
 
     def cold(self, now: float) -> bool:
+        """Whether it is not warm yet."""
         return self.warm_after > 0 and now - self.up_since < self.warm_after
 
     def pushed_over(self, now: float) -> bool:
@@ -108,6 +110,7 @@
         self.sent_to_bad = self.sent_to_cold = 0
 
     def take(self, one, seat) -> None:
+        """An attempt arrives."""
         model, now = self.models[one.server.id], self.engine.now
         self.sent_to_bad += model.mode != "ok"
         self.sent_to_cold += model.cold(now)
@@ -123,6 +126,7 @@
             self.fall(model)
 
     def start(self, model: ServerModel, one, seat) -> None:
+        """Work on an attempt begins."""
         now = self.engine.now
         model.busy[one] = (seat, now)
         if model.mode == "silent":
@@ -133,6 +137,7 @@
         self.engine.after(took, lambda: self.finish(model, one))
 
     def finish(self, model: ServerModel, one) -> None:
+        """Work on an attempt ends."""
         held = model.busy.pop(one, None)
         if held is None:
             return
@@ -145,6 +150,7 @@
         self.pump(model)
 
     def pump(self, model: ServerModel) -> None:
+        """Begin what waits, as places come free."""
         now = self.engine.now
         while model.waiting and len(model.busy) < max(1, int(model.capacity(now))):
             one, seat = model.waiting.popleft()
@@ -158,6 +164,7 @@
             self.pump(model)
 
     def fall(self, model: ServerModel) -> None:
+        """A cold server was sent too much: it resets all it holds and is down for a while."""
         model.falls += 1
         now = self.engine.now
         self.referee.breaks(
@@ -185,6 +192,7 @@
         self.counts: dict[int, list[float]] = {}
 
     def add(self, name: int, amount: float, lives: float, now: float) -> float:
+        """Add to a count; its total."""
         held = self.counts.get(name)
         if held is None or held[1] <= now:
             held = self.counts[name] = [0.0, now + lives]
@@ -203,6 +211,7 @@
         self.calls = 0
 
     def count(self, seat, name: int, amount: float, lives: float, told) -> None:
+        """A call arrives; `told` hears the outcome after its way."""
         self.calls += 1
         if self.down or (self.lost_share and self.rng.random() < self.lost_share):
             seat.later(self.wait, lambda: told(Outcome.TIMEOUT, 0.0, self.wait))
@@ -213,6 +222,7 @@
         seat.later(took, lambda: told(Outcome.OK, total, took))
 
     def wipe(self) -> None:
+        """Forget all counts."""
         for keeper in self.keepers:
             keeper.counts.clear()
 
@@ -232,6 +242,7 @@
         return lambda: setattr(self, "keepers", old)
 
     def split(self, on: bool) -> None:
+        """Two counters, or one again."""
         self.keepers = [self.keepers[0], Keeper()] if on else [self.keepers[0]]
 
 
@@ -243,6 +254,7 @@
         self.seats: list = []
 
     def changed(self, models: list[ServerModel]) -> None:
+        """Tell all limiters of changes, after their delay."""
         entries = [model.entry() for model in models]
         for seat in self.seats:
             seat.later(self.delay, lambda seat=seat: seat.servers(entries, whole=False))
--- a/brookhub/maintenance/core.py
+++ b/brookhub/maintenance/core.py
@@ -44,16 +44,35 @@
     `present()`: the limiters that are there, without this one; `listed()`: all of the fleet.
     """
 
-    def now(self) -> float: ...
-    def present(self) -> list[str]: ...
-    def listed(self) -> list[str]: ...
-    def send(self, peer: str, message) -> None: ...
-    def up(self, machine: Machine) -> bool: ...
-    def hold(self, machines: tuple[str, ...]) -> None: ...
-    def quiet(self, machine: Machine) -> bool: ...
-    def lately(self) -> tuple[float, float, float]: ...
-    def load(self) -> dict[str, float]: ...
-    def log(self, event: str, **facts) -> None: ...
+    def now(self) -> float:
+        """Seconds on this limiter's clock."""
+
+    def present(self) -> list[str]:
+        """The limiters that are there, without this one."""
+
+    def listed(self) -> list[str]:
+        """All others of the fleet."""
+
+    def send(self, peer: str, message) -> None:
+        """Send a message to a peer; it may be lost."""
+
+    def up(self, machine: Machine) -> bool:
+        """Whether discovery lists a machine's servers and its limiter is there."""
+
+    def hold(self, machines: tuple[str, ...]) -> None:
+        """Send nothing to these machines' servers."""
+
+    def quiet(self, machine: Machine) -> bool:
+        """Whether nothing of this limiter is out at a machine."""
+
+    def lately(self) -> tuple[float, float, float]:
+        """Requests, served ones, and seconds that these took, over the last while."""
+
+    def load(self) -> dict[str, float]:
+        """Attempts out by zone."""
+
+    def log(self, event: str, **facts) -> None:
+        """A line for the people on call."""
 
 
 @dataclass(frozen=True)
@@ -142,6 +161,7 @@
     # what arrives
 
     def received(self, peer: str, message) -> None:
+        """A message of a peer."""
         now = self.port.now()
         if isinstance(message, (Offer, Want, Piece)):
             self.exchange.received(peer, message, now)
@@ -178,12 +198,14 @@
                 self.port.send(others[message.number % len(others)], Pass(self.me, peer, message))
 
     def passed(self, message: Pass) -> None:
+        """A message that goes by this one to another, or came by another."""
         if message.to != self.me:
             self.port.send(message.to, message)
         elif message.origin != self.me:
             self.received(message.origin, message.message)
 
     def heard(self, peer: str, report: Report) -> None:
+        """What a limiter reports of itself."""
         self.reports[peer] = (self.port.now(), report)
 
     def report(self) -> Report:
@@ -202,10 +224,12 @@
         self.keep_off(table)
 
     def commit(self, mark, table: Table) -> None:
+        """A table that is held by a majority."""
         self.told_mark, self.told = mark, table
         self.keep_off(table)
 
     def keep_off(self, table: Table) -> None:
+        """Send nothing to what is out by this table."""
         # A table may come before its plan: what its machines are is known only with that.
         holding = tuple(
             name
@@ -219,6 +243,7 @@
     # the clock
 
     def tick(self) -> None:
+        """The clock moves on."""
         now = self.port.now()
         self.exchange.tick(now)
         if self.register is None:
@@ -277,6 +302,7 @@
     # the steward
 
     def lead(self, now: float) -> None:
+        """As steward: look after each machine that is out, and let the next go out."""
         register, settings = self.register, self.settings
         for name in self.port.present():
             self.seen[name] = now
@@ -306,6 +332,7 @@
             register.write(following, now)
 
     def spread(self, table: Table) -> None:
+        """Tell all limiters the table."""
         mark = (*self.register.ballot, self.register.serial)
         self.commit(mark, table)
         voters = set(self.register.voters(table))
@@ -361,11 +388,13 @@
         return (*voters, more[0]) if more else tuple(one for one in voters if one != less[0])
 
     def moved(self, table: Table, name: str, step: int = 0, done: bool = False) -> Table:
+        """The table with a machine at another step, or back."""
         outs = tuple((one, step if one == name else at) for one, at in table.outs if one != name or step)
         bit = 1 << [one.name for one in self.plan.machines].index(name) if done else 0
         return msgspec.structs.replace(table, outs=outs, done=table.done | bit)
 
     def step(self, table: Table, machine: Machine, step: int, now: float) -> Table:
+        """Move a machine that is out one step on, where it is time."""
         name, plan, up, waited = (
             machine.name,
             self.plan,
@@ -463,6 +492,7 @@
         return "" if not table.halted or told or now - self.well_at >= self.settings.settle else table.halted
 
     def sums(self, now: float) -> tuple[float, float, float]:
+        """Requests, served ones and their seconds, of all limiters."""
         fresh = [self.port.lately()] + [
             (one.asked, one.served, one.took)
             for at, one in self.reports.values()
@@ -471,6 +501,7 @@
         return tuple(sum(figures) for figures in zip(*fresh, strict=False))
 
     def permit(self, table: Table, now: float) -> Table:
+        """Let the next machine go out, where the bounds allow it."""
         plan = self.plan
         if now - self.freed_at < plan.pause_s:
             return table
--- a/brookhub/maintenance/messages.py
+++ b/brookhub/maintenance/messages.py
@@ -28,7 +28,7 @@
 
 
 class Struct(msgspec.Struct, frozen=True, array_like=True, tag=True):
-    pass
+    """A message, told from others by its tag."""
 
 
 class Table(msgspec.Struct, frozen=True, array_like=True):
@@ -50,6 +50,7 @@
     ] = ()  # by zone, when the plan began
 
     def step(self, name: str) -> int:
+        """The step at which a machine is; 0: not out."""
         return dict(self.outs).get(name, 0)
 
 
@@ -94,6 +95,8 @@
 
 
 class Wrote(Struct):
+    """A voter holds what was written."""
+
     mark: Mark
     report: Report
 
@@ -105,6 +108,8 @@
 
 
 class State(Struct):
+    """What a voter holds, for one that remembers nothing."""
+
     number: Count
     abstains: bool
     promised: Ballot
@@ -143,11 +148,15 @@
 
 
 class Want(Struct):
+    """A piece of a plan is wanted."""
+
     digest: Digest
     piece: Annotated[int, msgspec.Meta(ge=0, le=MOST_PIECES)]
 
 
 class Piece(Struct):
+    """A piece of a plan."""
+
     digest: Digest
     piece: Annotated[int, msgspec.Meta(ge=0, le=MOST_PIECES)]
     pieces: Annotated[int, msgspec.Meta(ge=1, le=MOST_PIECES)]
@@ -159,6 +168,7 @@
 
 
 def pack(message: Message) -> bytes:
+    """The message as a datagram's data."""
     return _encoder.encode(message)
 
 
--- a/brookhub/maintenance/plan.py
+++ b/brookhub/maintenance/plan.py
@@ -51,9 +51,11 @@
     resume: int = 0  # raised by the operator to go on after a halt
 
     def digest(self) -> str:
+        """A short name of all that the plan says."""
         return sha256(msgspec.msgpack.encode(self)).hexdigest()[:DIGITS]
 
     def machine(self, name: str) -> Machine | None:
+        """A machine by its name."""
         return next((one for one in self.machines if one.name == name), None)
 
     def everything(self) -> int:
--- a/brookhub/maintenance/register.py
+++ b/brookhub/maintenance/register.py
@@ -76,12 +76,15 @@
     # voters
 
     def voters(self, table: Table | None = None) -> tuple[str, ...]:
+        """Who votes by this table."""
         return (table or self.table).voters or self.base
 
     def votes(self) -> bool:
+        """Whether this one votes."""
         return self.me in self.voters() or self.me in self.base
 
     def enough(self, names, voters: tuple[str, ...]) -> bool:
+        """Whether these are a majority."""
         return 2 * sum(name in names for name in voters) > len(voters)
 
     def everyone(self) -> list[str]:
@@ -92,6 +95,7 @@
     # what arrives
 
     def received(self, peer: str, message, now: float) -> None:
+        """A message of a peer."""
         if isinstance(message, Ask):
             self.asked(peer, message, now)
         elif isinstance(message, Grant):
@@ -120,11 +124,13 @@
     # a voter
 
     def grants_to(self, ballot, now: float) -> bool:
+        """Whether this one may promise a ballot."""
         if self.abstains or ballot <= self.promised:
             return False
         return now >= self.until or self.promised[1] == ballot[1]
 
     def asked(self, peer: str, message: Ask, now: float) -> None:
+        """Somebody asks to lead."""
         if self.grants_to(message.ballot, now):
             self.promised, self.until = message.ballot, now + leased(self.lease)
             self.send(peer, Grant(message.ballot, self.mark, self.table))
@@ -132,9 +138,11 @@
             self.send(peer, Deny(message.ballot, self.promised))
 
     def takes(self, mark, now: float) -> bool:
+        """Whether a write is newer than what is held, and nobody newer was promised."""
         return mark[:2] >= self.promised and mark > self.mark
 
     def written(self, peer: str, message: Write, now: float) -> None:
+        """The leader writes."""
         if self.abstains:
             self.learn(message.mark, message.table)  # to know is no vote
         elif self.takes(message.mark, now):
@@ -155,6 +163,7 @@
     # one that started with nothing
 
     def tick(self, now: float) -> None:
+        """The clock moves on: a lease ends, questions are asked again."""
         if self.leads and now >= self.valid_until:
             self.step_down()
         if (
@@ -170,6 +179,7 @@
             self.knows(now)
 
     def told(self, peer: str, message: State, now: float) -> None:
+        """A voter tells one that remembers nothing what it holds."""
         if not self.abstains or message.number != self.number:
             return
         self.reads[peer] = message
@@ -218,6 +228,7 @@
         self.elected(now)
 
     def granted(self, peer: str, message: Grant, now: float) -> None:
+        """A voter promises."""
         if message.ballot == self.ballot and not self.leads:
             self.grants[peer] = message
             self.elected(now)
@@ -237,6 +248,7 @@
             self.write(self.table, now)
 
     def denied(self, message: Deny) -> None:
+        """A voter has promised another."""
         if message.promised > self.promised and message.ballot == self.ballot:
             self.step_down()
             self.ballot = (max(self.ballot[0], message.promised[0]), self.me)
@@ -251,6 +263,7 @@
             self.ballot = (mark[0], self.me)
 
     def step_down(self) -> None:
+        """Lead no more."""
         self.leads, self.pending, self.held = False, None, None
         self.grants, self.wrote = {}, {}
 
@@ -274,6 +287,7 @@
         self.committed(now)
 
     def confirmed(self, peer: str, message: Wrote, now: float) -> None:
+        """A voter holds what was written."""
         if not self.leads or message.mark[:2] != self.ballot:
             return
         self.heard(peer, message.report)
@@ -282,6 +296,7 @@
             self.committed(now)
 
     def committed(self, now: float) -> None:
+        """Whether a majority holds it: then it counts."""
         if (
             self.pending is None or now >= self.sent_at + self.lease
         ):  # an old vote may be of one that has forgotten it
--- a/brookhub/stand_ins/base.py
+++ b/brookhub/stand_ins/base.py
@@ -38,6 +38,7 @@
         threading.Thread(target=self.accept, args=(self.sock,), daemon=True).start()
 
     def accept(self, sock: socket.socket) -> None:
+        """Accept connections, each served by a thread."""
         with contextlib.suppress(OSError):
             while True:
                 conn = sock.accept()[0]
@@ -46,18 +47,22 @@
                 threading.Thread(target=self.hold, args=(conn,), daemon=True).start()
 
     def hold(self, conn: socket.socket) -> None:
+        """Serve a connection to its end."""
         with contextlib.suppress(OSError, ValueError), conn, conn.makefile("rb") as lines:
             self.serve(conn, lines)
         self.open.discard(conn)
 
     def serve(self, conn: socket.socket, lines) -> None:
+        """Answer what comes on a connection; for the stand-in to define."""
         raise NotImplementedError
 
     def break_all(self) -> None:
+        """Reset all connections."""
         for conn in list(self.open):
             reset(conn)
 
     def close(self) -> None:
+        """Stop, with all connections."""
         with contextlib.suppress(OSError):
             self.sock.shutdown(socket.SHUT_RDWR)  # wakes the accept that waits, which would hold it open
         self.sock.close()
@@ -87,6 +92,7 @@
         threading.Thread(target=self.run, daemon=True).start()
 
     def at(self, when: float, callback: Callable[[], None]) -> None:
+        """Call back at a moment (s, monotonic)."""
         with self.lock:
             self.order += 1
             heappush(self.heap, (when, self.order, callback))
@@ -94,6 +100,7 @@
                 self.lock.notify()
 
     def run(self) -> None:
+        """Call back what is due, until `close`."""
         while True:
             with self.lock:
                 while not self.over and (not self.heap or self.heap[0][0] > monotonic()):
@@ -106,6 +113,7 @@
                 callback()
 
     def close(self) -> None:
+        """Stop."""
         with self.lock:
             self.over = True
             self.lock.notify()
--- a/brookhub/stand_ins/counter.py
+++ b/brookhub/stand_ins/counter.py
@@ -31,21 +31,25 @@
         return {name: held[0] for name, held in self.keepers[0].counts.items()}
 
     def wipe(self) -> None:
+        """Forget all counts."""
         with self.lock:
             for keeper in self.keepers:
                 keeper.counts.clear()
 
     def lose(self, share: float) -> None:
+        """Forget a share of the counts."""
         with self.lock:
             for keeper in self.keepers:
                 for name in self.rng.sample(list(keeper.counts), round(share * len(keeper.counts))):
                     del keeper.counts[name]
 
     def swap(self) -> None:
+        """An empty counter takes its place."""
         with self.lock:
             self.aside, self.keepers = self.keepers, [Keeper() for _ in self.keepers]
 
     def restore(self) -> None:
+        """The one before is back."""
         with self.lock:
             self.keepers, self.aside = self.aside or self.keepers, None
 
@@ -55,10 +59,12 @@
             self.keepers, self.side = [self.keepers[0], Keeper()], side
 
     def heal(self) -> None:
+        """One counter again, the first."""
         with self.lock:
             self.keepers, self.side = [self.keepers[0]], lambda limiter: 0
 
     def serve(self, conn, lines):
+        """Answer the calls on a connection."""
         limiter = conn.getpeername()[0]
         while True:
             words = read_value(lines)
--- a/brookhub/stand_ins/discovery.py
+++ b/brookhub/stand_ins/discovery.py
@@ -35,17 +35,21 @@
         super().__init__(at)
 
     def seen_from(self, limiter: str, hosts) -> list[dict]:
+        """Hosts as a limiter is to dial them."""
         return (
             [{**one, "dial": self.dial(limiter, one["host"])} for one in hosts] if self.dial else list(hosts)
         )
 
     def whole(self, limiter: str = "") -> str:
+        """The whole list as a line."""
         return self.text(True, self.seen_from(limiter, self.hosts))
 
     def text(self, whole: bool, hosts: list[dict]) -> str:
+        """A list, whole or of changes, as a line."""
         return json.dumps({"seq": self.seq, "whole": whole, "hosts": hosts}, indent=self.indent)
 
     def serve(self, conn, lines):
+        """Answer a watch."""
         self.asked.append(lines.readline())
         while lines.readline().strip():
             pass
@@ -60,6 +64,7 @@
                 self.send(conn, "")
 
     def send(self, conn, text):
+        """Write a line to a watch."""
         data = text.encode() + b"\n"
         data = b"%x\r\n%b\r\n" % (len(data), data) if self.chunked else data
         for piece in (data[at : at + 1] for at in range(len(data))) if self.cut else (data,):
--- a/brookhub/stand_ins/server.py
+++ b/brookhub/stand_ins/server.py
@@ -27,6 +27,7 @@
         super().__init__()
 
     def serve(self, conn, lines):
+        """Answer each request as told."""
         self.dialled += 1
         while True:
             words = read_value(lines)
@@ -92,6 +93,7 @@
         super().__init__(at)
 
     def serve(self, conn, lines):
+        """Take each request and answer as the model says."""
         self.dialled += 1
         limiter = conn.getpeername()[0]
         try:
@@ -119,6 +121,7 @@
             self.left(conn)
 
     def take(self, one: Seen, now: float) -> None:
+        """A request arrives."""
         model = self.model
         with self.lock:
             self.seen.append(one)
@@ -140,6 +143,7 @@
                 self.fall()
 
     def start(self, one: Seen, now: float, fell: bool = False) -> None:
+        """Work on a request begins."""
         self.busy.add(one)
         one.ran = True
         if fell:
@@ -150,6 +154,7 @@
             self.timers.at(now + took, lambda: self.finish(one))
 
     def finish(self, one: Seen) -> None:
+        """Work on a request ends: answer."""
         with self.lock:
             if one not in self.busy:
                 return
@@ -165,6 +170,7 @@
         )
 
     def pump(self) -> None:
+        """Begin what waits, as places come free."""
         now = monotonic()
         while self.waiting and len(self.busy) < max(1, int(self.model.capacity(now))):
             self.start(self.waiting.popleft(), now)
@@ -177,6 +183,7 @@
             self.pump()
 
     def end(self, one: Seen, how: str) -> None:
+        """A request is over; how."""
         one.how, one.ended = how, monotonic()
         self.busy.discard(one)
         with contextlib.suppress(ValueError):
@@ -194,6 +201,7 @@
     # faults from outside
 
     def shut(self) -> None:
+        """Refuse connections from now on."""
         with contextlib.suppress(OSError):
             self.sock.shutdown(socket.SHUT_RDWR)
         self.sock.close()
@@ -201,10 +209,12 @@
             reset(conn)
 
     def again(self) -> None:
+        """Listen again."""
         with contextlib.suppress(OSError):
             self.listen(self.at)
 
     def die(self) -> None:
+        """Go down, with all that is held."""
         with self.lock:
             self.model.mode = "dead"
             for one in [*self.busy, *self.waiting]:
