--- a/brookhub/emulator/faults.py
+++ b/brookhub/emulator/faults.py
@@ -2,6 +2,7 @@
 
 from __future__ import annotations
 
+import random
 from typing import Any, Callable, Sequence
 
 from ..config.models import FaultSpec
@@ -12,6 +13,12 @@
 RESTART_AFTER = 1.0  # s a restarted limiter is away: a process start
 
 
+def pick_share(chance: random.Random, items: Sequence[Any], share: float) -> list[Any]:
+    """A share of the items by chance: one at least, none where the share is 0."""
+    count = min(len(items), max(1, round(share * len(items)))) if share else 0
+    return chance.sample(items, count)
+
+
 class FaultPlayer:
     """Plays faults on a `fleet.Fleet`; chance is the fleet's own, so that a run can be repeated."""
 
@@ -56,9 +63,8 @@
         action(fault)
 
     def pick(self, items: Sequence[Any], share: float) -> list[Any]:
-        """A share of the items by chance: one at least, none where the share is 0."""
-        count = min(len(items), max(1, round(share * len(items)))) if share else 0
-        return self.fleet.rng.sample(items, count)
+        """A share of the items by the fleet's chance."""
+        return pick_share(self.fleet.rng, items, share)
 
     def living(self) -> list[Seat]:
         """The limiters that run."""
--- a/brookhub/emulator/fleet.py
+++ b/brookhub/emulator/fleet.py
@@ -13,7 +13,7 @@
 
 from .. import policy
 from ..choices import TOPIC, ByCounter, ByPeers, Parts, Shared, SharedEjections, Turns, unpack
-from ..config.models import Experiment
+from ..config.models import Experiment, PlanSpec, RouteSpec
 from ..interface import ApiCall, GatewaySettings, Group, Plan, Repeat, Route, State
 from ..membership import ALIVE, Membership
 from ..recovery import Ledger
@@ -34,6 +34,34 @@
 CELLS = 4  # cells in each zone: tokened groups of the `cell` kind span a few servers
 
 
+def route_of(spec: RouteSpec) -> Route:
+    """A route as an experiment describes it."""
+    return Route(
+        spec.name,
+        spec.target_s,
+        spec.client_timeout_s,
+        REPEATS[spec.repeat],
+        GROUPS[spec.group],
+        spec.window_s,
+    )
+
+
+def plan_of(spec: PlanSpec) -> Plan:
+    """A plan as an experiment describes it."""
+    return Plan(
+        spec.name,
+        spec.rate,
+        spec.burst,
+        spec.open_cap,
+        spec.ceiling_rate,
+        spec.ceiling_burst,
+        spec.ceiling_slack,
+        spec.value,
+        spec.beyond_value,
+        spec.beyond_cost,
+    )
+
+
 class Fleet:
     """Builds the model from an Experiment and plays it; `referee` judges the rules at each event."""
 
@@ -45,66 +73,20 @@
         decisions: ModuleType = policy,
     ):
         """`decisions`: the module whose Gateway each limiter runs (tests pass a broken copy)."""
-        self.experiment = spec = experiment
-        self.decisions = decisions
+        self.experiment, self.decisions = experiment, decisions
         self.seed = experiment.seed if seed is None else seed
-        self.rng = random.Random(self.seed)
-        self.engine = Engine()
+        self.rng, self.engine = random.Random(self.seed), Engine()
         self.referee = Referee(strict=experiment.strict, keep_trail=keep_trail)
-        fleet = spec.fleet
+        fleet = experiment.fleet
         self.second_copies, self.grace = fleet.second_copies, fleet.grace_s
-        self.routes = [
-            Route(
-                one.name,
-                one.target_s,
-                one.client_timeout_s,
-                REPEATS[one.repeat],
-                GROUPS[one.group],
-                one.window_s,
-            )
-            for one in fleet.routes
-        ]
+        self.routes = [route_of(one) for one in fleet.routes]
         self.route_weights = [one.share for one in fleet.routes]
-        self.plans = [
-            Plan(
-                one.name,
-                one.rate,
-                one.burst,
-                one.open_cap,
-                one.ceiling_rate,
-                one.ceiling_burst,
-                one.ceiling_slack,
-                one.value,
-                one.beyond_value,
-                one.beyond_cost,
-            )
-            for one in fleet.plans
-        ]
-        kinds = [
-            (plan, one.calls_per_s * spec.load.scale)
-            for plan, one in zip(self.plans, fleet.plans, strict=False)
-            for _ in range(one.customers)
-        ]
-        self.customers = [Population(number, plan, rate) for number, (plan, rate) in enumerate(kinds)]
+        self.plans = [plan_of(one) for one in fleet.plans]
+        self.customers = self.make_customers()
         self.weights = [customer.calls_per_s for customer in self.customers]
         self.rate = sum(self.weights)
-        servers = fleet.servers
-        self.servers = Servers(
-            self.engine,
-            self.referee,
-            random.Random(self.rng.getrandbits(64)),
-            [
-                ServerModel.of(
-                    servers,
-                    index,
-                    index % fleet.zones,
-                    (index // fleet.zones) % CELLS,
-                    -servers.warm_after_s - 1.0,
-                )
-                for index in range(servers.count)
-            ],
-        )
-        self.next_server = servers.count
+        self.servers = self.make_servers()
+        self.next_server = fleet.servers.count
         self.counter = Counter(
             self.engine, random.Random(self.rng.getrandbits(64)), fleet.counter.delay_s, fleet.counter.wait_s
         )
@@ -117,15 +99,34 @@
         for index in range(fleet.limiters):
             self.seats.append(self.launch(index))
         self.discovery.seats = self.seats
-        self.result = Result()
+        self.result, self.ident = Result(), 0
         self.answered: dict[int, bool] = {}
         self.started: dict[int, float] = {}
-        self.ident = 0
         self.faults = FaultPlayer(self)
         self.early: set[int] = set()  # calls of the time before settle_s: their answers are not counted
 
     # building
 
+    def make_customers(self) -> list[Population]:
+        """The customers of all plans."""
+        scale = self.experiment.load.scale
+        kinds = [
+            (plan, one.calls_per_s * scale)
+            for plan, one in zip(self.plans, self.experiment.fleet.plans, strict=True)
+            for _ in range(one.customers)
+        ]
+        return [Population(number, plan, rate) for number, (plan, rate) in enumerate(kinds)]
+
+    def make_servers(self) -> Servers:
+        """The servers of the run's start, all warm."""
+        spec, zones = self.experiment.fleet.servers, self.experiment.fleet.zones
+        chance, up_since = random.Random(self.rng.getrandbits(64)), -spec.warm_after_s - 1.0
+        models = [
+            ServerModel.of(spec, index, index % zones, (index // zones) % CELLS, up_since)
+            for index in range(spec.count)
+        ]
+        return Servers(self.engine, self.referee, chance, models)
+
     def gateway_settings(self) -> GatewaySettings:
         """The settings that all limiters share."""
         fleet, servers = self.experiment.fleet, self.experiment.fleet.servers
--- a/brookhub/lab/membership.py
+++ b/brookhub/lab/membership.py
@@ -10,13 +10,12 @@
 from __future__ import annotations
 
 import json
-import multiprocessing
-import os
 from pathlib import Path
 from typing import Callable
 
 from ..emulator.peers import Crew
 from .canvas import panels, saved
+from .jobs import play_all
 
 RESULTS = "membership.jsonl"
 SIZES = (8, 40, 200, 1000)
@@ -259,36 +258,10 @@
     sizes=SIZES,
     progress: Callable[[float], None] = lambda done: None,
 ) -> list[dict]:
-    """Play what is not yet in `out`; returns all rows."""
-    out.mkdir(parents=True, exist_ok=True)
-    path = out / RESULTS
-    rows = read(out)
-    have = {row["key"] for row in rows}
+    """Play what is not yet in `out`; the rows of what was asked for."""
     wanted = jobs(seeds, hour, sizes)
-    todo = [job for job in wanted if job["key"] not in have]
-    context = multiprocessing.get_context("spawn")
-    with (
-        open(path, "a") as sink,
-        context.Pool(min(processes or os.cpu_count() or 1, max(1, len(todo)))) as pool,
-    ):
-        for number, row in enumerate(pool.imap_unordered(play, todo)):
-            sink.write(json.dumps(row, sort_keys=True) + "\n")
-            sink.flush()
-            rows.append(row)
-            progress((number + 1) / len(todo))
     keys = {job["key"] for job in wanted}
-    return [row for row in rows if row["key"] in keys]
-
-
-def read(out: Path) -> list[dict]:
-    rows = []
-    path = out / RESULTS
-    for line in path.read_text().splitlines() if path.exists() else ():
-        try:
-            rows.append(json.loads(line))
-        except ValueError:
-            continue  # a torn last line is played again
-    return rows
+    return [row for row in play_all(out / RESULTS, wanted, play, processes, progress) if row["key"] in keys]
 
 
 def mean(values: list[float]) -> float:
--- a/brookhub/lab/process_faults.py
+++ b/brookhub/lab/process_faults.py
@@ -6,6 +6,7 @@
 from typing import Any, Callable, Sequence
 
 from ..config.models import FaultSpec
+from ..emulator.faults import pick_share
 from ..interface import State
 from .errors import LabError
 from .limiter_process import Limiter
@@ -56,9 +57,8 @@
         action(fault)
 
     def pick(self, items: Sequence[Any], share: float) -> list[Any]:
-        """A share of the items by chance: one at least, none where the share is 0."""
-        count = min(len(items), max(1, round(share * len(items)))) if share else 0
-        return self.lab.rng.sample(items, count)
+        """A share of the items by the lab's chance."""
+        return pick_share(self.lab.rng, items, share)
 
     def living(self) -> list[Limiter]:
         """The limiters that run."""
--- a/brookhub/lab/recovery.py
+++ b/brookhub/lab/recovery.py
@@ -11,16 +11,18 @@
 
 from importlib import resources
 from pathlib import Path
-from typing import Callable
+from typing import Any, Callable
 
 from ..config import Experiment, loads
 from ..emulator import Fleet
+from ..emulator.result import Population
 from .canvas import panels, saved
 from .jobs import keyed, play_all
 
 RESULTS = "recovery.jsonl"
 AT, AFTER = 12.0, 10.0  # s: when the counter is hurt, and the run goes on after that
 LOAD = 1.5  # times the plans' calls: above every quota, so that whatever is granted too much is used
+REPEAT_SHARE = 0.1  # of those refused that ask again
 LOOK = 0.05  # s between looks at whether counts agree
 KINDS = ("none", "wipe", "lose", "swap", "split")
 LIMITERS, LENGTHS = (4, 40, 200), (4.0, 12.0)
@@ -99,114 +101,142 @@
     return all(abs(keeper.counts.get(found.name(name), [0.0])[0] - sums[name]) < 1e-3 for name in running)
 
 
-def play(job: dict) -> dict:
-    """One row.
+ACTIONS = {
+    "none": (),
+    "wipe": ("counter_wipe",),
+    "lose": ("counter_lose",),
+    "swap": ("counter_swap",),
+    "split": ("counter_split",),
+}  # the faults of each kind of run
 
-    `plans`: of SETS; `few`: the plans' customers are divided by it; `tokened`: the second route is (tests).
-    """
-    raw = loads(
-        resources.files("brookhub.lab").joinpath("default.toml").read_text(), Experiment, "default"
-    ).model_dump()
+
+def experiment_of(job: dict) -> Experiment:
+    """The embedded experiment as a job changes it."""
+    text = resources.files("brookhub.lab").joinpath("default.toml").read_text()
+    raw = loads(text, Experiment, "default").model_dump()
     raw["sweep"], raw["duration_s"] = {}, AT + job["for_s"] + AFTER
-    raw["load"].update(scale=LOAD, repeat_share=0.1)
-    fleet_spec = raw["fleet"]
-    fleet_spec["limiters"] = job["limiters"]
+    raw["load"].update(scale=LOAD, repeat_share=REPEAT_SHARE)
+    fleet = raw["fleet"]
+    fleet["limiters"] = job["limiters"]
     if job.get("plans") == "national":
-        fleet_spec["plans"].append(dict(NATIONAL))
-    for plan in fleet_spec["plans"]:
+        fleet["plans"].append(dict(NATIONAL))
+    for plan in fleet["plans"]:
         plan["customers"] = max(1, plan["customers"] // job.get("few", 1))
-    fleet_spec["routes"][1].update(
-        {"repeat": "tokened", "group": "zone", "window_s": 30.0} if job.get("tokened") else {}
-    )
-    fleet_spec["servers"].update(count=60, places=16)
-    fleet_spec["counter"].update(recovery=job["way"] == "on")
-    actions = {
-        "none": [],
-        "wipe": ["counter_wipe"],
-        "lose": ["counter_lose"],
-        "swap": ["counter_swap"],
-        "split": ["counter_split"],
-    }
+    if job.get("tokened"):
+        fleet["routes"][1].update(repeat="tokened", group="zone", window_s=30.0)
+    fleet["servers"].update(count=60, places=16)
+    fleet["counter"].update(recovery=job["way"] == "on")
     raw["faults"] = [
-        {"at_s": AT, "action": action, "share": 0.5, "for_s": job["for_s"]} for action in actions[job["kind"]]
+        {"at_s": AT, "action": action, "share": 0.5, "for_s": job["for_s"]} for action in ACTIONS[job["kind"]]
     ]
-    fleet = Fleet(Experiment.model_validate(raw), seed=job["seed"], keep_trail=False)
-    over, ceiling, asked = {}, {}, {}
-    ran: dict[int, set[int]] = {}  # token -> calls with it that reached a server
-    sides: dict[int, set[int]] = {}  # token -> sides of the counter that it was asked on
-    take, arrive = fleet.servers.take, fleet.referee.note
-
-    def taken(one, seat) -> None:
-        ran.setdefault(one.call.token, set()).add(one.call.id)
-        take(one, seat)
-
-    def noted(what, *facts) -> None:
-        arrive(what, *facts)
-        if what == "arrive":
-            token = fleet.seats[facts[0]].calls[facts[1]].token
-            sides.setdefault(token, set()).add(facts[0] % len(fleet.counter.keepers))
-
-    if job.get("tokened"):
-        fleet.servers.take, fleet.referee.note = taken, noted
-    for customer in fleet.customers:
-        plan = customer.plan
+    return Experiment.model_validate(raw)
+
+
+class Watch:
+    """What is watched on a run: use beyond quotas and ceilings, repeats of tokened requests, agreement."""
+
+    def __init__(self, fleet: Fleet, job: dict) -> None:
+        self.fleet, self.job = fleet, job
+        self.over: dict[int, Debt] = {}  # customer -> use beyond its quota
+        self.ceiling: dict[int, Debt] = {}
+        self.agreed_at: float | None = None  # s after the fault
+        self.ran: dict[int, set[int]] = {}  # token -> calls with it that reached a server
+        self.sides: dict[int, set[int]] = {}  # token -> sides of the counter that it was asked on
+        for customer in fleet.customers:
+            self.watch_customer(customer)
+        if job.get("tokened"):
+            self.watch_tokens()
+        if job["way"] == "on":
+            fleet.engine.at(AT + job["for_s"] + LOOK, self.look)
+
+    def watch_customer(self, customer: Population) -> None:
+        """Book what it is served as a debt."""
+        plan, before = customer.plan, customer.served
         if not plan.beyond_value > plan.beyond_cost:  # a soft plan's loans go beyond its quota
-            over[customer.id] = Debt(plan.rate, plan.burst)
+            self.over[customer.id] = Debt(plan.rate, plan.burst)
         if plan.ceiling_rate:
-            ceiling[customer.id] = Debt(plan.ceiling_rate, plan.ceiling_burst)
-        asked[customer.id] = customer.calls_per_s * (1 + raw["load"]["repeat_share"])
+            self.ceiling[customer.id] = Debt(plan.ceiling_rate, plan.ceiling_burst)
+        debts = [held[customer.id] for held in (self.over, self.ceiling) if customer.id in held]
 
-        def served(now: float, units: float, customer=customer, before=customer.served) -> None:
+        def served(now: float, units: float) -> None:
             before(now, units)
-            for debts in (over, ceiling):
-                if customer.id in debts:
-                    debts[customer.id].take(now, units)
+            for debt in debts:
+                debt.take(now, units)
 
         customer.served = served
-    agreed: list[float] = []
-
-    def look() -> None:
-        if not agreed and agree(fleet):
-            agreed.append(fleet.engine.now - AT - job["for_s"])
-        if not agreed:
-            fleet.engine.after(LOOK, look)
-
-    if job["way"] == "on":
-        fleet.engine.at(AT + job["for_s"] + LOOK, look)
-    result = fleet.run()
-    beat, wait = fleet_spec["counter"]["beat_s"], fleet_spec["counter"]["wait_s"]
-    plans = {one.id: one.plan for one in fleet.customers}
-    bounds = {
-        ident: bound(plans[ident].rate, plans[ident].burst, job["kind"], asked[ident], beat, wait)
-        for ident in over
-    }
-    above = {
-        ident: bound(
-            plans[ident].ceiling_rate, plans[ident].ceiling_burst, job["kind"], asked[ident], beat, wait
-        )
-        for ident in ceiling
-    }
-    rows = [(debt.worst / plans[ident].burst, ident) for ident, debt in over.items()]
-    soft = [one for one in fleet.customers if one.id not in over]
+
+    def watch_tokens(self) -> None:
+        """Note which requests of a token ran, and on which sides of the counter they came."""
+        fleet, take, note = self.fleet, self.fleet.servers.take, self.fleet.referee.note
+
+        def taken(one, seat) -> None:
+            self.ran.setdefault(one.call.token, set()).add(one.call.id)
+            take(one, seat)
+
+        def noted(what, *facts) -> None:
+            note(what, *facts)
+            if what == "arrive":
+                token = fleet.seats[facts[0]].calls[facts[1]].token
+                self.sides.setdefault(token, set()).add(facts[0] % len(fleet.counter.keepers))
+
+        fleet.servers.take, fleet.referee.note = taken, noted
+
+    def look(self) -> None:
+        """Look until all agree again."""
+        if agree(self.fleet):
+            self.agreed_at = self.fleet.engine.now - AT - self.job["for_s"]
+        else:
+            self.fleet.engine.after(LOOK, self.look)
+
+    def bounds(self, held: dict[int, Debt]) -> dict[int, float]:
+        """The stated bound (units) of each of these customers."""
+        counter = self.fleet.experiment.fleet.counter
+        customers = {one.id: one for one in self.fleet.customers}
+        return {
+            ident: bound(
+                debt.rate,
+                debt.burst,
+                self.job["kind"],
+                customers[ident].calls_per_s * (1 + REPEAT_SHARE),
+                counter.beat_s,
+                counter.wait_s,
+            )
+            for ident, debt in held.items()
+        }
+
+
+def share_of_bound(held: dict[int, Debt], bounds: dict[int, float]) -> float:
+    """The worst use beyond, as a share of what the bound allows."""
+    return max((debt.worst / bounds[ident] for ident, debt in held.items() if bounds[ident]), default=0.0)
+
+
+def play(job: dict) -> dict:
+    """One row.
+
+    `plans`: of SETS; `few`: the plans' customers are divided by it; `tokened`: the second route is (tests).
+    """
+    experiment = experiment_of(job)
+    fleet = Fleet(experiment, seed=job["seed"], keep_trail=False)
+    watch = Watch(fleet, job)
+    metrics = fleet.run().metrics()
+    bounds = watch.bounds(watch.over)
+    worst = [debt.worst / debt.burst for debt in watch.over.values()]
+    soft = [one for one in fleet.customers if one.id not in watch.over]
+    of_ceiling = [one.units / (one.plan.ceiling_rate * experiment.duration_s) for one in soft]
     return job | {
-        "over": max(rows)[0],
-        "over_mean": sum(value for value, _ in rows) / len(rows),
-        "bound": max(bounds[ident] / plans[ident].burst for ident in bounds),
-        "of_bound": max(
-            (debt.worst / bounds[ident] for ident, debt in over.items() if bounds[ident]), default=0.0
-        ),
-        "ceiling_over": max(debt.worst / plans[ident].ceiling_burst for ident, debt in ceiling.items()),
-        "ceiling_of_bound": max(
-            (debt.worst / above[ident] for ident, debt in ceiling.items() if above[ident]), default=0.0
-        ),
-        "of_ceiling": sum(one.units / (one.plan.ceiling_rate * raw["duration_s"]) for one in soft)
-        / max(1, len(soft)),
-        "served": result.metrics()["served_share"],
-        "broken": result.metrics()["broken"],
-        "agreed_s": agreed[0] if agreed else None,
+        "over": max(worst),
+        "over_mean": sum(worst) / len(worst),
+        "bound": max(bounds[ident] / debt.burst for ident, debt in watch.over.items()),
+        "of_bound": share_of_bound(watch.over, bounds),
+        "ceiling_over": max(debt.worst / debt.burst for debt in watch.ceiling.values()),
+        "ceiling_of_bound": share_of_bound(watch.ceiling, watch.bounds(watch.ceiling)),
+        "of_ceiling": sum(of_ceiling) / max(1, len(soft)),
+        "served": metrics["served_share"],
+        "broken": metrics["broken"],
+        "agreed_s": watch.agreed_at,
         "epochs": len({facts["epoch"] for _, _, event, facts in fleet.heard if "epoch" in facts}),
-        "twice": sum(len(calls) > 1 for calls in ran.values()),
-        "both_sides": sum(len(them) > 1 for them in sides.values()),
+        "twice": sum(len(calls) > 1 for calls in watch.ran.values()),
+        "both_sides": sum(len(them) > 1 for them in watch.sides.values()),
         "resent": sum(seat.recovery.resent for seat in fleet.seats if seat.recovery),
         "counter_calls": fleet.counter.calls,
     }
@@ -270,6 +300,17 @@
     return "\n".join(lines)
 
 
+def set_titles(axes: Any, titles: tuple[str, ...]) -> None:
+    """Titles, scales and legend of a plot's panels; the second has a line at the bound."""
+    for axis, title in zip(axes, titles, strict=False):
+        axis.set_xscale("log")
+        axis.set_xlabel("limiters")
+        axis.set_title(title, fontsize=9)
+        axis.grid(alpha=0.3)
+    axes[1].axhline(1.0, color="red", lw=0.8)
+    axes[0].legend(fontsize=7)
+
+
 def plot(rows: list[dict], png: Path) -> Path:
     """Worst overshoot against limiters by fault, with and without recovery; s until counts agree."""
     figure, axes = panels(3, (15, 4.5))
@@ -302,21 +343,12 @@
                     style,
                     color=f"C{number}",
                 )
-    for axis, title in zip(
-        axes,
-        (
-            "over a quota, bursts, worst customer (dashed: no recovery)",
-            "the same, as a share of the stated bound",
-            "s until counts agree again, worst",
-        ),
-        strict=False,
-    ):
-        axis.set_xscale("log")
-        axis.set_xlabel("limiters")
-        axis.set_title(title, fontsize=9)
-        axis.grid(alpha=0.3)
-    axes[1].axhline(1.0, color="red", lw=0.8)
-    axes[0].legend(fontsize=7)
+    titles = (
+        "over a quota, bursts, worst customer (dashed: no recovery)",
+        "the same, as a share of the stated bound",
+        "s until counts agree again, worst",
+    )
+    set_titles(axes, titles)
     return saved(figure, png)
 
 
@@ -341,18 +373,9 @@
             axes[1].plot(
                 list(own), [mean(them, "of_ceiling") for them in own.values()], style, color=f"C{number}"
             )
-    for axis, title in zip(
-        axes,
-        (
-            "over a hard ceiling, ceiling's bursts, worst customer (dashed: no recovery)",
-            "used of the ceiling's rate, mean",
-        ),
-        strict=False,
-    ):
-        axis.set_xscale("log")
-        axis.set_xlabel("limiters")
-        axis.set_title(title, fontsize=9)
-        axis.grid(alpha=0.3)
-    axes[1].axhline(1.0, color="red", lw=0.8)
-    axes[0].legend(fontsize=7)
+    titles = (
+        "over a hard ceiling, ceiling's bursts, worst customer (dashed: no recovery)",
+        "used of the ceiling's rate, mean",
+    )
+    set_titles(axes, titles)
     return saved(figure, png)
