--- a/brookhub/emulator/fleet.py
+++ b/brookhub/emulator/fleet.py
@@ -13,7 +13,7 @@
 
 from .. import policy
 from ..choices import TOPIC, ByCounter, ByPeers, Parts, Shared, SharedEjections, Turns, unpack
-from ..config.models import Experiment
+from ..config.models import Experiment, PlanSpec, RouteSpec
 from ..interface import ApiCall, GatewaySettings, Group, Plan, Repeat, Route, State
 from ..membership import ALIVE, Membership
 from ..recovery import Ledger
@@ -34,6 +34,34 @@
 CELLS = 4  # cells in each zone: tokened groups of the `cell` kind span a few servers
 
 
+def route_of(spec: RouteSpec) -> Route:
+    """A route as an experiment describes it."""
+    return Route(
+        spec.name,
+        spec.target_s,
+        spec.client_timeout_s,
+        REPEATS[spec.repeat],
+        GROUPS[spec.group],
+        spec.window_s,
+    )
+
+
+def plan_of(spec: PlanSpec) -> Plan:
+    """A plan as an experiment describes it."""
+    return Plan(
+        spec.name,
+        spec.rate,
+        spec.burst,
+        spec.open_cap,
+        spec.ceiling_rate,
+        spec.ceiling_burst,
+        spec.ceiling_slack,
+        spec.value,
+        spec.beyond_value,
+        spec.beyond_cost,
+    )
+
+
 class Fleet:
     """Builds the model from an Experiment and plays it; `referee` judges the rules at each event."""
 
@@ -45,66 +73,20 @@
         decisions: ModuleType = policy,
     ):
         """`decisions`: the module whose Gateway each limiter runs (tests pass a broken copy)."""
-        self.experiment = spec = experiment
-        self.decisions = decisions
+        self.experiment, self.decisions = experiment, decisions
         self.seed = experiment.seed if seed is None else seed
-        self.rng = random.Random(self.seed)
-        self.engine = Engine()
+        self.rng, self.engine = random.Random(self.seed), Engine()
         self.referee = Referee(strict=experiment.strict, keep_trail=keep_trail)
-        fleet = spec.fleet
+        fleet = experiment.fleet
         self.second_copies, self.grace = fleet.second_copies, fleet.grace_s
-        self.routes = [
-            Route(
-                one.name,
-                one.target_s,
-                one.client_timeout_s,
-                REPEATS[one.repeat],
-                GROUPS[one.group],
-                one.window_s,
-            )
-            for one in fleet.routes
-        ]
+        self.routes = [route_of(one) for one in fleet.routes]
         self.route_weights = [one.share for one in fleet.routes]
-        self.plans = [
-            Plan(
-                one.name,
-                one.rate,
-                one.burst,
-                one.open_cap,
-                one.ceiling_rate,
-                one.ceiling_burst,
-                one.ceiling_slack,
-                one.value,
-                one.beyond_value,
-                one.beyond_cost,
-            )
-            for one in fleet.plans
-        ]
-        kinds = [
-            (plan, one.calls_per_s * spec.load.scale)
-            for plan, one in zip(self.plans, fleet.plans, strict=False)
-            for _ in range(one.customers)
-        ]
-        self.customers = [Population(number, plan, rate) for number, (plan, rate) in enumerate(kinds)]
+        self.plans = [plan_of(one) for one in fleet.plans]
+        self.customers = self.make_customers()
         self.weights = [customer.calls_per_s for customer in self.customers]
         self.rate = sum(self.weights)
-        servers = fleet.servers
-        self.servers = Servers(
-            self.engine,
-            self.referee,
-            random.Random(self.rng.getrandbits(64)),
-            [
-                ServerModel.of(
-                    servers,
-                    index,
-                    index % fleet.zones,
-                    (index // fleet.zones) % CELLS,
-                    -servers.warm_after_s - 1.0,
-                )
-                for index in range(servers.count)
-            ],
-        )
-        self.next_server = servers.count
+        self.servers = self.make_servers()
+        self.next_server = fleet.servers.count
         self.counter = Counter(
             self.engine, random.Random(self.rng.getrandbits(64)), fleet.counter.delay_s, fleet.counter.wait_s
         )
@@ -117,15 +99,34 @@
         for index in range(fleet.limiters):
             self.seats.append(self.launch(index))
         self.discovery.seats = self.seats
-        self.result = Result()
+        self.result, self.ident = Result(), 0
         self.answered: dict[int, bool] = {}
         self.started: dict[int, float] = {}
-        self.ident = 0
         self.faults = FaultPlayer(self)
         self.early: set[int] = set()  # calls of the time before settle_s: their answers are not counted
 
     # building
 
+    def make_customers(self) -> list[Population]:
+        """The customers of all plans."""
+        scale = self.experiment.load.scale
+        kinds = [
+            (plan, one.calls_per_s * scale)
+            for plan, one in zip(self.plans, self.experiment.fleet.plans, strict=True)
+            for _ in range(one.customers)
+        ]
+        return [Population(number, plan, rate) for number, (plan, rate) in enumerate(kinds)]
+
+    def make_servers(self) -> Servers:
+        """The servers of the run's start, all warm."""
+        spec, zones = self.experiment.fleet.servers, self.experiment.fleet.zones
+        chance, up_since = random.Random(self.rng.getrandbits(64)), -spec.warm_after_s - 1.0
+        models = [
+            ServerModel.of(spec, index, index % zones, (index // zones) % CELLS, up_since)
+            for index in range(spec.count)
+        ]
+        return Servers(self.engine, self.referee, chance, models)
+
     def gateway_settings(self) -> GatewaySettings:
         """The settings that all limiters share."""
         fleet, servers = self.experiment.fleet, self.experiment.fleet.servers
@@ -151,6 +152,7 @@
         )
 
     def launch(self, index: int) -> Seat:
+        """A limiter that begins with nothing, but what a disk kept."""
         zones = self.experiment.fleet.zones
         seat = Seat(
             self, index, index % zones, self.rng.getrandbits(63), replace(self.settings, zone=index % zones)
@@ -207,22 +209,26 @@
         peer.core.start()
 
     def turns(self, seat: Seat) -> Turns:
+        """The turns of a limiter that sees all others."""
         turns = Turns(self.seed, f"n{seat.index}")
         turns.told(f"n{index}" for index in range(self.experiment.fleet.limiters))
         return turns
 
     def entries(self) -> list[tuple]:
+        """The server list as discovery has it."""
         return [model.entry() for model in self.servers.models.values() if model.state is not State.GONE]
 
     # the clients
 
     def offered(self, now: float) -> float:
+        """Requests a second that clients offer now."""
         load = self.experiment.load
         if load.shape == "bursty" and now % load.burst_every_s < load.burst_for_s:
             return self.rate * load.burst_factor
         return self.rate
 
     def arrival(self) -> None:
+        """A request comes, and the next one is drawn."""
         now = self.engine.now
         self.engine.after(self.rng.expovariate(self.offered(now)), self.arrival)
         customer = self.rng.choices(self.customers, self.weights)[0]
@@ -265,6 +271,7 @@
             seat.later(leave, lambda: self.leave(seat, call))
 
     def leave(self, seat: Seat, call: ApiCall) -> None:
+        """A client has no patience left."""
         if call.id in self.started:
             self.referee.note("leave", seat.index, call.id)
             self.started.pop(call.id)
@@ -274,6 +281,7 @@
     # final answers
 
     def answer(self, seat: Seat, call: ApiCall, how: str, retry_after: float = 0.0, one=None) -> None:
+        """A limiter gives a final answer; `how` in the protocol's words."""
         now = self.engine.now
         self.referee.now = now
         self.referee.note("answer", seat.index, call.id, how)
@@ -311,6 +319,7 @@
         self.result, self.early = Result(), set(self.started)
 
     def lost(self, call: ApiCall) -> None:
+        """A request that nobody will answer."""
         if self.started.pop(call.id, None) is not None and call.id not in self.early:
             self.result.lost += 1
 
@@ -333,6 +342,7 @@
             seat.gateway.servers_told(seat.roster.update(told, whole=False))
 
     def restart(self, index: int) -> None:
+        """Start a limiter anew in its place."""
         seat = self.seats[index] = self.launch(index)
         self.discovery.seats = self.seats
         self.referee.note("restarted", seat.index)
@@ -369,6 +379,7 @@
         return self.result
 
     def overdue(self, now: float) -> None:
+        """Count requests as lost whose time is over for long."""
         self.referee.now = now
         for ident, began in list(self.started.items()):
             if began + 60.0 < now:  # far past any client timeout: this one was never answered
@@ -376,6 +387,7 @@
                 self.started.pop(ident)
 
     def finish(self, wall: float) -> None:
+        """Sum up the run; `wall`: s that it took."""
         result, end = self.result, self.experiment.duration_s
         result.wall_s, result.events = wall, self.engine.events
         result.open = len(self.started)
