--- a/brookhub/maintenance/core.py
+++ b/brookhub/maintenance/core.py
@@ -31,6 +31,7 @@
     Told,
     Want,
 )
+from .moves import Figures, change_one_voter, move, sum_figures, why_answers, why_capacity
 from .plan import Machine, Plan, fits, order
 from .register import Register, leased
 
@@ -362,7 +363,7 @@
             return table
         voters = table.voters or plan.voters
         if plan.voters_next and set(voters) != set(plan.voters_next):
-            return msgspec.structs.replace(table, voters=self.one_changed(voters, plan.voters_next))
+            return msgspec.structs.replace(table, voters=change_one_voter(voters, plan.voters_next))
         following = table
         for name, step in table.outs:
             machine = plan.machine(name)
@@ -379,70 +380,62 @@
             table = following
         return table
 
-    def one_changed(self, voters: tuple, following: tuple) -> tuple:
-        """One voter more or less at a time: any majority before shares one with any majority after."""
-        more, less = (
-            [one for one in following if one not in voters],
-            [one for one in voters if one not in following],
-        )
-        return (*voters, more[0]) if more else tuple(one for one in voters if one != less[0])
-
-    def moved(self, table: Table, name: str, step: int = 0, done: bool = False) -> Table:
-        """The table with a machine at another step, or back."""
-        outs = tuple((one, step if one == name else at) for one, at in table.outs if one != name or step)
-        bit = 1 << [one.name for one in self.plan.machines].index(name) if done else 0
-        return msgspec.structs.replace(table, outs=outs, done=table.done | bit)
-
     def step(self, table: Table, machine: Machine, step: int, now: float) -> Table:
         """Move a machine that is out one step on, where it is time."""
-        name, plan, up, waited = (
-            machine.name,
-            self.plan,
-            self.port.up(machine),
-            now - self.since[machine.name],
-        )
         if step == LEAVING:
-            if table.halted and up:
-                self.port.log(
-                    "brought back", machine=name, why="the plan halted and nobody had started on it"
-                )
-                return self.moved(table, name)
-            if self.all_quiet(machine, now):
-                return self.moved(table, name, OPEN)
-        elif step == OPEN:
-            if name not in self.late:
-                self.late[name] = False
-                self.port.log(
-                    "safe to work on " + name,
-                    machine=name,
-                    start_within_s=plan.start_within_s,
-                    work_most_s=plan.work_most_s,
-                )
-            self.started[name] = self.started.get(name, False) or not up
-            # Down and up again may also have been a failure of its own: as long as somebody may yet start it
-            # stays out.
-            begun = waited >= leased(plan.start_within_s)
-            if up and self.started[name] and begun:
-                self.port.log("back", machine=name)
-                return self.moved(table, name, FILLING)
-            if up and begun:  # whoever wanted to start had to be gone from the list by now
-                self.port.log(
-                    "withdrawn",
-                    machine=name,
-                    why=f"nobody started within {plan.start_within_s:.0f} s: ask again",
-                )
-                self.late.pop(name, None)
-                return self.moved(table, name)
-            if not up and waited >= plan.work_most_s and not self.late[name]:
-                self.late[name] = True
-                self.port.log("work takes long", machine=name, work_most_s=plan.work_most_s)
-        elif waited >= plan.fill_s:
-            self.freed_at = now
+            return self.step_leaving(table, machine, now)
+        if step == OPEN:
+            return self.step_open(table, machine, now)
+        name = machine.name
+        if now - self.since[name] < self.plan.fill_s:
+            return table
+        self.freed_at = now
+        self.late.pop(name, None)
+        self.port.log("done with " + name, machine=name)
+        return move(self.plan, table, name, done=True)
+
+    def step_leaving(self, table: Table, machine: Machine, now: float) -> Table:
+        """A machine that is to go out: it is open once nothing of anybody is out there."""
+        name = machine.name
+        if table.halted and self.port.up(machine):
+            why = "the plan halted and nobody had started on it"
+            self.port.log("brought back", machine=name, why=why)
+            return move(self.plan, table, name)
+        return move(self.plan, table, name, OPEN) if self.all_quiet(machine, now) else table
+
+    def step_open(self, table: Table, machine: Machine, now: float) -> Table:
+        """A machine that may be worked on: it is back once it went down and came up, or nobody started."""
+        name, plan, up = machine.name, self.plan, self.port.up(machine)
+        waited = now - self.since[name]
+        self.say_safe(name)
+        self.started[name] = self.started.get(name, False) or not up
+        # Down and up again may also have been a failure of its own: as long as somebody may yet start it
+        # stays out.
+        begun = waited >= leased(plan.start_within_s)
+        if up and begun and self.started[name]:
+            self.port.log("back", machine=name)
+            return move(plan, table, name, FILLING)
+        if up and begun:  # whoever wanted to start had to be gone from the list by now
+            why = f"nobody started within {plan.start_within_s:.0f} s: ask again"
+            self.port.log("withdrawn", machine=name, why=why)
             self.late.pop(name, None)
-            self.port.log("done with " + name, machine=name)
-            return self.moved(table, name, done=True)
+            return move(plan, table, name)
+        if not up and waited >= plan.work_most_s and not self.late[name]:
+            self.late[name] = True
+            self.port.log("work takes long", machine=name, work_most_s=plan.work_most_s)
         return table
 
+    def say_safe(self, name: str) -> None:
+        """Tell once that a machine may be worked on."""
+        if name not in self.late:
+            self.late[name] = False
+            self.port.log(
+                "safe to work on " + name,
+                machine=name,
+                start_within_s=self.plan.start_within_s,
+                work_most_s=self.plan.work_most_s,
+            )
+
     def all_quiet(self, machine: Machine, now: float) -> bool:
         """Whether nothing of any limiter is out at it: each says so.
 
@@ -469,21 +462,8 @@
 
     def halt(self, table: Table, now: float) -> str:
         """Why the plan may not go on, or ""."""
-        plan, why = self.plan, ""
-        down = {one.name for one in plan.machines if not self.port.up(one)} - {name for name, _ in table.outs}
-        total = sum(one.capacity for one in plan.machines)
-        left = total - sum(one.capacity for one in plan.machines if one.name in down or table.step(one.name))
-        asked, served, took = self.sums(now)
-        if left < plan.capacity_least * total - 1e-9:
-            why = f"{left:g} of {total:g} capacity is left, {plan.capacity_least * total:g} has to stay"
-        elif any(self.late.get(name) for name, _ in table.outs):
-            why = "work takes longer than the plan allows"
-        elif asked >= self.settings.asked_least and served < plan.served_least * asked:
-            why = f"{served / asked:.3f} of the calls are served, {plan.served_least:g} is the least"
-        elif (
-            served >= self.settings.asked_least and plan.answer_most_s and took > plan.answer_most_s * served
-        ):
-            why = f"an answer takes {took / served:.2f} s in the mean, {plan.answer_most_s:g} s is the most"
+        plan = self.plan
+        why = self.why_halted(table, now)
         if why:
             self.well_at = now
             # The reason that it halted for stays while it holds: figures change with each look.
@@ -491,14 +471,21 @@
         told = plan.resume > table.resume
         return "" if not table.halted or told or now - self.well_at >= self.settings.settle else table.halted
 
-    def sums(self, now: float) -> tuple[float, float, float]:
-        """Requests, served ones and their seconds, of all limiters."""
-        fresh = [self.port.lately()] + [
-            (one.asked, one.served, one.took)
-            for at, one in self.reports.values()
-            if now - at < self.settings.lease
-        ]
-        return tuple(sum(figures) for figures in zip(*fresh, strict=False))
+    def why_halted(self, table: Table, now: float) -> str:
+        """What stands against going on just now, or ""."""
+        plan = self.plan
+        down = {one.name for one in plan.machines if not self.port.up(one)} - {name for name, _ in table.outs}
+        if why := why_capacity(plan, table, down):
+            return why
+        if any(self.late.get(name) for name, _ in table.outs):
+            return "work takes longer than the plan allows"
+        return why_answers(plan, self.figures(now), self.settings.asked_least)
+
+    def figures(self, now: float) -> Figures:
+        """What all limiters met lately."""
+        lease = self.settings.lease
+        told = [(one.asked, one.served, one.took) for at, one in self.reports.values() if now - at < lease]
+        return sum_figures([self.port.lately(), *told])
 
     def permit(self, table: Table, now: float) -> Table:
         """Let the next machine go out, where the bounds allow it."""
