--- a/brookhub/emulator/site.py
+++ b/brookhub/emulator/site.py
@@ -106,10 +106,10 @@
 
 
 class Site:
-    """`how`.
+    """Machines, the limiters that settle who goes out, and people who work.
 
-    "agreed" (maintenance), "timetable" (K at a time at fixed times, whatever happens) or "alone" (whoever has
-    a vote takes the next when it sees fewer than K out by the list).
+    `how`: "agreed" (maintenance), "timetable" (K at a time at fixed times, whatever happens) or "alone"
+    (whoever has a vote takes the next when it sees fewer than K out by the list).
 
     `breaks`: what went wrong, in words; `ended`: s when the plan was done; `most`: machines out at once.
     """
--- a/brookhub/maintenance/messages.py
+++ b/brookhub/maintenance/messages.py
@@ -66,13 +66,13 @@
     took: float = 0.0
 
 
-class Ask(Struct):
+class Ask(Struct, frozen=True):
     """May I lead?"""
 
     ballot: Ballot
 
 
-class Grant(Struct):
+class Grant(Struct, frozen=True):
     """For a lease's time, with the table that I hold."""
 
     ballot: Ballot
@@ -80,34 +80,34 @@
     table: Table
 
 
-class Deny(Struct):
+class Deny(Struct, frozen=True):
     """Another leads, or leads by a later ballot."""
 
     ballot: Ballot
     promised: Ballot
 
 
-class Write(Struct):
+class Write(Struct, frozen=True):
     """Hold this table, and the lease anew."""
 
     mark: Mark
     table: Table
 
 
-class Wrote(Struct):
+class Wrote(Struct, frozen=True):
     """A voter holds what was written."""
 
     mark: Mark
     report: Report
 
 
-class Read(Struct):
+class Read(Struct, frozen=True):
     """What do you hold? Asked by one that started with nothing."""
 
     number: Count
 
 
-class State(Struct):
+class State(Struct, frozen=True):
     """What a voter holds, for one that remembers nothing."""
 
     number: Count
@@ -118,7 +118,7 @@
     leased: bool
 
 
-class Pass(Struct):
+class Pass(Struct, frozen=True):
     """Between two of which one does not hear the other: a third hands it on."""
 
     origin: Name
@@ -126,35 +126,35 @@
     message: Union[Read, State]
 
 
-class Told(Struct):
+class Told(Struct, frozen=True):
     """A table that a majority holds, for those that do not vote."""
 
     mark: Mark
     table: Table
 
 
-class Heard(Struct):
+class Heard(Struct, frozen=True):
     """The answer to Told."""
 
     mark: Mark
     report: Report
 
 
-class Offer(Struct):
+class Offer(Struct, frozen=True):
     """I have this plan."""
 
     version: Count
     digest: Digest
 
 
-class Want(Struct):
+class Want(Struct, frozen=True):
     """A piece of a plan is wanted."""
 
     digest: Digest
     piece: Annotated[int, msgspec.Meta(ge=0, le=MOST_PIECES)]
 
 
-class Piece(Struct):
+class Piece(Struct, frozen=True):
     """A piece of a plan."""
 
     digest: Digest
--- a/brookhub/maintenance/plan.py
+++ b/brookhub/maintenance/plan.py
@@ -94,10 +94,10 @@
 
 def fits(plan: Plan, name: str, away: set[str]) -> bool:
     """Whether this machine may go out beside those that are away (permitted, or down by themselves)."""
-    machine, others = (
-        plan.machine(name),
-        [one for one in plan.machines if one.name in away and one.name != name],
-    )
+    machine = plan.machine(name)
+    if machine is None:
+        return False
+    others = [one for one in plan.machines if one.name in away and one.name != name]
     if (
         len(others) + 1 > plan.most_out
         or sum(one.zone == machine.zone for one in others) + 1 > plan.most_zone
--- a/brookhub/maintenance/register.py
+++ b/brookhub/maintenance/register.py
@@ -14,16 +14,16 @@
 
 from __future__ import annotations
 
-from typing import Callable
+from typing import Any, Callable, Container
 
-from .messages import NOTHING_SAID, Ask, Deny, Grant, Read, Report, State, Table, Write, Wrote
+from .messages import NOTHING_SAID, Ask, Ballot, Deny, Grant, Mark, Read, Report, State, Table, Write, Wrote
 
 DRIFT = 0.05  # by how much any clock may run fast or slow
 NOBODY = (0, "")
 
 
 def leased(lease: float) -> float:
-    """S that a voter keeps to a lease of so many s.
+    """Seconds that a voter keeps to a lease of so many s.
 
     Whatever the two clocks do, it ends after the leader's.
     """
@@ -45,18 +45,17 @@
         lease: float,
         alone: float,
         now: float,
-        send: Callable,
+        send: Callable[[str, Any], None],
         report: Callable[[], Report],
-        heard: Callable,
-        adopt: Callable,
+        heard: Callable[[str, Report], None],
+        adopt: Callable[[Table], None],
         knows: bool = False,
         listed: Callable[[], list[str]] = lambda: [],
     ):
-        """`alone`.
+        """`alone`: s that one abstains where nobody remembers anything.
 
-        S that one abstains where nobody remembers anything (a permission to start has run out by then).
-        `listed`: all limiters: those without a vote were told the tables too, and remember them for voters
-        that all forgot.
+        A permission to start has run out by then. `listed`: all limiters: those without a vote were told the
+        tables too, and remember them for voters that all forgot.
         """
         self.me, self.lease, self.alone, self.born = me, lease, alone, now
         self.send, self.report, self.heard, self.adopt, self.listed = send, report, heard, adopt, listed
@@ -67,9 +66,11 @@
         self.reads: dict[str, State] = {}
         self.number, self.read_at = 0, now - lease
         # as a leader, or one that asks to be it
-        self.ballot, self.asked_at, self.grants = NOBODY, now, {}
+        self.ballot, self.asked_at = NOBODY, now
+        self.grants: dict[str, Grant] = {}
         self.leads, self.valid_until = False, now - 1.0
-        self.serial, self.sent_at, self.wrote = 0, now, {}
+        self.serial, self.sent_at = 0, now
+        self.wrote: dict[str, Any] = {}
         self.pending: Table | None = None
         self.held: Table | None = None  # the table of this leadership that a majority holds
 
@@ -83,7 +84,7 @@
         """Whether this one votes."""
         return self.me in self.voters() or self.me in self.base
 
-    def enough(self, names, voters: tuple[str, ...]) -> bool:
+    def enough(self, names: Container[str], voters: tuple[str, ...]) -> bool:
         """Whether these are a majority."""
         return 2 * sum(name in names for name in voters) > len(voters)
 
@@ -94,7 +95,7 @@
 
     # what arrives
 
-    def received(self, peer: str, message, now: float) -> None:
+    def received(self, peer: str, message: Any, now: float) -> None:
         """A message of a peer."""
         if isinstance(message, Ask):
             self.asked(peer, message, now)
@@ -123,7 +124,7 @@
 
     # a voter
 
-    def grants_to(self, ballot, now: float) -> bool:
+    def grants_to(self, ballot: Ballot, now: float) -> bool:
         """Whether this one may promise a ballot."""
         if self.abstains or ballot <= self.promised:
             return False
@@ -137,7 +138,7 @@
         elif not self.abstains:
             self.send(peer, Deny(message.ballot, self.promised))
 
-    def takes(self, mark, now: float) -> bool:
+    def takes(self, mark: Mark, now: float) -> bool:
         """Whether a write is newer than what is held, and nobody newer was promised."""
         return mark[:2] >= self.promised and mark > self.mark
 
@@ -154,7 +155,7 @@
         else:
             self.send(peer, Deny(message.mark[:2], self.promised))
 
-    def learn(self, mark, table: Table) -> None:
+    def learn(self, mark: Mark, table: Table) -> None:
         """A table newer than what is held here."""
         if mark > self.mark:
             self.mark, self.table = mark, table
@@ -253,7 +254,7 @@
             self.step_down()
             self.ballot = (max(self.ballot[0], message.promised[0]), self.me)
 
-    def outdone(self, mark) -> None:
+    def outdone(self, mark: Mark) -> None:
         """Somebody was told a table of a later ballot: of a life that all voters forgot.
 
         Theirs have to be later still.
