--- a/benchmarks/cold_sum.py
+++ b/benchmarks/cold_sum.py
@@ -95,6 +95,7 @@
 
 
 def spread(shares: list[float]) -> dict[str, float]:
+    """Quantiles of the shares."""
     cuts = quantiles(shares, n=100, method="inclusive")
     return {
         "median": round(cuts[49], 3),
@@ -105,6 +106,7 @@
 
 
 def main() -> None:
+    """A line of JSON for each size and fault."""
     words = [word for word in sys.argv[1:] if word != "--processes"]
     play_one = play_processes if "--processes" in sys.argv else play_emulated
     seeds = int(words[0]) if words else 20
--- a/benchmarks/scale.py
+++ b/benchmarks/scale.py
@@ -16,6 +16,7 @@
 
 
 def main() -> None:
+    """A line for each size of fleet."""
     seconds = float(sys.argv[1]) if len(sys.argv) > 1 else 60.0
     sizes = [int(n) for n in sys.argv[2:]] or [10, 100, 1000]
     from brookhub.emulator import Fleet
--- a/brookhub/checker/maintenance.py
+++ b/brookhub/checker/maintenance.py
@@ -38,6 +38,8 @@
 
 
 class State(NamedTuple):
+    """All that the model is in at a moment; immutable."""
+
     clock: int
     members: tuple  # each: (core's fields, register's fields), or None while it is stopped for good
     stalled: frozenset
@@ -50,12 +52,14 @@
 
 
 def frozen(value: Any) -> Any:
+    """A value that can be part of a key: dicts become tuples."""
     if isinstance(value, dict):
         return ("d", tuple((key, frozen(one)) for key, one in value.items()))
     return value
 
 
 def thawed(value: Any) -> Any:
+    """The value that `frozen` was given."""
     if isinstance(value, tuple) and len(value) == 2 and value[0] == "d" and isinstance(value[1], tuple):
         return {key: thawed(one) for key, one in value[1]}
     return value
@@ -68,9 +72,11 @@
         self.model, self.me = model, me
 
     def now(self) -> float:
+        """Seconds on the model's clock."""
         return float(self.model.clock)
 
     def present(self) -> list[str]:
+        """Whom membership would hold for there."""
         model = self.model
         return [
             name
@@ -82,12 +88,15 @@
         ]
 
     def listed(self) -> list[str]:
+        """All others."""
         return [name for name in self.model.names if name != self.me]
 
     def send(self, peer: str, message) -> None:
+        """A message is on its way."""
         self.model.sent.append((self.me, peer, message))
 
     def up(self, machine: Machine) -> bool:
+        """Whether the list has a machine's servers, as far as this one sees it."""
         mine = self.model.cores[self.model.names.index(self.me)].register.table.step(machine.name)
         _, down, failed = self.model.work[machine.name]
         return not down and not failed or self.model.blind and not mine
@@ -96,9 +105,11 @@
         """Keeping off costs nothing here: sends to servers are no part of the model."""
 
     def quiet(self, machine: Machine) -> bool:
+        """Nothing is ever out in the model."""
         return True
 
     def lately(self) -> tuple[float, float, float]:
+        """No requests in the model."""
         return (0.0, 0.0, 0.0)
 
     def load(self) -> dict[str, float]:
@@ -109,6 +120,7 @@
         }
 
     def log(self, event: str, **facts) -> None:
+        """Only that a machine is safe to work on matters here."""
         if event.startswith("safe to work on "):
             self.model.told(facts["machine"])
 
@@ -180,6 +192,7 @@
         self.cores = [self.launch(n, knows=not joins or n < voters - 1) for n in range(voters)]
 
     def launch(self, number: int, knows: bool) -> Maintenance:
+        """A limiter that begins; `knows`: it remembers."""
         core = Maintenance(self.ports[number], self.names[number], self.settings, knows=knows)
         before, core_module.Register = core_module.Register, self.kind
         try:
@@ -192,6 +205,7 @@
     # states
 
     def save(self, core: Maintenance) -> tuple:
+        """A member's part of a state."""
         return (
             tuple((key, frozen(value)) for key, value in vars(core).items() if key not in SHARED),
             tuple(
@@ -202,11 +216,13 @@
         )
 
     def load(self, core: Maintenance, saved: tuple) -> None:
+        """Put a member into a saved state."""
         for place, fields in zip((core, core.register), saved, strict=False):
             for key, value in fields:
                 setattr(place, key, thawed(value))
 
     def start(self) -> State:
+        """The state at the start."""
         self.clock, self.work = 0, {one.name: (0, 0, 0) for one in self.plan.machines}
         return State(
             0,
@@ -267,15 +283,18 @@
         )
 
     def past(self, value: float, clock: int) -> float:
+        """A moment as seconds ago, the far past all alike."""
         return round(max(OLD, value - clock), 2)
 
     def times(self, value: tuple, clock: int) -> tuple:
+        """Moments by name as seconds ago."""
         return tuple(
             (name, (self.past(one[0], clock), one[1]) if isinstance(one, tuple) else self.past(one, clock))
             for name, one in value[1]
         )
 
     def broken(self, state: State) -> str:
+        """What is wrong in a state, in words; "" where nothing is."""
         out = [
             one.name
             for one, (until, down, _) in zip(self.plan.machines, state.work, strict=False)
@@ -313,6 +332,7 @@
         )
 
     def reachable(self, state: State, source: str, peer: str) -> bool:
+        """Whether words from one reach the other in a state."""
         return self.joined(source, peer, state.away)
 
     def plain(self, state: State) -> tuple:
@@ -328,6 +348,7 @@
         return ("tick",)
 
     def others(self, state: State) -> list[tuple]:
+        """What may happen beside the plain schedule, each with its cost."""
         left, made = dict(zip(self.kinds, state.left, strict=False)), []
         for name in self.names:
             if name in state.stalled:
@@ -365,6 +386,7 @@
         return made
 
     def after(self, state: State, action: tuple) -> State:
+        """The state after an action."""
         self.clock, self.sent, self.stalled, self.away = state.clock, [], state.stalled, state.away
         self.work = {one.name: times for one, times in zip(self.plan.machines, state.work, strict=False)}
         members, net, held, away, stalled = (
@@ -515,12 +537,15 @@
         self.said = ()
 
     def grants_to(self, ballot, now: float) -> bool:
+        """Any leader is granted who asks."""
         return not self.abstains
 
     def asked(self, peer, message, now):
+        """Say yes."""
         self.send(peer, Grant(message.ballot, self.mark, self.table))
 
     def says_yes(self, before, table) -> bool:
+        """Whether it says yes to the machines that are to go out."""
         names = {name for name, _ in table.outs}
         kept = [name for name in self.said if name in names or name not in before]
         if len(set(kept) | names) > self.model.plan.most_out:
@@ -529,11 +554,13 @@
         return True
 
     def elected(self, now: float) -> None:
+        """Lead where a majority said yes."""
         if not self.leads and self.enough(self.grants, self.voters()) and now < self.asked_at + self.lease:
             self.leads, self.valid_until, self.serial = True, self.asked_at + self.lease, 0
             self.write(self.table, now)
 
     def written(self, peer, message, now):
+        """Say yes to a machine while fewer are out than may be."""
         if self.says_yes(
             {
                 one.name
@@ -546,10 +573,11 @@
             self.send(peer, Wrote(message.mark, self.report()))
 
     def write(self, table, now: float) -> None:
-        # One machine each: a vote is for a machine
+        """One machine each: a vote is for a machine."""
         super().write(msgspec.structs.replace(table, outs=table.outs[:1]), now)
 
     def takes(self, mark, now: float) -> bool:
+        """Say yes to a machine while fewer are out than may be."""
         return self.pending is None or self.says_yes({name for name, _ in self.table.outs}, self.pending)
 
 
@@ -557,10 +585,12 @@
     """No look at the lease after waking: who was the leader goes on as one."""
 
     def tick(self, now: float) -> None:
+        """The clock moves on."""
         self.valid_until = max(self.valid_until, now + 1) if self.leads else self.valid_until
         super().tick(now)
 
     def acts(self, now: float) -> bool:
+        """Whether it may act: without a look at its lease."""
         return self.leads and self.held is not None and self.pending is None
 
 
@@ -568,14 +598,17 @@
     """One that starts with nothing votes at once."""
 
     def tick(self, now: float) -> None:
+        """The clock moves on."""
         self.abstains = False
         super().tick(now)
 
     def asked(self, peer, message, now):
+        """Answer at once, remembering nothing or not."""
         self.abstains = False
         super().asked(peer, message, now)
 
     def written(self, peer, message, now):
+        """Take a write, remembering nothing or not."""
         self.abstains = False
         super().written(peer, message, now)
 
--- a/brookhub/lab/choices.py
+++ b/brookhub/lab/choices.py
@@ -61,6 +61,7 @@
 
 
 def pairs(chosen: dict[int, list]) -> set[tuple]:
+    """Who uses which server."""
     return {(one, server) for one, own in chosen.items() for server in own}
 
 
@@ -141,6 +142,7 @@
     sizes=SIZES,
     progress: Callable[[float], None] = lambda done: None,
 ) -> list[dict]:
+    """Play what is not yet in `out`; returns all rows."""
     out.mkdir(parents=True, exist_ok=True)
     jobs = [
         {
@@ -194,6 +196,7 @@
 
 
 def plot(rows: list[dict], png: Path) -> Path:
+    """Balance, load and churn against the number of limiters."""
     figure, axes = panels(4, (17, 4))
     shown = [
         ("limiters_a_server", "limiters a server, largest / mean"),
--- a/brookhub/lab/judge.py
+++ b/brookhub/lab/judge.py
@@ -27,6 +27,7 @@
     stalled: bool = False
 
     def touches(self, call: Asked) -> bool:
+        """Whether a request came to a limiter while it was out."""
         return (
             call.limiter == self.limiter
             and self.since <= call.expires + SLACK
@@ -49,9 +50,11 @@
     cold: dict[tuple[int, int], int] = field(default_factory=dict)
 
     def counts(self) -> dict[int, int]:
+        """Breaks of each rule, by number."""
         return {rule: len(texts) for rule, texts in sorted(self.broken.items()) if texts}
 
     def first(self) -> str | None:
+        """The first break, in words."""
         return next(
             (f"rule {rule}: {texts[0]}" for rule, texts in sorted(self.broken.items()) if texts), None
         )
--- a/brookhub/lab/load.py
+++ b/brookhub/lab/load.py
@@ -80,6 +80,7 @@
         return False
 
     def close(self) -> None:
+        """Close the connection."""
         with contextlib.suppress(OSError):
             self.lines.close()
             self.sock.close()
@@ -138,6 +139,7 @@
                 one.close()
 
     def submit(self, customer: int, route: int, repeated: bool, token: int = 0) -> None:
+        """A client asks; `token`: of the request that it asked first."""
         with self.lock:
             self.ident += 1
             now = monotonic()
@@ -163,6 +165,7 @@
         return self.rng.choice(open_to or list(range(len(self.limiters))))
 
     def work(self) -> None:
+        """Play requests, one after another. Runs in a thread of its own."""
         while True:
             with self.lock:
                 self.idle += 1
@@ -181,10 +184,12 @@
                     threading.Timer(one.retry_after or 1.0, self.again, (one,)).start()
 
     def again(self, one: Asked) -> None:
+        """A refused client asks once more."""
         if not self.over.is_set():
             self.submit(one.customer, one.route, True, one.token)
 
     def words(self, one: Asked) -> bytes:
+        """The request as a command."""
         spec, plan = self.routes[one.route], self.experiment.fleet.plans[self.customers[one.customer][0]]
         reads = spec.repeat == "idempotent"
         key = f",k={one.token:016x}" if spec.repeat == "tokened" else ""
@@ -222,6 +227,7 @@
         return None, False
 
     def ask(self, one: Asked, patience: float) -> None:
+        """Send a request and wait for its answer."""
         for again in (False, True):
             conn, used = self.connect(one)
             if conn is None:
@@ -248,6 +254,7 @@
             return self.took(one, conn, said)
 
     def took(self, one: Asked, conn: Connection, said) -> None:
+        """An answer came."""
         how = "errored"
         if said is not None and said[:5] == b"-BUSY":
             how = "rate-limited"
--- a/brookhub/lab/maintenance.py
+++ b/brookhub/lab/maintenance.py
@@ -88,6 +88,7 @@
         self.thread.start()
 
     def follow(self) -> None:
+        """Read all logs as they grow. Runs in a thread of its own."""
         while not self.over.is_set():
             for place, one in enumerate(self.lab.limiters):
                 lines = one.lines()
@@ -97,6 +98,7 @@
             sleep(0.05)
 
     def heard(self, limiter, line: dict) -> None:
+        """A limiter logged a line."""
         event, machine = line.get("event", ""), line.get("machine", "")
         hook: Callable | None = self.hooks.get(event.split(" ")[0])
         if hook:
@@ -108,6 +110,7 @@
             threading.Thread(target=self.work, args=(self.outs[-1],), daemon=True).start()
 
     def work(self, out: list) -> None:
+        """Somebody works on a machine."""
         try:
             servers = [one for one in self.machines[out[0]] if isinstance(one, int)]
             limiters = [
@@ -138,6 +141,7 @@
         return most
 
     def stop(self) -> None:
+        """Follow no more."""
         self.over.set()
         self.thread.join(5.0)
         if self.errors:
@@ -156,6 +160,7 @@
 
 
 def plan(most: int, machines: int = MACHINES, servers: int = SERVERS, zones: int = 3, **more) -> Plan:
+    """A plan over so many machines."""
     made = tuple(
         Machine(f"m{n}", f"z{n % zones}", 1.0, tuple(f"s-{n * servers + k}" for k in range(servers)))
         for n in range(machines)
@@ -205,6 +210,7 @@
 
 
 def play(job: dict) -> dict:
+    """One row."""
     return job | {"plan": alone_run, "served": served_run}[job["what"]](job)
 
 
--- a/brookhub/lab/membership.py
+++ b/brookhub/lab/membership.py
@@ -77,6 +77,7 @@
 
 
 def rate(crew: Crew, members: int, seconds: float, before: tuple[int, int] = (0, 0)) -> dict:
+    """Datagrams and bytes that a member sends a second."""
     datagrams, size = crew.sent()
     return {
         "datagrams_per_s": (datagrams - before[0]) / members / seconds,
@@ -85,6 +86,7 @@
 
 
 def quiet(crew: Crew, job: dict, members: int) -> dict:
+    """What a member sends while nothing happens."""
     crew.run(1.0)
     before = crew.sent()
     crew.run(job["seconds"])
@@ -92,6 +94,7 @@
 
 
 def death(crew: Crew, job: dict, members: int) -> dict:
+    """When a death is known, by half and by all."""
     crew.run(3.0)
     half, everyone, unknown = [], [], 0
     for _number in range(1 if members > 40 and job["protocol"] == "heartbeat" else KILLS):
@@ -111,6 +114,7 @@
 
 
 def heal(crew: Crew, job: dict, members: int) -> dict:
+    """When all agree after a split."""
     crew.run(3.0)
     side = set(crew.names[: members // 2])
     crew.net.apart = lambda a, b: (a in side) != (b in side)
@@ -127,6 +131,7 @@
 
 
 def loss(crew: Crew, job: dict, members: int) -> dict:
+    """False deaths under loss."""
     crew.net.loss = 0.1
     crew.run(job["seconds"])
     return {
@@ -138,6 +143,8 @@
 
 
 def stalls(crew: Crew, job: dict, members: int) -> dict:
+    """False deaths with members that stop now and then."""
+
     def stall(name: str) -> None:
         crew.stall(name, STALL)
         crew.engine.after(STALL + crew.rng.expovariate(1 / RUNS), lambda: stall(name))
@@ -265,6 +272,7 @@
 
 
 def mean(values: list[float]) -> float:
+    """The mean."""
     return sum(values) / len(values)
 
 
--- a/brookhub/lab/plans.py
+++ b/brookhub/lab/plans.py
@@ -30,6 +30,7 @@
 
 
 def experiment(seconds: float) -> Experiment:
+    """Eight limiters under a light load, for so long (s)."""
     route = {"target_s": 0.5, "client_timeout_s": 1.0}
     return Experiment.model_validate(
         {
@@ -53,6 +54,7 @@
 
 
 def plan(most: int, version: int = 1, machines: dict = MACHINES) -> str:
+    """A plan as an operator writes it."""
     head = (
         f'version = {version}\nvoters = ["n0", "n1", "n2"]\nmost_out = {most}\nmost_zone = 4\ncapacity_least = 0.3\n'
         "work_most_s = 60.0\nstart_within_s = 3.0\nfill_s = 0.5\npause_s = 0.0\n"
@@ -96,6 +98,7 @@
 
 
 def run(lab: ProcessLab, scenario: str, most: int) -> dict:
+    """Play a plan with its fault; the figures."""
     sleep(3.0)  # until they know each other
     workers, once, began = Workers(lab, MACHINES, WORK, GRACE), threading.Event(), monotonic()
 
--- a/brookhub/lab/plot.py
+++ b/brookhub/lab/plot.py
@@ -41,6 +41,7 @@
 
 
 def plot(out: Path, title: str, png: Path | None = None) -> Path:
+    """Draw a results folder; the picture's path."""
     first, lines = series(read(out))
     figure, axes = panels(3, (13, 7), rows=2)
     for (key, label), axis in zip(PANELS, axes.flat, strict=False):
--- a/brookhub/lab/processes.py
+++ b/brookhub/lab/processes.py
@@ -51,6 +51,7 @@
     noise: dict
 
     def metrics(self) -> dict:
+        """All figures under their names, for JSON."""
         return self.result.metrics() | {
             "excused": self.verdict.excused,
             "noise": self.noise,
@@ -120,6 +121,7 @@
     # building
 
     def add_server(self, up_since: float, place: int | None = None) -> ModelServer:
+        """A server in a place of its own, or in that of another one."""
         spec, ident = self.experiment.fleet.servers, self.next_server
         zones, place = self.experiment.fleet.zones, self.next_server if place is None else place
         model = ServerModel.of(spec, ident, place % zones, (place // zones) % CELLS, up_since)
@@ -129,21 +131,25 @@
         return server
 
     def link_server(self, ident: int) -> None:
+        """A relay from each limiter to a server."""
         for one in self.limiters:
             self.links[one.address, ident] = self.relays.tcp(
                 f"n{one.index}/s{ident}", self.servers[ident].at, one.address
             )
 
     def dial_of(self, limiter: str, name: str) -> str:
+        """Where a limiter reaches a server."""
         return self.links[limiter, int(name[2:])].address
 
     def entry(self, server: ModelServer, health: str = "Ready") -> dict:
+        """A server as discovery tells it."""
         model = server.model
         cold = monotonic() - model.up_since < model.warm_after
         born = int((time.time() - (monotonic() - model.up_since)) * 1000) if cold else 0
         return host(f"s-{model.id}", "", health, born, zone(model.zone), model.cell)
 
     def write_config(self, one: Limiter) -> None:
+        """Write the start file of a limiter, and the operator's files that it names."""
         membership = None
         if self.mesh:
             path = self.folder / f"n{one.index}.membership.toml"
@@ -214,6 +220,7 @@
             self.wait_ready(one)
 
     def wait_ready(self, one: Limiter) -> None:
+        """Wait until a limiter answers; raises LabError."""
         end = monotonic() + READY_IN
         while not one.ready():
             if monotonic() > end or not one.alive():
@@ -223,6 +230,7 @@
     # faults
 
     def note(self, text: str) -> None:
+        """Note an event of the run."""
         self.events.append((monotonic(), text))
 
     def after(self, seconds: float, callback: Callable[[], None]) -> None:
@@ -267,11 +275,13 @@
         self.note(f"n{one.index} woken")
 
     def split(self, side: list[Limiter], on: bool) -> None:
+        """Two sides of limiters hear nothing of each other, or all again."""
         names = {f"n{one.index}" for one in side}
         self.mesh.split(names) if on else self.mesh.clear()
         self.note(f"split {'made' if on else 'healed'}: {sorted(names)}")
 
     def cut(self, one: Limiter, servers: list[int], way: str, seconds: float) -> None:
+        """Links of a limiter to servers carry nothing for so long (s)."""
         for ident in servers:
             self.links[one.address, ident].set(way, cut=True)
             self.cuts.append((one.address, ident, monotonic(), monotonic() + seconds))
@@ -286,6 +296,7 @@
             self.links[one.address, ident].set(refuse=True)
 
     def returned(self, idents: list[int]) -> None:
+        """Servers are back, and cold."""
         now = monotonic()
         for ident in idents:
             self.servers[ident].back(now)
@@ -298,6 +309,7 @@
         self.discovery.tell(*[self.entry(self.servers[ident]) for ident in idents])
 
     def drain(self, idents: list[int]) -> None:
+        """Servers begin to drain."""
         for ident in idents:
             model = self.servers[ident].model
             model.state, model.drained_at = State.DRAINING, monotonic()
@@ -307,6 +319,7 @@
         self.discovery.tell(*[self.entry(self.servers[ident], "Terminating") for ident in idents])
 
     def gone(self, idents: list[int], replace: bool) -> None:
+        """Servers are gone, and others take their places where that is asked."""
         fresh = []
         for ident in idents:
             self.servers[ident].model.state = State.GONE
@@ -348,6 +361,7 @@
         return self.outcome(load, began)
 
     def hurt(self, limiter: str, ident: int, at: float) -> bool:
+        """Whether a limiter's way to a server was cut, or it stood still, then."""
         return any(
             who == limiter and server == ident and since <= at <= until + 1.0
             for who, server, since, until in self.cuts
@@ -359,6 +373,7 @@
         )
 
     def outcome(self, load: Load, began: float) -> Outcome:
+        """Sum up and judge a run."""
         zones = {ident: (one.model.zone, one.model.cell) for ident, one in self.servers.items()}
         falls = sum(one.model.falls for one in self.servers.values())
         verdict = judge(self.experiment, load.asked, self.seen, self.outages, falls, zones, began, self.hurt)
@@ -398,6 +413,7 @@
         return Outcome(result, verdict, noise)
 
     def close(self) -> None:
+        """End all that was started."""
         for one in self.limiters:
             one.end()
         self.relays.close()
--- a/brookhub/lab/recovery.py
+++ b/brookhub/lab/recovery.py
@@ -45,6 +45,7 @@
 
 
 def jobs(seeds: list[int]) -> list[dict]:
+    """All runs to be played."""
     made = []
     for seed in seeds:
         for way in ("off", "on"):
@@ -80,6 +81,7 @@
         self.rate, self.burst, self.level, self.at, self.worst = rate, burst, burst, 0.0, 0.0
 
     def take(self, now: float, units: float) -> None:
+        """So many units were served."""
         self.level = min(self.burst, self.level + (now - self.at) * self.rate) - units
         self.at, self.worst = now, max(self.worst, -self.level)
 
@@ -248,10 +250,12 @@
     processes: int | None = None,
     progress: Callable[[float], None] = lambda done: None,
 ) -> list[dict]:
+    """Play what is not yet in `out`; returns all rows."""
     return play_all(out / RESULTS, jobs(seeds), play, processes, progress)
 
 
 def groups(rows: list[dict], plans: str = SETS[0]) -> dict[tuple, list[dict]]:
+    """Rows by kind of fault, its length, limiters and way."""
     found: dict[tuple, list[dict]] = {}
     for row in sorted(
         rows, key=lambda row: (KINDS.index(row["kind"]), row["for_s"], row["limiters"], row["way"])
@@ -262,6 +266,7 @@
 
 
 def mean(own: list[dict], key: str) -> float:
+    """The mean of a figure."""
     return sum(row[key] for row in own) / len(own)
 
 
--- a/brookhub/lab/startfiles.py
+++ b/brookhub/lab/startfiles.py
@@ -10,6 +10,7 @@
 
 
 def zone(number: int) -> str:
+    """A zone's name."""
     return f"z{number}"
 
 
--- a/brookhub/lab/sweep.py
+++ b/brookhub/lab/sweep.py
@@ -113,6 +113,7 @@
 
 
 def write(sink, row: dict, log) -> int:
+    """Append a row."""
     sink.write(json.dumps(row, sort_keys=True) + "\n")
     sink.flush()
     os.fsync(sink.fileno())
--- a/brookhub/lab/together.py
+++ b/brookhub/lab/together.py
@@ -52,6 +52,7 @@
 
 
 def jobs(seeds: list[int]) -> list[dict]:
+    """All runs to be played."""
     made = []
     for seed in seeds:
         for way in WAYS:
@@ -92,12 +93,14 @@
 
 
 def play(job: dict) -> dict:
+    """One row."""
     return job | {"bad": bad, "errors": errors, "link": link, "cold": cold, "grow": grow, "parts": parts}[
         job["what"]
     ](job)
 
 
 def run(raw: dict, seed: int, before: Callable[[Fleet], None] = lambda fleet: None) -> tuple[Fleet, dict]:
+    """Play an experiment; the fleet and its figures."""
     fleet = Fleet(Experiment.model_validate(raw), seed=seed, keep_trail=False)
     before(fleet)
     metrics = fleet.run().metrics()
@@ -307,6 +310,7 @@
 
 
 def groups(rows: list[dict]) -> dict[tuple, list[dict]]:
+    """Rows by what they measure."""
     found: dict[tuple, list[dict]] = {}
     for row in sorted(
         rows,
