--- a/brookhub/program/startfile.py
+++ b/brookhub/program/startfile.py
@@ -21,6 +21,7 @@
     """The start file, read and checked."""
 
     def __init__(self, told: dict, environment: Mapping[str, str], again: bool):
+        """Raises StartError or SettingsError. `again`: read anew, so the file goes before the variables."""
         self.name = str(environment.get("NODE_NAME") or told.get("name") or "limiter")
         self.listen = address(environment.get("NODE_LISTEN") or told.get("listen"), "listen")
         variable, said = environment.get("NODE_DISCOVERY"), told.get("discovery")
@@ -28,40 +29,49 @@
         settings = read_section(told, "settings")
         if not settings:
             raise StartError("settings are missing")
-        self.gateway_settings, limits = read_gateway_settings(settings), read_section(settings, "limits")
-        self.counter = None
-        if self.gateway_settings.counter_wait > 0:
-            self.counter = address(told.get("counter"), "counter")
+        self.gateway_settings = read_gateway_settings(settings)
+        has_counter = self.gateway_settings.counter_wait > 0
+        self.counter = address(told.get("counter"), "counter") if has_counter else None
         self.zones, self.kinds = names(settings, "areas"), names(settings, "kinds")
-        self.connect_within = read_number(limits, "connect_timeout_s", 1.0)
-        self.server_idle_for = read_number(limits, "conn_idle_s", 60.0)
-        self.most_calls = int(read_number(limits, "open_cap", 20000)) or 20000
-        self.sockets = int(read_number(read_section(told, "limits"), "sockets", 1024))
-        self.memory = read_number(read_section(told, "limits"), "memory_mb", 192) * 1024 * 1024
+        self.read_limits(read_section(settings, "limits"), read_section(told, "limits"))
         try:
             self.seed = int(str(told.get("seed", "0")), 16)
         except ValueError:
             raise StartError("seed is not a hexadecimal number") from None
-        # Off where no file is named; deny by default: only settings that say so let limiters talk to each
-        # other.
-        self.membership, self.may_talk = told.get("membership"), limits.get("peer_messages") is True
-        if self.membership is not None and not (isinstance(self.membership, str) and self.membership):
-            raise StartError("membership is not the path of a file")
-        # Off where none is named, and without peers; a file that is not there yet is a plan that was not
-        # given yet.
-        self.maintenance = told.get("maintenance")
-        if self.maintenance is not None and not (isinstance(self.maintenance, str) and self.maintenance):
-            raise StartError("maintenance is not the path of a file")
-        # Off where no file is named: it calls the counter each beat, and a ledger needs a disk that lasts.
-        self.recovery = told.get("recovery")
-        if self.recovery is not None and not (isinstance(self.recovery, str) and self.recovery):
-            raise StartError("recovery is not the path of a file")
-        self.known = None
-        if told.get("known") is not None:
-            try:
-                self.known = hosts.News(told["known"])
-            except MalformedError as bad:
-                raise StartError(f"known: {bad}") from None
+        self.membership = optional_path(told, "membership")
+        # Without peers there is none, and a file that is not there yet is a plan that was not given yet.
+        self.maintenance = optional_path(told, "maintenance")
+        # It calls the counter each beat, and a ledger needs a disk that lasts.
+        self.recovery = optional_path(told, "recovery")
+        self.known = known_list(told.get("known"))
+
+    def read_limits(self, site: dict, program: dict) -> None:
+        """What the site's settings and the start file allow."""
+        self.connect_within = read_number(site, "connect_timeout_s", 1.0)
+        self.server_idle_for = read_number(site, "conn_idle_s", 60.0)
+        self.most_calls = int(read_number(site, "open_cap", 20000)) or 20000
+        # Deny by default: only settings that say so let limiters talk to each other.
+        self.may_talk = site.get("peer_messages") is True
+        self.sockets = int(read_number(program, "sockets", 1024))
+        self.memory = read_number(program, "memory_mb", 192) * 1024 * 1024
+
+
+def optional_path(told: dict, name: str) -> str | None:
+    """The path of an operator's file, whose part is off where none is named. Raises StartError."""
+    path = told.get(name)
+    if path is not None and not (isinstance(path, str) and path):
+        raise StartError(f"{name} is not the path of a file")
+    return path
+
+
+def known_list(told: object) -> hosts.News | None:
+    """The server list as last heard, None where none is told. Raises StartError."""
+    if told is None:
+        return None
+    try:
+        return hosts.News(told)
+    except MalformedError as bad:
+        raise StartError(f"known: {bad}") from None
 
 
 def names(settings: dict, name: str) -> list[str]:
