--- a/brookhub/choices/subsets.py
+++ b/brookhub/choices/subsets.py
@@ -115,29 +115,20 @@
 
         No server has more than its capacity.
         """
-        if each in self.matched:
-            return self.matched[each]
-        servers, asked_for = list(self.weights), each
-        each = min(each, len(servers))
-        room = (
-            dict(
-                zip(servers, capacities(list(self.weights.values()), len(self.limiters) * each), strict=False)
-            )
-            if servers
-            else {}
-        )
-        held: dict[Hashable, list[Any]] = {
-            one: [] for one in servers
-        }  # heaps, the worst ranked limiter first
-        asked, have, todo = (
-            dict.fromkeys(self.limiters, 0),
-            dict.fromkeys(self.limiters, 0),
-            list(self.limiters),
-        )
+        if each not in self.matched:
+            self.matched[each] = self.matching(min(each, len(self.weights)))
+        return self.matched[each]
+
+    def matching(self, each: int) -> dict[Hashable, list[Hashable]]:
+        """Deferred acceptance (Gale and Shapley): limiters ask in their order, a server keeps the best."""
+        room = self.room(each)
+        held: dict[Hashable, list[Any]] = {one: [] for one in self.weights}  # heaps, the worst ranked first
+        asked, have = dict.fromkeys(self.limiters, 0), dict.fromkeys(self.limiters, 0)
+        todo = list(self.limiters)
         while todo:
             one = todo.pop()
             ranked, at, has = self.ranks[one], asked[one], have[one]
-            while has < each and at < len(servers):
+            while has < each and at < len(ranked):
                 cost, server = ranked[at]
                 heap = held[server]
                 if len(heap) < room[server]:
@@ -150,12 +141,22 @@
                     todo.append(out)
                 at += 1
             asked[one], have[one] = at, has
+        return self.by_limiter(held)
+
+    def room(self, each: int) -> dict[Hashable, int]:
+        """Limiters that each server takes."""
+        if not self.weights:
+            return {}
+        places = capacities(list(self.weights.values()), len(self.limiters) * each)
+        return dict(zip(self.weights, places, strict=False))
+
+    def by_limiter(self, held: dict[Hashable, list[Any]]) -> dict[Hashable, list[Hashable]]:
+        """The servers of each limiter in its order, from the limiters of each server."""
         own: dict[Hashable, list[Any]] = {one: [] for one in self.limiters}  # (place in its ranks, server)
         for server, heap in held.items():
             for _, one, at in heap:
                 own[one].append((at, server))
-        self.matched[asked_for] = {one: [server for _, server in sorted(them)] for one, them in own.items()}
-        return self.matched[asked_for]
+        return {one: [server for _, server in sorted(them)] for one, them in own.items()}
 
     def wider(self, limiter: Hashable, each: int, more: int) -> list[Hashable]:
         """A limiter's servers where its load needs `more` than `each`.
