--- a/brookhub/choices/ejections.py
+++ b/brookhub/choices/ejections.py
@@ -41,6 +41,8 @@
 SLOW_USUAL, SLOW_OVER = 0.02, 10.0
 # Seconds between looks at the clock; seconds that it may be late until this process counts as stopped.
 BEAT, STOPPED = 0.25, 1.0
+# Seconds after waking for which what was ejected stays so: longer than this limiter takes no turn.
+KEPT_ON_WAKING = 2 * GRACE
 BATCH = 0.02  # s that reports wait for others to go with them: zones are lost at one stroke
 ENDS_KEPT = 500  # ends of attempts: bounds the work of a look
 
@@ -143,11 +145,13 @@
 
     def is_ejected(self, server: int) -> bool:
         """Whether to send it nothing now, but what `may_probe` allows."""
+        self.look_for_a_stop()
         ejection = self.ejections.get(server)
         return ejection is not None and ejection.active(self.carrier.now)
 
     def may_probe(self, server: int) -> bool:
         """Whether this limiter is to probe an ejected server: once, with a request that may run again."""
+        self.look_for_a_stop()
         ejection, now = self.ejections.get(server), self.carrier.now
         if ejection is None or not ejection.active(now) or now < ejection.probe_at:
             return False
@@ -238,8 +242,16 @@
             self.add_witness(server, ("counted", number))
 
     def woke(self) -> None:
-        """This limiter was stopped: what its attempts came to meanwhile says nothing of the servers."""
-        self.quiet_until = self.carrier.now + GRACE
+        """This limiter was stopped: what its attempts came to meanwhile says nothing of the servers.
+
+        What was ejected when it stopped stays so until it has heard the others: its ejections are as old as
+        its sleep.
+        """
+        now = self.carrier.now
+        self.quiet_until = now + GRACE
+        for ejection in self.ejections.values():
+            if ejection.until > self.beat_at:
+                ejection.until = max(ejection.until, now + KEPT_ON_WAKING)
         self.turns.woke(self.carrier.now)
         self.faults.clear()
 
@@ -254,8 +266,8 @@
     def look_for_a_stop(self) -> None:
         """Whichever event comes first after a stop finds it out."""
         if self.carrier.now - self.beat_at > STOPPED:
-            self.beat_at = self.carrier.now
             self.woke()
+            self.beat_at = self.carrier.now
 
     def too_many(self, reported: dict[int, float]) -> bool:
         """Whether one finds fault with more servers than it can be believed; old reports are dropped."""
--- a/tests/test_signals.py
+++ b/tests/test_signals.py
@@ -324,6 +324,29 @@
 # carriers
 
 
+@pytest.mark.parametrize("stops_for", [3.0, 6.0])
+def test_one_that_wakes_takes_no_turn_and_leaves_alone_what_it_left_alone_whatever_it_meets_first(stops_for):
+    """A request was what it met first.
+
+    It took its turn, or used the server again, before it knew of its sleep.
+    """
+    crowd = Crowd()
+    for name in ("n1", "n2"):
+        crowd.all[name].attempt_ended(5, BAD)
+    crowd.run(0.1)
+    name = crowd.all["n0"].turns.holders("sick/5", crowd.now + stops_for)[0]
+    sleeper = crowd.all[name]
+    assert sleeper.is_ejected(5)
+    crowd.stopped.add(name)
+    crowd.run(stops_for)  # past the time to probe, and past the end of what it knows of
+    assert sleeper.is_ejected(5) and not sleeper.may_probe(5)
+    crowd.stopped.clear()
+    crowd.run(0.9 * GRACE)
+    assert sleeper.is_ejected(5) and not sleeper.may_probe(5)
+    crowd.run(GRACE)
+    assert sleeper.is_ejected(5)
+
+
 def test_words_travel_in_datagrams_that_fit_and_anything_else_is_refused():
     words = [Report(2**62, Health.FAILING)] * 150
     parts = pack(words)
