--- a/brookhub/lab/judge.py
+++ b/brookhub/lab/judge.py
@@ -133,6 +133,18 @@
             verdict.broken[1].append(f"call {one.id} lost by n{one.limiter} ({one.end})")
 
 
+def history(call: Asked, tries: list[Seen]) -> str:
+    """A request as its client and its servers saw it, in s after it was sent."""
+    answers = [f"{how} at {at - call.sent:.3f}" for at, how in call.answers]
+    again = f", asked again at {call.again - call.sent:.3f}" if call.again else ""
+    seen = [
+        f"server {one.server} from {one.limiter} at {one.at - call.sent:.3f}: {one.how}, "
+        f"{'ran' if one.ran else 'did not run'}, over at {one.ended - call.sent:.3f}"
+        for one in tries
+    ]
+    return f"n{call.limiter}{again}, {', '.join(answers)}; {'; '.join(seen)}"
+
+
 def repeats(
     experiment: Experiment, call: Asked, tries: list[Seen], zones: dict, verdict: Verdict, hurt
 ) -> None:
@@ -167,4 +179,4 @@
             ran.append(one)
     safe = route.repeat == "idempotent" or (route.repeat == "tokened" and route.group == "all")
     if ran and not safe and call.answers and call.answers[0][1] == "rate-limited":
-        broken.append(f"call {call.id} rate-limited after a try that may have run")
+        broken.append(f"call {call.id} rate-limited after a try that may have run: {history(call, tries)}")
--- a/brookhub/links/__init__.py
+++ b/brookhub/links/__init__.py
@@ -5,6 +5,7 @@
 """
 
 from .conditions import Conditions, Way
+from .ports import reserve
 from .relay import Relays, TcpLink, UdpMesh
 
-__all__ = ["Conditions", "Relays", "TcpLink", "UdpMesh", "Way"]
+__all__ = ["Conditions", "Relays", "TcpLink", "UdpMesh", "Way", "reserve"]
--- a/brookhub/links/tcp.py
+++ b/brookhub/links/tcp.py
@@ -12,6 +12,7 @@
 from typing import TYPE_CHECKING
 
 from .conditions import Way
+from .ports import reserve
 
 if TYPE_CHECKING:
     from .relay import Relays
@@ -34,6 +35,7 @@
         self.pairs: set[Pair] = set()
         self.fillers: list[socket.socket] = []
         self.refusing = False
+        self.reserved = socket.socket()  # holds the port while dials are refused
         self.listener = self.listen(listen)
         self.at = self.listener.getsockname()
         self.address = "%s:%d" % self.at
@@ -95,6 +97,7 @@
                 self.refuse()
             else:
                 self.listener = self.listen(self.at)
+                self.reserved.close()
                 self.accepting()
         if not refusing:
             self.follow_cut()
@@ -107,6 +110,7 @@
         with contextlib.suppress(KeyError, ValueError):
             self.relays.selector.unregister(self.listener)
         self.listener.close()
+        self.reserved = reserve(self.at)
 
     def follow_cut(self) -> None:
         """Jam an open listener under a cut, and open it after it."""
@@ -151,6 +155,7 @@
         with contextlib.suppress(KeyError, ValueError):
             self.relays.selector.unregister(self.listener)
         self.listener.close()
+        self.reserved.close()
 
 
 @dataclass(frozen=True)
--- a/brookhub/stand_ins/base.py
+++ b/brookhub/stand_ins/base.py
@@ -28,11 +28,14 @@
 
     def __init__(self, at: tuple[str, int] = ("127.0.0.1", 0)):
         self.open: set[socket.socket] = set()
+        self.reserved: socket.socket | None = None  # holds the port while nobody listens there
         self.listen(at)
 
     def listen(self, at: tuple[str, int]) -> None:
         """(Re)open the listener; raises OSError where the address is taken."""
         self.sock = socket.create_server(at, backlog=256)
+        if self.reserved:
+            self.reserved.close()
         self.at = self.sock.getsockname()
         self.address = "%s:%d" % self.at
         threading.Thread(target=self.accept, args=(self.sock,), daemon=True).start()
@@ -66,6 +69,8 @@
         with contextlib.suppress(OSError):
             self.sock.shutdown(socket.SHUT_RDWR)  # wakes the accept that waits, which would hold it open
         self.sock.close()
+        if self.reserved:
+            self.reserved.close()
         self.break_all()
 
 
--- a/brookhub/stand_ins/server.py
+++ b/brookhub/stand_ins/server.py
@@ -13,6 +13,7 @@
 
 from ..emulator.world import ServerModel
 from ..interface import State
+from ..links import reserve
 from .base import StandIn, Timers, read_value, reset
 
 VALUE = b"*3\r\n$2\r\nok\r\n$6\r\ncost=1\r\n$-1\r\n"
@@ -205,6 +206,7 @@
         with contextlib.suppress(OSError):
             self.sock.shutdown(socket.SHUT_RDWR)
         self.sock.close()
+        self.reserved = reserve(self.at)
         for conn in list(self.open):
             reset(conn)
 
--- a/tests/test_links.py
+++ b/tests/test_links.py
@@ -1,12 +1,15 @@
 """The relays: each condition is caused on loopback, and cleared again."""
 
+import contextlib
+import random
 import socket
 import time
 
 import pytest
 
+from brookhub.emulator.world import ServerModel
 from brookhub.links import Relays, Way
-from brookhub.stand_ins import ServerStandIn, StandIn
+from brookhub.stand_ins import ModelServer, ServerStandIn, StandIn, Timers
 from helpers import api_call, read_value, until
 
 
@@ -164,3 +167,39 @@
         return [way.packet(100, float(n)) for n in range(200)]
 
     assert fates("1/a") == fates("1/a") != fates("2/a")
+
+
+def can_be_taken(at):
+    """Whether another socket is given this port."""
+    with socket.socket() as other, contextlib.suppress(OSError):
+        other.bind(at)
+        return True
+    return False
+
+
+def is_refused(at):
+    with contextlib.suppress(ConnectionRefusedError), socket.create_connection(at, 1.0):
+        return False
+    return True
+
+
+def test_a_port_that_refuses_for_a_while_is_nobody_else_s(link):
+    """It was free then: a server of another lab that was given it got requests of this one's limiters."""
+    link.set(refuse=True)
+    assert is_refused(link.at) and not can_be_taken(link.at)
+    link.clear()
+    assert not is_refused(link.at)
+
+
+def test_the_port_of_a_server_that_is_down_is_nobody_else_s():
+    timers = Timers()
+    model = ServerModel(0, 0, 0, 4, 4, 0.01, 0.2, 1.0, 2.0, 0.5)
+    server = ModelServer(model, timers, random.Random(1), [])
+    try:
+        server.die()
+        assert is_refused(server.at) and not can_be_taken(server.at)
+        server.back(time.monotonic())
+        assert not is_refused(server.at)
+    finally:
+        server.close()
+        timers.close()
