--- a/benchmarks/cold_sum.py
+++ b/benchmarks/cold_sum.py
@@ -19,7 +19,7 @@
 from brookhub.config import Experiment
 from brookhub.emulator import Fleet
 from brookhub.emulator.world import ServerModel
-from brookhub.lab.processes import ProcessLab
+from brookhub.experiments.processes import ProcessLab
 
 LATEST = 0.9  # s after which the last limiter hears of a start
 FAULTS = {
--- a/benchmarks/scale.py
+++ b/benchmarks/scale.py
@@ -10,7 +10,7 @@
 from pathlib import Path
 
 from brookhub.config import Experiment, load
-from brookhub.lab.sweep import with_value
+from brookhub.experiments.sweep import with_value
 
 ROOT = Path(__file__).resolve().parent.parent
 
--- a/brookhub/commands/lab.py
+++ b/brookhub/commands/lab.py
@@ -23,7 +23,7 @@
     """The experiment of a file, or the embedded one."""
     if path:
         return load_or_refuse(path, Experiment)
-    text = resources.files("brookhub.lab").joinpath("default.toml").read_text()
+    text = resources.files("brookhub.experiments").joinpath("default.toml").read_text()
     return loads(text, Experiment, "embedded default")
 
 
@@ -42,7 +42,7 @@
 ) -> None:
     """Play one experiment (without sweep) in the emulator; prints its metrics as JSON."""
     from ..emulator import Fleet, RuleBrokenError
-    from ..lab.sweep import with_value
+    from ..experiments.sweep import with_value
 
     spec = experiment_or_default(experiment)
     if duration:
@@ -68,8 +68,8 @@
 @click.option("--plot/--no-plot", "draw", default=True)
 def sweep(experiment: str, out: str | None, processes: int | None, limit: int | None, draw: bool) -> None:
     """Play the experiment's grid, resuming where results exist, then plot."""
-    from ..lab import plot as plotting
-    from ..lab import sweep as sweeping
+    from ..experiments import plot as plotting
+    from ..experiments import sweep as sweeping
 
     spec = load_or_refuse(experiment, Experiment)
     folder = Path(out or f"lab/{spec.name}")
@@ -85,15 +85,15 @@
 @click.option("--png", type=click.Path(dir_okay=False))
 def plot(folder: str, title: str, png: str | None) -> None:
     """Draw the plots of a results folder."""
-    from ..lab import plot as plotting
+    from ..experiments import plot as plotting
 
     click.echo(plotting.plot(Path(folder), title or Path(folder).name, Path(png) if png else None))
 
 
 def play_on_processes(spec: Experiment, folder: Path, seed: int) -> Any:
     """The outcome of one run on processes; ends the program where it can't be played."""
-    from ..lab.errors import LabError
-    from ..lab.processes import ProcessLab
+    from ..experiments.errors import LabError
+    from ..experiments.processes import ProcessLab
 
     try:
         with ProcessLab(spec, folder / f"seed-{seed}", seed) as lab, progress(f"seed {seed}") as told:
@@ -110,7 +110,7 @@
 )
 def processes(experiment: str, seeds: tuple[int, ...], out: str | None) -> None:
     """Play an experiment on processes of the program over loopback, with its faults, and judge it."""
-    from ..lab import sweep as sweeping
+    from ..experiments import sweep as sweeping
 
     spec = load_or_refuse(experiment, Experiment)
     folder, any_broken = Path(out or f"lab/{spec.name}-processes"), False
@@ -149,8 +149,8 @@
 )
 def compare(experiment: str, seeds: tuple[int, ...], out: str | None) -> None:
     """Play an experiment in the emulator and on processes; exit 1 where a share is more than 5% apart."""
-    from ..lab.compare import compare as comparing
-    from ..lab.errors import LabError
+    from ..experiments.compare import compare as comparing
+    from ..experiments.errors import LabError
 
     spec = load_or_refuse(experiment, Experiment)
     folder = Path(out or f"lab/{spec.name}-compare")
--- a/brookhub/commands/maintenance.py
+++ b/brookhub/commands/maintenance.py
@@ -18,7 +18,7 @@
 
 def plan_of(path: str) -> Plan:
     """The plan of a file; ends the program where it can't be used."""
-    from ..program.startfile import plan_from_file
+    from ..program.start_file import plan_from_file
 
     load_or_refuse(path, PlanFile)
     return plan_from_file(Path(path))
@@ -65,7 +65,7 @@
 @click.argument("logs", type=click.Path(dir_okay=False, exists=True), nargs=-1, required=True)
 def status(logs: tuple[str, ...]) -> None:
     """How far a plan is, from limiters' logs (JSON lines): machines, steward, why it is halted."""
-    from ..lab.maintenance import read_status
+    from ..experiments.maintenance import read_status
 
     click.echo(read_status([Path(one) for one in logs]))
 
@@ -83,8 +83,8 @@
 @click.option("--seed", type=int, default=1, show_default=True)
 def plans(out: Path, scenarios: tuple[str, ...], mosts: tuple[int, ...], seed: int) -> None:
     """Plans of work on eight processes, a fault at each step; a line a run, exit 1 where anything broke."""
-    from ..lab import plans as playing
-    from ..lab.errors import LabError
+    from ..experiments import plans as playing
+    from ..experiments.errors import LabError
 
     any_broken = False
     unknown = [one for one in scenarios if one not in playing.SCENARIOS]
@@ -127,7 +127,7 @@
     planted: str,
 ) -> None:
     """Check the maintenance core over its states, faults at every step; exit 1 with the trail of a break."""
-    from ..checker import PLANTED, Model, Register, search
+    from ..model_checker import PLANTED, Model, Register, search
 
     register = PLANTED.get(planted, Register)
     model = Model(voters, most, machines=1 + most, joins=joins, rounds=not messages, register=register)
--- a/brookhub/commands/measure.py
+++ b/brookhub/commands/measure.py
@@ -28,7 +28,7 @@
     sockets: bool,
 ) -> None:
     """Measure membership against its baselines in the emulator: a table, and a plot in the folder."""
-    from ..lab import membership as measuring
+    from ..experiments import membership as measuring
 
     if sockets:
         for seed in seeds or (1,):
@@ -48,7 +48,7 @@
 @processes_option
 def choices(out: Path, seeds: tuple[int, ...], processes: int | None) -> None:
     """Measure ways to choose servers for each limiter: balance, load, churn; a table and a plot."""
-    from ..lab import choices as measuring
+    from ..experiments import choices as measuring
 
     with progress("choices") as told:
         rows = measuring.measure(out, list(seeds or range(1, 6)), processes=processes, progress=told)
@@ -62,7 +62,7 @@
 @processes_option
 def together(out: Path, seeds: tuple[int, ...], processes: int | None) -> None:
     """Measure signals and turns in the emulator: bad and cold servers, fairness; tables and a plot."""
-    from ..lab import together as measuring
+    from ..experiments import together as measuring
 
     with progress("together") as told:
         rows = measuring.measure(out, list(seeds or range(1, 5)), processes, told)
@@ -76,7 +76,7 @@
 @processes_option
 def recovery(out: Path, seeds: tuple[int, ...], processes: int | None) -> None:
     """A counter wiped, swapped and split in the emulator, with and without recovery; a table and plots."""
-    from ..lab import recovery as measuring
+    from ..experiments import recovery as measuring
 
     with progress("recovery") as told:
         rows = measuring.measure(out, list(seeds or range(1, 4)), processes, told)
@@ -91,7 +91,7 @@
 @processes_option
 def maintenance(out: Path, seeds: int, processes: int | None) -> None:
     """Plans of work on 200 emulated limiters under random faults, against two baselines; tables, a plot."""
-    from ..lab import maintenance as measuring
+    from ..experiments import maintenance as measuring
 
     with progress("maintenance") as told:
         rows = measuring.measure(out, seeds, processes, told)
--- a/brookhub/commands/serve.py
+++ b/brookhub/commands/serve.py
@@ -53,11 +53,11 @@
 
 def check_json_start_file(path: str) -> None:
     """Check a start file in JSON; ends the program where it can't be used."""
-    from ..program import startfile
+    from ..program import start_file
 
     try:
-        startfile.read({"NODE_CONFIG": path})
-    except startfile.StartError as broken:
+        start_file.read({"NODE_CONFIG": path})
+    except start_file.StartError as broken:
         refuse(broken)
 
 
--- a/brookhub/config/models.py
+++ b/brookhub/config/models.py
@@ -387,5 +387,5 @@
     settings: dict[str, Any]
 
     def start_json(self) -> dict:
-        """The JSON start file that the program reads (program/startfile.py)."""
+        """The JSON start file that the program reads (program/start_file.py)."""
         return self.model_dump(exclude_none=True)
--- a/brookhub/choices/__init__.py
+++ b/brookhub/coordination/__init__.py
@@ -6,11 +6,11 @@
 talking, and ones with other views do harm that is bounded.
 """
 
-from .carriers import TOPIC, ByCounter, ByPeers, UnusableError, unpack
 from .ejections import Report, SharedEjections
-from .parts import Parts, Shared
+from .epoch_leases import Turns
+from .report_transport import TOPIC, ByCounter, ByPeers, UnusableError, unpack
+from .subset_assignment import Parts, Shared
 from .subsets import Subsets, size
-from .turns import Turns
 
 __all__ = [
     "TOPIC",
--- a/brookhub/choices/ejections.py
+++ b/brookhub/coordination/ejections.py
@@ -18,8 +18,8 @@
 from enum import IntEnum
 from typing import Callable, Hashable, NamedTuple, Protocol
 
-from ..interface import Outcome
-from .turns import GRACE, Turns
+from ..model import Outcome
+from .epoch_leases import GRACE, Turns
 
 WITNESSES = 2  # limiters whose report it takes: one alone may be the one at fault
 WITNESSES_ENOUGH = 3  # beyond which one more is not told: a fleet that fails together would only shout
--- a/brookhub/choices/carriers.py
+++ b/brookhub/coordination/report_transport.py
@@ -10,7 +10,7 @@
 import msgspec
 import xxhash
 
-from ..interface import Outcome, Told
+from ..model import Outcome, Told
 from .ejections import REPORT_TTL, Health, Report, SharedEjections
 
 TOPIC = 1  # of reports among membership's words
--- a/brookhub/choices/parts.py
+++ b/brookhub/coordination/subset_assignment.py
@@ -16,7 +16,7 @@
 from math import floor, log
 from typing import Any, Callable, Hashable, Iterable
 
-from ..interface import Outcome
+from ..model import Outcome
 from .ejections import SharedEjections
 from .subsets import Subsets, size
 
--- a/brookhub/drill/__init__.py
+++ b/brookhub/drill/__init__.py
@@ -1,1 +1,1 @@
-"""The decisions on the simulator's wire: frames in on standard input, frames out on standard output."""
+"""Deprecated name of `brookhub.simulator`, kept for deploy files that start `python -m brookhub.drill`."""
--- a/brookhub/drill/__main__.py
+++ b/brookhub/drill/__main__.py
@@ -1,20 +1,9 @@
-"""Run the drill: python -m brookhub.drill."""
+"""`python -m brookhub.drill`: the former name of `python -m brookhub.simulator`, with a warning."""
 
 import sys
 
-from .frames import WireError
-from .host import Host
-
-
-def main() -> int:
-    """Play the decisions on the simulator's wire until it ends; the exit code."""
-    try:
-        Host(sys.stdin.buffer, sys.stdout.buffer).run()
-    except WireError as broken:
-        print(f"brookhub.drill: {broken}", file=sys.stderr)
-        return 1
-    return 0
-
+from ..simulator.__main__ import main
 
 if __name__ == "__main__":
+    print("brookhub.drill: deprecated, use `python -m brookhub.simulator`", file=sys.stderr)
     sys.exit(main())
--- a/brookhub/emulator/faults.py
+++ b/brookhub/emulator/faults.py
@@ -6,7 +6,7 @@
 from typing import Any, Callable, Sequence
 
 from ..config.models import FaultSpec
-from ..interface import State
+from ..model import State
 from .limiter import Seat
 from .world import ServerModel
 
--- a/brookhub/emulator/fleet.py
+++ b/brookhub/emulator/fleet.py
@@ -12,10 +12,10 @@
 from types import ModuleType
 
 from .. import policy
-from ..choices import TOPIC, ByCounter, ByPeers, Parts, Shared, SharedEjections, Turns, unpack
 from ..config.models import Experiment, PlanSpec, RouteSpec
-from ..interface import ApiCall, GatewaySettings, Group, Plan, Repeat, Route, State
+from ..coordination import TOPIC, ByCounter, ByPeers, Parts, Shared, SharedEjections, Turns, unpack
 from ..membership import ALIVE, Membership
+from ..model import ApiCall, GatewaySettings, Group, Plan, Repeat, Route, State
 from ..recovery import Ledger
 from .engine import Engine
 from .faults import FaultPlayer
--- a/brookhub/emulator/limiter.py
+++ b/brookhub/emulator/limiter.py
@@ -10,10 +10,10 @@
 from dataclasses import replace
 from typing import Callable
 
-from ..interface import ApiCall, Attempt, GatewaySettings, Outcome, Server, State, Told
+from ..model import ApiCall, Attempt, GatewaySettings, Outcome, Server, State, Told
 from ..recovery import Ledger, Recovery
 from ..recovery import Settings as RecoverySettings
-from ..roster import Customers, Roster
+from ..registry import Customers, Roster
 
 CONNECT_WITHIN = 0.25  # s that a dial over a cut link is waited for
 
--- a/brookhub/emulator/result.py
+++ b/brookhub/emulator/result.py
@@ -6,7 +6,7 @@
 
 from hdrh.histogram import HdrHistogram
 
-from ..interface import Plan
+from ..model import Plan
 
 LATENCY_MAX_US = 60_000_000  # the histogram's top: one minute, beyond any client timeout
 
--- a/brookhub/emulator/rules.py
+++ b/brookhub/emulator/rules.py
@@ -9,7 +9,7 @@
 import hashlib
 from collections import deque
 
-from ..interface import Group, Repeat
+from ..model import Group, Repeat
 
 TRAIL = 400  # events kept for the report of a break: enough to follow one API call through its tries
 LATE = 1e-9  # s by which an answer may pass the client timeout: float rounding of the same instant
--- a/brookhub/emulator/site.py
+++ b/brookhub/emulator/site.py
@@ -12,8 +12,8 @@
 
 from random import Random
 
-from ..interface import State
 from ..maintenance import Machine, Maintenance, Plan, Settings
+from ..model import State
 from .engine import Engine
 from .world import ServerModel
 
--- a/brookhub/emulator/world.py
+++ b/brookhub/emulator/world.py
@@ -15,7 +15,7 @@
 from typing import Callable
 
 from ..config.models import ServerSpec
-from ..interface import Outcome, State
+from ..model import Outcome, State
 
 CONNECT = 0.001  # s until a refused or turned-away try is known: one round trip on a local network
 MODES = ("ok", "slow", "failing", "silent", "dead")
--- a/brookhub/lab/choices.py
+++ b/brookhub/experiments/choices.py
@@ -16,8 +16,8 @@
 from pathlib import Path
 from typing import Callable
 
-from ..choices.hashing import score
-from ..choices.subsets import Subsets, size
+from ..coordination.hashing import score
+from ..coordination.subsets import Subsets, size
 from .canvas import panels, saved
 
 RESULTS = "choices.jsonl"
--- a/brookhub/lab/judge.py
+++ b/brookhub/experiments/invariant_checker.py
@@ -9,7 +9,7 @@
 from dataclasses import dataclass, field
 
 from ..config.models import Experiment
-from ..stand_ins.server import Seen
+from ..fakes.server import Seen
 from .load import Asked
 
 # Seconds beyond a time limit: 50 ms of the protocol page, the rest for this machine's threads under load
--- a/brookhub/lab/load.py
+++ b/brookhub/experiments/load.py
@@ -15,9 +15,9 @@
 from time import monotonic, sleep
 
 from ..config.models import Experiment
-from ..interface import Repeat
+from ..fakes.base import read_value
+from ..model import Repeat
 from ..protocol import resp
-from ..stand_ins.base import read_value
 
 OVERTIME = 1.5  # s after a call's client timeout in which its client still listens, to catch late answers
 REFUSED = 0.5  # s that the front leaves a limiter alone that refused a connection
--- a/brookhub/lab/process_faults.py
+++ b/brookhub/experiments/process_faults.py
@@ -7,7 +7,7 @@
 
 from ..config.models import FaultSpec
 from ..emulator.faults import pick_share
-from ..interface import State
+from ..model import State
 from .errors import LabError
 from .limiter_process import Limiter
 
--- a/brookhub/lab/processes.py
+++ b/brookhub/experiments/processes.py
@@ -23,16 +23,16 @@
 from ..config.models import Experiment
 from ..emulator import Result
 from ..emulator.world import ServerModel
-from ..interface import State
-from ..links import Relays
-from ..stand_ins import CounterStandIn, DiscoveryStandIn, ModelServer, Timers, host
+from ..fakes import CounterStandIn, DiscoveryStandIn, ModelServer, Timers, host
+from ..fault_injection import Relays
+from ..model import State
+from .address_pool import Lane
 from .errors import LabError
-from .judge import Outage, Verdict, judge
-from .lanes import Lane
+from .invariant_checker import Outage, Verdict, judge
 from .limiter_process import Limiter
 from .load import Load
 from .process_faults import ProcessFaults
-from .startfiles import CELLS, start_file, zone
+from .start_files import CELLS, start_file, zone
 
 MOST, LEAST = 32, 1  # processes: what 8 cores start and carry beside a light load; 16 beside a heavy one
 READY_IN = 20.0  # s for a limiter to answer PING
--- a/brookhub/lab/recovery.py
+++ b/brookhub/experiments/recovery.py
@@ -114,7 +114,7 @@
 
 def experiment_of(job: dict) -> Experiment:
     """The embedded experiment as a job changes it."""
-    text = resources.files("brookhub.lab").joinpath("default.toml").read_text()
+    text = resources.files("brookhub.experiments").joinpath("default.toml").read_text()
     raw = loads(text, Experiment, "default").model_dump()
     raw["sweep"], raw["duration_s"] = {}, AT + job["for_s"] + AFTER
     raw["load"].update(scale=LOAD, repeat_share=REPEAT_SHARE)
--- a/brookhub/lab/together.py
+++ b/brookhub/experiments/together.py
@@ -40,7 +40,7 @@
 def base(limiters: int, way: str, **servers) -> dict:
     """The embedded experiment's fleet of 60 servers with membership, at the load of its plans."""
     raw = loads(
-        resources.files("brookhub.lab").joinpath("default.toml").read_text(), Experiment, "default"
+        resources.files("brookhub.experiments").joinpath("default.toml").read_text(), Experiment, "default"
     ).model_dump()
     raw["sweep"], raw["faults"], raw["duration_s"] = {}, [], RUN
     fleet = raw["fleet"]
--- a/brookhub/stand_ins/server.py
+++ b/brookhub/fakes/server.py
@@ -12,8 +12,8 @@
 from time import monotonic
 
 from ..emulator.world import ServerModel
-from ..interface import State
-from ..links import reserve
+from ..fault_injection import reserve
+from ..model import State
 from .base import StandIn, Timers, read_value, reset
 
 VALUE = b"*3\r\n$2\r\nok\r\n$6\r\ncost=1\r\n$-1\r\n"
--- a/brookhub/chain.py
+++ b/brookhub/pipeline.py
@@ -4,7 +4,7 @@
 
 from typing import Any, Sequence
 
-from .interface import Answer, Port
+from .model import Answer, Port
 
 
 class Stage:
--- a/brookhub/policy/accounts.py
+++ b/brookhub/policy/accounts.py
@@ -1,6 +1,6 @@
 """A customer's parts of quota and ceiling, among the gateways that hold these together."""
 
-from ..state import Account
+from ..policy_state import Account
 from ..structures import TokenBucket
 from .constants import OVERFLOW_USED, UNHEARD
 
--- a/brookhub/policy/admission.py
+++ b/brookhub/policy/admission.py
@@ -2,8 +2,8 @@
 
 from math import floor, inf
 
-from ..chain import Stage
-from ..interface import Answer, Group, Outcome, Repeat
+from ..model import Answer, Group, Outcome, Repeat
+from ..pipeline import Stage
 from ..structures import AdaptiveRate, DecayingSum
 from . import constants as tuned
 from .repeats import attempts_that_may_have_run
--- a/brookhub/policy/capacity.py
+++ b/brookhub/policy/capacity.py
@@ -2,8 +2,8 @@
 
 from itertools import islice, takewhile
 
-from ..chain import Stage
-from ..interface import Answer
+from ..model import Answer
+from ..pipeline import Stage
 from .constants import IDLE, LENDERS
 from .repeats import attempts_that_may_have_run
 
--- a/brookhub/policy/constants.py
+++ b/brookhub/policy/constants.py
@@ -1,6 +1,6 @@
 """Every tuned value of the decisions, with its unit and reason."""
 
-from ..interface import Outcome
+from ..model import Outcome
 from ..structures import RateLimits
 
 SWEEP = 0.02  # s between looks at a queue that waits: a small part of any latency target
--- a/brookhub/policy/gateway.py
+++ b/brookhub/policy/gateway.py
@@ -2,8 +2,8 @@
 
 from itertools import islice
 
-from ..chain import link
-from ..state import Request
+from ..pipeline import link
+from ..policy_state import Request
 from ..structures import RandomGenerator
 from .accounts import divide, open_account
 from .admission import Intake, Quota
--- a/brookhub/policy/health.py
+++ b/brookhub/policy/health.py
@@ -1,6 +1,6 @@
 """What is thought of one server: outlier ejection, backoff, expected delay."""
 
-from ..interface import Outcome
+from ..model import Outcome
 from .constants import BACKOFF, BACKOFF_MOST, EJECTED_FOR, FAILING, PATIENCE
 
 
--- a/brookhub/policy/queue.py
+++ b/brookhub/policy/queue.py
@@ -2,8 +2,8 @@
 
 from collections import deque
 
-from ..chain import Stage
-from ..interface import Answer
+from ..model import Answer
+from ..pipeline import Stage
 from .constants import QUEUE_PART, SWEEP
 from .repeats import attempts_that_may_have_run
 
--- a/brookhub/policy/repeats.py
+++ b/brookhub/policy/repeats.py
@@ -1,6 +1,6 @@
 """Whether a request may be sent again after attempts that may have run."""
 
-from ..interface import Group, Repeat
+from ..model import Group, Repeat
 from .constants import NEVER_RAN
 
 
--- a/brookhub/policy/upstreams.py
+++ b/brookhub/policy/upstreams.py
@@ -2,9 +2,9 @@
 
 from math import floor
 
-from ..chain import Stage
-from ..interface import Answer, IndependentChoices, Outcome, Repeat, State
-from ..state import Upstream
+from ..model import Answer, IndependentChoices, Outcome, Repeat, State
+from ..pipeline import Stage
+from ..policy_state import Upstream
 from ..structures import DecayingMean, DecayingSum, RisingMinimum
 from . import constants as tuned
 from .health import expected_delay, is_open, is_sound, record_end
--- a/brookhub/state.py
+++ b/brookhub/policy_state.py
@@ -9,7 +9,7 @@
 from math import inf
 from typing import Any
 
-from .interface import ApiCall, Customer, Plan, Server
+from .model import ApiCall, Customer, Plan, Server
 from .structures import DecayingMean, SuccessWindow, TokenBucket
 
 
--- a/brookhub/program/run.py
+++ b/brookhub/program/run.py
@@ -10,7 +10,7 @@
 from random import Random
 from time import monotonic, sleep, time
 
-from ..interface import GatewaySettings
+from ..model import GatewaySettings
 from ..policy import Gateway
 from ..routing.clients import ClientLimits, Clients
 from ..routing.connections import Reconnector
@@ -20,8 +20,8 @@
 from ..routing.servers import Servers
 from ..transport.sockets import Listener
 from ..transport.threads import small_stacks, spawn
-from . import log, startfile
-from .startfile import Start, StartError
+from . import log, start_file
+from .start_file import Start, StartError
 
 SPARE = 24  # descriptors kept for the log, the listener, discovery and what is being closed
 COUNTER_LINKS = 2  # enough to have one while the other is dialled anew
@@ -172,7 +172,7 @@
         """
         if start.membership is None:
             return None
-        spec = startfile.peers(start)
+        spec = start_file.peers(start)
         if not start.may_talk:
             self.log.warning("membership refused", why="the settings do not allow peer messages")
             return None
@@ -190,7 +190,7 @@
         """
         if start.recovery is None:
             return None
-        spec = startfile.recovery(start)
+        spec = start_file.recovery(start)
         if not start.counter:
             self.log.warning("recovery refused", why="the settings have no counter")
             return None
@@ -211,7 +211,7 @@
 
     def keep(self, start: Start):
         """The driver of maintenance, where the start file names a plan and there are peers."""
-        given = startfile.plan(start)
+        given = start_file.plan(start)
         from ..maintenance import Settings
         from ..routing.maintenance import Keeper
 
@@ -266,9 +266,9 @@
         The rest holds from the next start on. One that can't be used changes nothing.
         """
         try:
-            start = startfile.read(os.environ, again=True)
-            peers = startfile.peers(start) if self.peers and start.membership else None
-            plan = startfile.plan(start) if self.keeper else None
+            start = start_file.read(os.environ, again=True)
+            peers = start_file.peers(start) if self.peers and start.membership else None
+            plan = start_file.plan(start) if self.keeper else None
         except StartError as refused:
             return self.log.error("not reloaded", why=str(refused))
         self.port.run(monotonic(), self.discovery.move, start.discovery)
@@ -309,7 +309,7 @@
     # Before the first thread; one that comes early waits its turn
     signal.pthread_sigmask(signal.SIG_BLOCK, SIGNALS)
     try:
-        program = Program(startfile.read(os.environ))
+        program = Program(start_file.read(os.environ))
     except StartError as refused:
         print(f"brookhub: {refused}", file=sys.stderr)
         return 2
--- a/brookhub/protocol/calls.py
+++ b/brookhub/protocol/calls.py
@@ -6,7 +6,7 @@
 from math import ceil
 from typing import Any
 
-from ..interface import Repeat, Route
+from ..model import Repeat, Route
 from . import resp
 
 HEXADECIMAL = re.compile(rb"[0-9a-fA-F]{16}")
--- a/brookhub/protocol/hosts.py
+++ b/brookhub/protocol/hosts.py
@@ -6,7 +6,7 @@
 from hashlib import sha256
 from typing import Any
 
-from ..interface import State
+from ..model import State
 from .resp import MalformedError
 
 STATES = {"Ready": State.READY, "Terminating": State.DRAINING, "Gone": State.GONE}
--- a/brookhub/recovery/core.py
+++ b/brookhub/recovery/core.py
@@ -12,7 +12,7 @@
 from dataclasses import dataclass
 from typing import Any, Callable, Protocol
 
-from ..interface import Outcome, Told
+from ..model import Outcome, Told
 from .epochs import TOKEN, Epochs
 from .ledger import LIVES, Ledger
 
--- a/brookhub/roster.py
+++ b/brookhub/registry.py
@@ -5,7 +5,7 @@
 from typing import Any, Iterable
 from weakref import WeakValueDictionary
 
-from .interface import Customer, Plan, Server, State
+from .model import Customer, Plan, Server, State
 
 
 class Roster:
--- a/brookhub/routing/client_connection.py
+++ b/brookhub/routing/client_connection.py
@@ -7,7 +7,7 @@
 from time import monotonic
 from typing import TYPE_CHECKING
 
-from ..interface import ApiCall
+from ..model import ApiCall
 from ..protocol import calls, resp
 from ..transport.stream import Stream
 from .connections import read_to_end
--- a/brookhub/routing/clients.py
+++ b/brookhub/routing/clients.py
@@ -7,9 +7,9 @@
 from time import monotonic
 from typing import Callable
 
-from ..interface import GatewaySettings
+from ..model import GatewaySettings
 from ..protocol import calls, resp
-from ..roster import Customers
+from ..registry import Customers
 from ..transport.sockets import time_limits
 from ..transport.threads import spawn
 from .client_connection import LATEST, ClientConnection, PendingAnswer, WordedCall
--- a/brookhub/routing/counter.py
+++ b/brookhub/routing/counter.py
@@ -7,7 +7,7 @@
 from time import monotonic
 from typing import Callable
 
-from ..interface import Outcome, Told
+from ..model import Outcome, Told
 from ..protocol import counts, resp
 from ..transport.stream import Stream
 from .connections import Reconnector, read_to_end, spawn_surely
--- a/brookhub/routing/discovery.py
+++ b/brookhub/routing/discovery.py
@@ -5,10 +5,10 @@
 from time import monotonic
 from typing import Callable
 
-from ..interface import State
+from ..model import State
 from ..protocol import hosts, http
 from ..protocol.documents import DocumentReader
-from ..roster import Roster
+from ..registry import Roster
 from ..transport.sockets import time_limits
 from ..transport.stream import Stream
 from .connections import Reconnector, read_to_end, spawn_surely
--- a/brookhub/routing/peers.py
+++ b/brookhub/routing/peers.py
@@ -12,7 +12,7 @@
 
 from xxhash import xxh3_64_intdigest
 
-from ..choices import TOPIC, ByPeers, Parts, Shared, SharedEjections, Turns, UnusableError, unpack
+from ..coordination import TOPIC, ByPeers, Parts, Shared, SharedEjections, Turns, UnusableError, unpack
 from ..membership import LARGEST, WORDS, Membership, UnreadableError, decode
 from ..transport.threads import spawn
 
--- a/brookhub/routing/port.py
+++ b/brookhub/routing/port.py
@@ -8,7 +8,7 @@
 from time import monotonic
 from typing import Callable
 
-from ..interface import ApiCall, Attempt, Outcome, Server, Told
+from ..model import ApiCall, Attempt, Outcome, Server, Told
 from ..protocol import calls
 
 
--- a/brookhub/routing/recovery.py
+++ b/brookhub/routing/recovery.py
@@ -10,7 +10,7 @@
 from time import monotonic, time
 from typing import Callable
 
-from ..interface import Told
+from ..model import Told
 from ..recovery import Record, Recovery, Settings, UnusableError, append, scan, snapshot
 
 WRITE = 0.1  # s between two writes of what was counted: the most that a crash loses
--- a/brookhub/routing/servers.py
+++ b/brookhub/routing/servers.py
@@ -5,7 +5,7 @@
 from time import monotonic
 from typing import Callable
 
-from ..interface import Attempt, Outcome, Server, State
+from ..model import Attempt, Outcome, Server, State
 from ..protocol import resp
 from ..protocol.calls import ServerAnswer
 from ..transport.sockets import dial
--- a/brookhub/settings.py
+++ b/brookhub/settings.py
@@ -1,11 +1,11 @@
-"""Reads the operators' settings into the types of interface.py. Unknown keys are skipped."""
+"""Reads the operators' settings into the types of model.py. Unknown keys are skipped."""
 
 from __future__ import annotations
 
 import json
 from typing import Any, TypeVar
 
-from .interface import GatewaySettings, Group, Plan, Repeat, Route
+from .model import GatewaySettings, Group, Plan, Repeat, Route
 
 Choice = TypeVar("Choice")
 
--- /dev/null
+++ b/brookhub/simulator/__init__.py
@@ -0,0 +1,1 @@
+"""The decisions on the simulator's wire: frames in on standard input, frames out on standard output."""
--- a/brookhub/drill/host.py
+++ b/brookhub/simulator/host.py
@@ -6,9 +6,9 @@
 import traceback
 from typing import BinaryIO, Callable
 
-from ..interface import ApiCall, Attempt, Outcome, Server, State, Told
+from ..model import ApiCall, Attempt, Outcome, Server, State, Told
 from ..policy import Gateway
-from ..roster import Customers, Roster
+from ..registry import Customers, Roster
 from ..settings import SettingsError, parse_object, read_gateway_settings, read_section
 from . import frames
 from .frames import Batch, Reply, WireError
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -10,7 +10,7 @@
 
 import pytest
 
-from brookhub.lab.processes import ProcessLab
+from brookhub.experiments.processes import ProcessLab
 from helpers import Program, experiment, play_script
 
 KNOWN_RED = Path(__file__).parent.parent / "KNOWN-RED.txt"
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -15,7 +15,8 @@
 from dataclasses import replace
 
 from brookhub.config import Experiment
-from brookhub.interface import (
+from brookhub.fakes import CounterStandIn, DiscoveryStandIn, ServerStandIn, host, read_value
+from brookhub.model import (
     ApiCall,
     Attempt,
     Customer,
@@ -29,7 +30,6 @@
     State,
 )
 from brookhub.policy import NEVER_RAN, Gateway
-from brookhub.stand_ins import CounterStandIn, DiscoveryStandIn, ServerStandIn, host, read_value
 
 DEFAULT_SETTINGS = GatewaySettings(
     routes=(Route("read", 1.0, 4.0),),
--- a/tests/test_choices.py
+++ b/tests/test_choices.py
@@ -7,10 +7,10 @@
 
 import pytest
 
-from brookhub.choices import Parts, Shared, Subsets, Turns, size
-from brookhub.choices.parts import MOST_PAIRS
-from brookhub.choices.subsets import BLOCK, SLACK, capacities
-from brookhub.choices.turns import EPOCH, GRACE
+from brookhub.coordination import Parts, Shared, Subsets, Turns, size
+from brookhub.coordination.epoch_leases import EPOCH, GRACE
+from brookhub.coordination.subset_assignment import MOST_PAIRS
+from brookhub.coordination.subsets import BLOCK, SLACK, capacities
 
 
 def pairs(fleet, each):
--- a/tests/test_choices_processes.py
+++ b/tests/test_choices_processes.py
@@ -10,10 +10,10 @@
 import pytest
 from xxhash import xxh3_64_intdigest
 
-from brookhub.choices import Parts, Turns
-from brookhub.choices.ejections import EJECTED_MOST, PROBE_AT, REPORT_TTL
-from brookhub.choices.turns import GRACE
-from brookhub.lab.processes import ProcessLab
+from brookhub.coordination import Parts, Turns
+from brookhub.coordination.ejections import EJECTED_MOST, PROBE_AT, REPORT_TTL
+from brookhub.coordination.epoch_leases import GRACE
+from brookhub.experiments.processes import ProcessLab
 from brookhub.membership.core import SHRINK
 from brookhub.protocol import hosts
 from helpers import experiment, until
--- a/tests/test_endings.py
+++ b/tests/test_endings.py
@@ -18,12 +18,12 @@
 
 import pytest
 
+from brookhub.fakes import StandIn
 from brookhub.protocol import http, resp
 from brookhub.protocol.documents import DocumentReader
 from brookhub.routing import connections
 from brookhub.routing.connections import Reconnector
 from brookhub.routing.port import SocketPort
-from brookhub.stand_ins import StandIn
 from brookhub.transport import threads
 from brookhub.transport.ring import Ring
 from brookhub.transport.sockets import Listener
--- a/tests/test_entry.py
+++ b/tests/test_entry.py
@@ -26,3 +26,10 @@
 def test_serving_loads_nothing_of_the_command_line():
     probe = "import sys; import brookhub.__main__, brookhub.program.run; sys.exit('click' in sys.modules)"
     assert subprocess.run([sys.executable, "-c", probe]).returncode == 0
+
+
+def test_the_former_name_of_the_simulator_adapter_works_with_one_warning_line():
+    command = [sys.executable, "-m", "brookhub.drill"]
+    completed = subprocess.run(command, stdin=subprocess.DEVNULL, capture_output=True, text=True)
+    assert completed.returncode == 0 and completed.stdout == ""
+    assert completed.stderr.splitlines() == ["brookhub.drill: deprecated, use `python -m brookhub.simulator`"]
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -7,7 +7,7 @@
 
 import pytest
 
-from brookhub.interface import Outcome, Plan, Route
+from brookhub.model import Outcome, Plan, Route
 from helpers import World
 
 WIDE = Plan("wide", 500.0, 1000.0)
--- a/tests/test_fleet_processes.py
+++ b/tests/test_fleet_processes.py
@@ -21,7 +21,7 @@
 import pytest
 
 from brookhub.membership.messages import VERSION, Message, encode
-from brookhub.program import run, startfile
+from brookhub.program import run, start_file
 from helpers import SETTINGS, Program, until
 
 # Two labs at a time are what this machine carries; each has addresses of its own
@@ -252,9 +252,9 @@
     def read(start):
         with socket.socket() as client:
             met.append(client.connect_ex(start.listen))
-        raise startfile.StartError("enough seen")
+        raise start_file.StartError("enough seen")
 
-    monkeypatch.setattr(startfile, reader, read)
+    monkeypatch.setattr(start_file, reader, read)
     config.write_text(
         json.dumps(
             {
@@ -266,8 +266,8 @@
             }
         )
     )
-    with pytest.raises(startfile.StartError, match="enough seen"):
-        run.Program(startfile.read({"NODE_CONFIG": str(config)}))
+    with pytest.raises(start_file.StartError, match="enough seen"):
+        run.Program(start_file.read({"NODE_CONFIG": str(config)}))
     assert met == [errno.ECONNREFUSED]
 
 
--- a/tests/test_lab.py
+++ b/tests/test_lab.py
@@ -8,8 +8,8 @@
 
 from brookhub.cli import main
 from brookhub.config import ConfigError, Experiment, GatewayFile, loads
-from brookhub.lab import sweep
-from brookhub.program import startfile
+from brookhub.experiments import sweep
+from brookhub.program import start_file
 
 
 @pytest.mark.parametrize(
@@ -39,11 +39,11 @@
     good = 'listen = "127.0.0.1:7000"\ndiscovery = "127.0.0.1:7001"\n[settings]\nbalancers = 2\n'
     path = tmp_path / "gateway.toml"
     path.write_text(good)
-    start = startfile.read({"NODE_CONFIG": str(path)})
+    start = start_file.read({"NODE_CONFIG": str(path)})
     assert start.listen == ("127.0.0.1", 7000) and start.gateway_settings.gateways == 2
     path.write_text(good.replace("listen", "listne"))
-    with pytest.raises(startfile.StartError, match=r"gateway.toml: line 1: listne: unknown key"):
-        startfile.read({"NODE_CONFIG": str(path)})
+    with pytest.raises(start_file.StartError, match=r"gateway.toml: line 1: listne: unknown key"):
+        start_file.read({"NODE_CONFIG": str(path)})
     assert GatewayFile.model_validate({"listen": "a:1", "discovery": "b:2", "settings": {}}).name == "limiter"
 
 
@@ -75,7 +75,7 @@
 
 
 def test_the_figures_of_subsets_and_of_ceilings_are_drawn_from_rows(tmp_path):
-    from brookhub.lab import choices, recovery
+    from brookhub.experiments import choices, recovery
 
     subsets = [
         {
--- a/tests/test_links.py
+++ b/tests/test_links.py
@@ -8,8 +8,8 @@
 import pytest
 
 from brookhub.emulator.world import ServerModel
-from brookhub.links import Relays, Way
-from brookhub.stand_ins import ModelServer, ServerStandIn, StandIn, Timers
+from brookhub.fakes import ModelServer, ServerStandIn, StandIn, Timers
+from brookhub.fault_injection import Relays, Way
 from helpers import api_call, read_value, until
 
 
--- a/tests/test_maintenance.py
+++ b/tests/test_maintenance.py
@@ -9,7 +9,6 @@
 from hypothesis import strategies as some
 from hypothesis.stateful import RuleBasedStateMachine, invariant, rule
 
-from brookhub.checker import PLANTED, Model, search
 from brookhub.maintenance import (
     LEAVING,
     OPEN,
@@ -25,6 +24,7 @@
 )
 from brookhub.maintenance.messages import Offer, Table, Write
 from brookhub.maintenance.register import DRIFT, leased
+from brookhub.model_checker import PLANTED, Model, search
 
 
 def plan(machines=6, zones=2, version=1, voters=("n0", "n1", "n2"), **more):
--- a/tests/test_maintenance_processes.py
+++ b/tests/test_maintenance_processes.py
@@ -13,7 +13,7 @@
 
 import pytest
 
-from brookhub.lab.maintenance import Workers, read_status
+from brookhub.experiments.maintenance import Workers, read_status
 from helpers import Program, until
 from test_fleet_processes import PEERS, all_hold
 
--- a/tests/test_processes.py
+++ b/tests/test_processes.py
@@ -15,15 +15,15 @@
 import pytest
 
 from brookhub.emulator.world import ServerModel
-from brookhub.interface import State
-from brookhub.lab.errors import LabError
-from brookhub.lab.judge import Outage, judge
-from brookhub.lab.lanes import LANES, Lane
-from brookhub.lab.load import Asked, Load
-from brookhub.lab.processes import ProcessLab
+from brookhub.experiments.address_pool import LANES, Lane
+from brookhub.experiments.errors import LabError
+from brookhub.experiments.invariant_checker import Outage, judge
+from brookhub.experiments.load import Asked, Load
+from brookhub.experiments.processes import ProcessLab
+from brookhub.fakes import ModelServer, StandIn, Timers, read_value
+from brookhub.fakes.server import Seen
+from brookhub.model import State
 from brookhub.protocol import resp
-from brookhub.stand_ins import ModelServer, StandIn, Timers, read_value
-from brookhub.stand_ins.server import Seen
 from helpers import experiment, until
 
 # Two labs at a time are what this machine carries; each has addresses of its own
--- a/tests/test_protocol.py
+++ b/tests/test_protocol.py
@@ -6,9 +6,9 @@
 
 import pytest
 
-from brookhub.interface import State
+from brookhub.model import State
 from brookhub.protocol import calls, counts, hosts, http, resp
-from brookhub.roster import Roster
+from brookhub.registry import Roster
 from brookhub.transport.ring import Ring
 
 CALL = [
--- a/tests/test_recovery.py
+++ b/tests/test_recovery.py
@@ -9,9 +9,9 @@
 import pytest
 
 from brookhub.emulator.world import Keeper
-from brookhub.interface import Outcome
-from brookhub.lab import recovery as lab
-from brookhub.lab.recovery import Debt
+from brookhub.experiments import recovery as lab
+from brookhub.experiments.recovery import Debt
+from brookhub.model import Outcome
 from brookhub.recovery import (
     Epochs,
     Ledger,
--- a/tests/test_recovery_processes.py
+++ b/tests/test_recovery_processes.py
@@ -9,8 +9,8 @@
 import pytest
 
 from brookhub.config import ConfigError, Experiment, RecoveryFile, loads
-from brookhub.lab.processes import ProcessLab
-from brookhub.lab.recovery import Debt, bound
+from brookhub.experiments.processes import ProcessLab
+from brookhub.experiments.recovery import Debt, bound
 from brookhub.recovery import scan
 from helpers import play_script, until
 
--- a/tests/test_routing.py
+++ b/tests/test_routing.py
@@ -12,7 +12,7 @@
 
 import pytest
 
-from brookhub.interface import ApiCall, Customer, Outcome, Plan, Route, Server, State
+from brookhub.model import ApiCall, Customer, Outcome, Plan, Route, Server, State
 from brookhub.protocol import calls, hosts, resp
 from brookhub.routing import (
     counter as counter_module,
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -7,7 +7,7 @@
 
 import pytest
 
-from brookhub.interface import Group, IndependentChoices, Outcome, Plan, Repeat, Route, State
+from brookhub.model import Group, IndependentChoices, Outcome, Plan, Repeat, Route, State
 from brookhub.policy.capacity import Loans
 from brookhub.policy.constants import IDLE, UNHEARD
 from helpers import World
--- a/tests/test_signals.py
+++ b/tests/test_signals.py
@@ -7,9 +7,8 @@
 
 import pytest
 
-from brookhub.choices import ByCounter, Report, SharedEjections, Turns, UnusableError, unpack
-from brookhub.choices.carriers import ASKS, MOST_REPORTS, QUIET, pack
-from brookhub.choices.ejections import (
+from brookhub.coordination import ByCounter, Report, SharedEjections, Turns, UnusableError, unpack
+from brookhub.coordination.ejections import (
     BEAT,
     DOUBTED,
     DOUBTED_LEAST,
@@ -21,8 +20,9 @@
     SLOW_OVER,
     Health,
 )
-from brookhub.choices.turns import GRACE
-from brookhub.interface import Outcome
+from brookhub.coordination.epoch_leases import GRACE
+from brookhub.coordination.report_transport import ASKS, MOST_REPORTS, QUIET, pack
+from brookhub.model import Outcome
 
 BAD, OK, SLOW = Outcome.ERROR, Outcome.OK, Outcome.CANCELLED
 
--- a/tests/test_sites.py
+++ b/tests/test_sites.py
@@ -10,8 +10,8 @@
 
 from brookhub.cli import main
 from brookhub.config import SiteFile, load
-from brookhub.interface import Outcome, Repeat
-from brookhub.program.startfile import Start
+from brookhub.model import Outcome, Repeat
+from brookhub.program.start_file import Start
 from helpers import World
 
 SITES = Path(__file__).parent.parent / "deploy" / "sites"
--- a/tests/trail_digest.py
+++ b/tests/trail_digest.py
@@ -28,7 +28,7 @@
 def digests() -> list[str]:
     from brookhub.config import Experiment, load
     from brookhub.emulator import Fleet
-    from brookhub.lab.sweep import with_value
+    from brookhub.experiments.sweep import with_value
 
     lines = []
     for name, seed, seconds in RUNS:
