--- a/brookhub/coordination/ejections.py
+++ b/brookhub/coordination/ejections.py
@@ -135,7 +135,7 @@
         self.faults: dict[int, float] = {}  # servers that failed this limiter, when last
         self.reported: dict[Hashable, dict[int, float]] = {}  # witness -> servers it reported, when
         self.waiting: dict[int, Health] = {}  # reports that wait to go together
-        self.up_since: dict[int, float] = {}
+        self.started_at: dict[int, float] = {}
         self.servers = self.sent = self.disbelieved = 0
         self.quiet_until, self.beat_at = 0.0, carrier.now
         self.ends: deque[AttemptEnd] = deque(maxlen=ENDS_KEPT)
@@ -162,10 +162,10 @@
     def listed(self, servers: dict[int, float]) -> None:
         """The servers that there are, and since when each is up (s); one that restarted is judged afresh."""
         for server in [*self.ejections, *self.faults]:
-            if servers.get(server) != self.up_since.get(server):
+            if servers.get(server) != self.started_at.get(server):
                 self.ejections.pop(server, None)
                 self.faults.pop(server, None)
-        self.up_since, self.servers = servers, len(servers)
+        self.started_at, self.servers = servers, len(servers)
         self.limit_ejections()
 
     def attempt_started(self, server: int) -> None:
--- a/brookhub/coordination/report_transport.py
+++ b/brookhub/coordination/report_transport.py
@@ -10,7 +10,8 @@
 import msgspec
 import xxhash
 
-from ..model import Outcome, Told
+from ..model import Outcome
+from ..ports import CounterCallback
 from .ejections import REPORT_TTL, Health, Report, SharedEjections
 
 TOPIC = 1  # of reports among membership's words
@@ -92,12 +93,12 @@
 
 
 class CountPort(Protocol):
-    """The part of interface.Port that reports by the counter use."""
+    """The part of ports.GatewayPort that reports by the counter use."""
 
     now: float
 
-    def count(self, name: int, amount: float, lives: float, told: Told) -> None:
-        """Add to a named count; `told` hears the total."""
+    def add_to_counter(self, name: int, amount: float, lifetime: float, callback: CounterCallback) -> None:
+        """Add to a named count; `callback` hears the total."""
 
     def later(self, seconds: float, callback: Callable[[], None]) -> None:
         """Call back after so many seconds."""
@@ -156,7 +157,7 @@
         def told(outcome: Outcome, total: float, took: float) -> None:
             self.told(server, outcome, total, took)
 
-        self.port.count(self.name(server), 1.0, 2 * REPORT_TTL, told)
+        self.port.add_to_counter(self.name(server), 1.0, 2 * REPORT_TTL, told)
 
     def told(self, server: int, outcome: Outcome, total: float, took: float) -> None:
         """How a count ended."""
--- a/brookhub/coordination/subset_assignment.py
+++ b/brookhub/coordination/subset_assignment.py
@@ -136,10 +136,10 @@
     def __init__(self, ejections: SharedEjections | None = None, parts: Parts | None = None):
         self.ejections, self.parts = ejections, parts
 
-    def listed(self, servers: dict[int, Any]) -> None:
-        """The servers that there are, by id (interface.Server)."""
+    def on_servers_updated(self, servers: dict[int, Any]) -> None:
+        """The servers that there are, by id (model.Server)."""
         if self.ejections:
-            self.ejections.listed({ident: server.up_since for ident, server in servers.items()})
+            self.ejections.listed({ident: server.started_at for ident, server in servers.items()})
         if self.parts:
             self.parts.listed({ident: (server.zone, server.weight) for ident, server in servers.items()})
 
@@ -162,11 +162,11 @@
             self.ejections.attempt_ended(server, outcome)
 
     @property
-    def least(self) -> int:
+    def min_servers(self) -> int:
         """How many servers this limiter uses at least."""
         return self.parts.least() if self.parts else 0
 
-    def ring(self, views: list[Any], start: int) -> Iterable[Any]:
+    def rank_servers(self, views: list[Any], start: int) -> Iterable[Any]:
         """The decisions' records of the servers, sorted by `.server.id`, in the order to take them in."""
         order = self.parts.order() if self.parts else None
         if not order:
--- a/brookhub/emulator/faults.py
+++ b/brookhub/emulator/faults.py
@@ -6,7 +6,7 @@
 from typing import Any, Callable, Sequence
 
 from ..config.models import FaultSpec
-from ..model import State
+from ..model import ServerState
 from .limiter import Seat
 from .world import ServerModel
 
@@ -138,10 +138,10 @@
 
     def drain_servers(self, fault: FaultSpec) -> None:
         """They drain and are gone after a while, replaced by cold ones where the action says so."""
-        ready = [model for model in self.models() if model.state is State.READY]
+        ready = [model for model in self.models() if model.state is ServerState.READY]
         drained = self.pick(ready, fault.share)
         for model in drained:
-            model.state, model.drained_at = State.DRAINING, self.engine.now
+            model.state, model.drained_at = ServerState.DRAINING, self.engine.now
         self.fleet.discovery.changed(drained)
         replaced = fault.action == "replace_servers"
         self.engine.after(fault.for_s, lambda: self.remove_servers(drained, replaced))
@@ -149,7 +149,7 @@
     def remove_servers(self, drained: list[ServerModel], replaced: bool) -> None:
         """They are gone."""
         for model in drained:
-            model.state = State.GONE
+            model.state = ServerState.GONE
         fresh = [self.fleet.add_server(model) for model in drained] if replaced else []
         self.fleet.discovery.changed(drained + fresh)
 
@@ -163,7 +163,7 @@
     def return_servers(self, lost: list[ServerModel]) -> None:
         """Dead servers are back, and cold."""
         for model in lost:
-            model.mode, model.up_since = "ok", self.engine.now
+            model.mode, model.started_at = "ok", self.engine.now
         self.fleet.discovery.changed(lost)
 
     def spoil_servers(self, fault: FaultSpec) -> None:
--- a/brookhub/emulator/fleet.py
+++ b/brookhub/emulator/fleet.py
@@ -15,8 +15,9 @@
 from ..config.models import Experiment, PlanSpec, RouteSpec
 from ..coordination import TOPIC, ByCounter, ByPeers, Parts, Shared, SharedEjections, Turns, unpack
 from ..membership import ALIVE, Membership
-from ..model import ApiCall, GatewaySettings, Group, Plan, Repeat, Route, State
+from ..model import Request, ServerState
 from ..recovery import Ledger
+from ..site import DeduplicationScope, GatewaySettings, Idempotency, Plan, Route
 from .engine import Engine
 from .faults import FaultPlayer
 from .limiter import Seat
@@ -25,12 +26,16 @@
 from .rules import LATE, Referee
 from .world import Counter, Discovery, ServerModel, Servers
 
-REPEATS = {
-    "idempotent": Repeat.IDEMPOTENT,
-    "tokened": Repeat.TOKENED,
-    "non_idempotent": Repeat.NON_IDEMPOTENT,
+IDEMPOTENCY_BY_NAME = {
+    "idempotent": Idempotency.IDEMPOTENT,
+    "tokened": Idempotency.KEYED,
+    "non_idempotent": Idempotency.NON_IDEMPOTENT,
+}
+SCOPE_BY_NAME = {
+    "all": DeduplicationScope.ALL,
+    "zone": DeduplicationScope.ZONE,
+    "cell": DeduplicationScope.CELL,
 }
-GROUPS = {"all": Group.ALL, "zone": Group.ZONE, "cell": Group.CELL}
 CELLS = 4  # cells in each zone: tokened groups of the `cell` kind span a few servers
 
 
@@ -40,8 +45,8 @@
         spec.name,
         spec.target_s,
         spec.client_timeout_s,
-        REPEATS[spec.repeat],
-        GROUPS[spec.group],
+        IDEMPOTENCY_BY_NAME[spec.repeat],
+        SCOPE_BY_NAME[spec.group],
         spec.window_s,
     )
 
@@ -120,9 +125,9 @@
     def make_servers(self) -> Servers:
         """The servers of the run's start, all warm."""
         spec, zones = self.experiment.fleet.servers, self.experiment.fleet.zones
-        chance, up_since = random.Random(self.rng.getrandbits(64)), -spec.warm_after_s - 1.0
+        chance, started_at = random.Random(self.rng.getrandbits(64)), -spec.warm_after_s - 1.0
         models = [
-            ServerModel.of(spec, index, index % zones, (index // zones) % CELLS, up_since)
+            ServerModel.of(spec, index, index % zones, (index // zones) % CELLS, started_at)
             for index in range(spec.count)
         ]
         return Servers(self.engine, self.referee, chance, models)
@@ -134,21 +139,21 @@
             routes=tuple(self.routes),
             plans=tuple(self.plans),
             zone=0,
-            slot=0,
+            index=0,
             gateways=fleet.limiters,
-            counter_wait=fleet.counter.wait_s if fleet.counter.on else 0.0,
-            largest=1.0,
-            trued_up=False,
-            max_tries=fleet.max_tries,
-            second_copies=fleet.second_copies,
-            may_cancel=fleet.may_cancel,
-            longest_retry_after=fleet.longest_retry_after_s,
-            cold_from=servers.cold_from,
-            warm_after=servers.warm_after_s,
-            fall_multiple=servers.fall_multiple,
-            fall_within=servers.fall_within_s,
-            asks_for_servers=False,
-            ask_within=10.0,
+            counter_timeout=fleet.counter.wait_s if fleet.counter.on else 0.0,
+            max_request_units=1.0,
+            reports_actual_units=False,
+            max_attempts=fleet.max_tries,
+            allows_hedging=fleet.second_copies,
+            can_cancel=fleet.may_cancel,
+            max_retry_after=fleet.longest_retry_after_s,
+            cold_capacity=servers.cold_from,
+            warm_up_time=servers.warm_after_s,
+            overload_multiple=servers.fall_multiple,
+            overload_window=servers.fall_within_s,
+            polls_server_list=False,
+            server_list_max_age=10.0,
         )
 
     def launch(self, index: int) -> Seat:
@@ -167,7 +172,7 @@
             carrier = ByCounter(seat, self.seed)
             seat.ejections = SharedEjections(carrier, self.turns(seat))
             carrier.serve(seat.ejections)
-            seat.gateway.choices_told(Shared(seat.ejections))
+            seat.gateway.use_coordination(Shared(seat.ejections))
         return seat
 
     def join(self, seat: Seat) -> None:
@@ -180,7 +185,7 @@
             self.net,
             f"n{seat.index}",
             told=lambda live, rank, sure: (
-                seat.gateway.fleet_told(live, rank, sure if spec.hard_by == "sure" else live)
+                seat.gateway.on_membership_changed(live, rank, sure if spec.hard_by == "sure" else live)
                 or seat.recovery
                 and seat.recovery.fleet(sure)
             ),
@@ -205,7 +210,7 @@
         if spec.subsets:
             parts = Parts(self.seed, peer.name, peer.core.names, peer.core.counted)
         if ejections or parts:
-            seat.gateway.choices_told(Shared(ejections, parts))
+            seat.gateway.use_coordination(Shared(ejections, parts))
         peer.core.start()
 
     def turns(self, seat: Seat) -> Turns:
@@ -216,7 +221,9 @@
 
     def entries(self) -> list[tuple]:
         """The server list as discovery has it."""
-        return [model.entry() for model in self.servers.models.values() if model.state is not State.GONE]
+        return [
+            model.entry() for model in self.servers.models.values() if model.state is not ServerState.GONE
+        ]
 
     # the clients
 
@@ -250,7 +257,7 @@
         self.ident += 1
         payer = seat.customers.find(customer.id, customer.plan)
         # The customer's set is the whole fleet as its settings say, whoever lives: a front knows no better.
-        call = ApiCall(
+        request = Request(
             self.ident,
             payer,
             route,
@@ -259,57 +266,57 @@
             len(self.seats),
             seat.index,
             repeated,
-            route.repeat is not Repeat.IDEMPOTENT,
+            route.idempotency is not Idempotency.IDEMPOTENT,
         )
-        call.who, call.token = customer, token or self.ident
+        request.who, request.token = customer, token or self.ident
         self.result.calls += 1
-        self.started[call.id] = now
+        self.started[request.id] = now
         self.referee.now = now
-        seat.arrive(call)
-        if call.id in self.started and self.rng.random() < load.give_up_share:
+        seat.arrive(request)
+        if request.id in self.started and self.rng.random() < load.give_up_share:
             leave = route.client_timeout * (0.2 + 0.7 * self.rng.random())
-            seat.later(leave, lambda: self.leave(seat, call))
+            seat.later(leave, lambda: self.leave(seat, request))
 
-    def leave(self, seat: Seat, call: ApiCall) -> None:
+    def leave(self, seat: Seat, request: Request) -> None:
         """A client has no patience left."""
-        if call.id in self.started:
-            self.referee.note("leave", seat.index, call.id)
-            self.started.pop(call.id)
-            self.result.left += call.id not in self.early
-            seat.gateway.client_left(call)
+        if request.id in self.started:
+            self.referee.note("leave", seat.index, request.id)
+            self.started.pop(request.id)
+            self.result.left += request.id not in self.early
+            seat.gateway.on_client_disconnected(request)
 
     # final answers
 
-    def answer(self, seat: Seat, call: ApiCall, how: str, retry_after: float = 0.0, one=None) -> None:
+    def answer(self, seat: Seat, request: Request, how: str, retry_after: float = 0.0, one=None) -> None:
         """A limiter gives a final answer; `how` in the protocol's words."""
         now = self.engine.now
         self.referee.now = now
-        self.referee.note("answer", seat.index, call.id, how)
+        self.referee.note("answer", seat.index, request.id, how)
         if (
-            now > call.expires + LATE and seat.wakes > call.expires
+            now > request.deadline + LATE and seat.wakes > request.deadline
         ):  # it was stopped: it ends the connection instead
-            return self.lost(call)
-        self.referee.answering(call, self.answered.get(call.id, False))
-        self.answered[call.id] = True
-        began = self.started.pop(call.id, None)
+            return self.lost(request)
+        self.referee.answering(request, self.answered.get(request.id, False))
+        self.answered[request.id] = True
+        began = self.started.pop(request.id, None)
         if began is None:
             return  # the client left before: the answer finds no one
-        if call.id in self.early:
+        if request.id in self.early:
             if how == "proxied":
-                call.who.served(now, call.units)
+                request.who.served(now, request.units)
             return
         result = self.result
-        result.tries += len(call.attempts)
+        result.tries += len(request.attempts)
         if how == "proxied":
             seat.served += 1
             result.proxied += 1
             result.latency.record_value(max(1, int((now - began) * 1e6)))
-            call.who.served(now, call.units)
+            request.who.served(now, request.units)
         elif how == "rate-limited":
             result.rate_limited += 1
             if self.rng.random() < self.experiment.load.repeat_share:
                 self.engine.after(
-                    retry_after or 1.0, lambda: self.call(call.who, call.route, True, call.token)
+                    retry_after or 1.0, lambda: self.call(request.who, request.route, True, request.token)
                 )
         else:
             result.errored += 1
@@ -318,9 +325,9 @@
         """The run counts from now on."""
         self.result, self.early = Result(), set(self.started)
 
-    def lost(self, call: ApiCall) -> None:
+    def lost(self, request: Request) -> None:
         """A request that nobody will answer."""
-        if self.started.pop(call.id, None) is not None and call.id not in self.early:
+        if self.started.pop(request.id, None) is not None and request.id not in self.early:
             self.result.lost += 1
 
     # limiters and servers
@@ -331,7 +338,7 @@
         told = [
             (
                 *entry[:4],
-                State.DRAINING if entry[0] in servers and entry[4] is State.READY else entry[4],
+                ServerState.DRAINING if entry[0] in servers and entry[4] is ServerState.READY else entry[4],
                 *entry[5:],
             )
             for entry in self.entries()
@@ -339,7 +346,7 @@
         ]
         seat.off = set(servers)
         if seat.alive and told:
-            seat.gateway.servers_told(seat.roster.update(told, whole=False))
+            seat.gateway.on_servers_updated(seat.roster.update(told, whole=False))
 
     def restart(self, index: int) -> None:
         """Start a limiter anew in its place."""
--- a/brookhub/emulator/limiter.py
+++ b/brookhub/emulator/limiter.py
@@ -1,6 +1,6 @@
 """One emulated limiter: the real policy.Gateway behind a Port whose clock is the engine's.
 
-The same port the sockets program and the drill implement (interface.Port); only the world behind it is a
+The same port the sockets program and the drill implement (ports.GatewayPort); only the world behind it is a
 model.
 """
 
@@ -10,10 +10,12 @@
 from dataclasses import replace
 from typing import Callable
 
-from ..model import ApiCall, Attempt, GatewaySettings, Outcome, Server, State, Told
+from ..model import Attempt, Outcome, Request, Server, ServerState
+from ..ports import CounterCallback
 from ..recovery import Ledger, Recovery
 from ..recovery import Settings as RecoverySettings
-from ..registry import Customers, Roster
+from ..registry import CustomerRegistry, ServerRegistry
+from ..site import GatewaySettings
 
 CONNECT_WITHIN = 0.25  # s that a dial over a cut link is waited for
 
@@ -33,7 +35,7 @@
 
     def grant(self, part: float) -> None:
         """Tell the decisions which part of each quota is granted."""
-        self.seat.gateway.counter_told(part)
+        self.seat.gateway.on_granted_share_changed(part)
 
     def log(self, event: str, **facts) -> None:
         """Note an event."""
@@ -55,10 +57,10 @@
         self.peer = self.ejections = None
         self.off: set[int] = set()  # servers that a plan of work keeps it off
         self.cut: dict[int, float] = {}  # servers that its links do not reach, each until when (s)
-        self.roster, self.customers = Roster(), Customers()
-        self.calls: dict[int, ApiCall] = {}
+        self.roster, self.customers = ServerRegistry(), CustomerRegistry()
+        self.calls: dict[int, Request] = {}
         self.logged = self.asked = self.served = 0
-        self.gateway = fleet.decisions.Gateway(self, seed, replace(settings, slot=index))
+        self.gateway = fleet.decisions.Gateway(self, seed, replace(settings, index=index))
 
     @property
     def now(self) -> float:
@@ -70,57 +72,59 @@
         self.alive = False
         if self.peer:
             self.peer.kill()
-        for call in self.calls.values():
-            self.fleet.lost(call)
+        for request in self.calls.values():
+            self.fleet.lost(request)
         self.calls.clear()
 
     # the port
 
-    def send(self, call: ApiCall, server: Server, timeout: float) -> Attempt:
-        """Begin an attempt (interface.Port)."""
+    def start_attempt(self, request: Request, server: Server, timeout: float) -> Attempt:
+        """Begin an attempt (ports.GatewayPort)."""
         model = self.fleet.servers.models[server.id]
-        self.fleet.referee.note("send", self.index, call.id, server.id, len(call.attempts))
-        self.fleet.referee.sending(call, server, self.fleet.second_copies, model.drained_at, self.fleet.grace)
-        one = Attempt(call, server, len(call.attempts), self.now)
-        call.attempts.append(one)
-        left = call.expires - self.now
+        self.fleet.referee.note("send", self.index, request.id, server.id, len(request.attempts))
+        self.fleet.referee.sending(
+            request, server, self.fleet.second_copies, model.drained_at, self.fleet.grace
+        )
+        one = Attempt(request, server, len(request.attempts), self.now)
+        request.attempts.append(one)
+        left = request.deadline - self.now
         left = min(timeout, left) if timeout > 0 else left
         if self.now < self.cut.get(server.id, 0.0):  # a dial that never comes up
-            self.later(min(left, CONNECT_WITHIN), lambda: self.end_try(one, Outcome.UNCONNECTED))
+            self.later(min(left, CONNECT_WITHIN), lambda: self.end_try(one, Outcome.CONNECT_FAILED))
         else:
             self.fleet.servers.take(one, self)
         self.later(left, lambda: self.give_up(one, Outcome.TIMEOUT))
         return one
 
-    def cancel(self, upstream: Attempt) -> None:
-        """Give an attempt up (interface.Port)."""
-        if upstream.outcome is None:
-            self.fleet.servers.abandon(upstream)
-            self.later(0.0, lambda: self.end_try(upstream, Outcome.CANCELLED))
+    def cancel_attempt(self, attempt: Attempt) -> None:
+        """Give an attempt up (ports.GatewayPort)."""
+        if attempt.outcome is None:
+            self.fleet.servers.abandon(attempt)
+            self.later(0.0, lambda: self.end_try(attempt, Outcome.CANCELLED))
 
-    def rate_limit(self, call: ApiCall, retry_after: float) -> None:
-        """Refuse a request (interface.Port)."""
-        self.fleet.referee.rate_limiting(call)
-        self.fleet.answer(self, call, "rate-limited", retry_after)
-        self.release(call)
+    def reject_request(self, request: Request, retry_after: float) -> None:
+        """Refuse a request (ports.GatewayPort)."""
+        self.fleet.referee.rate_limiting(request)
+        self.fleet.answer(self, request, "rate-limited", retry_after)
+        self.release(request)
 
-    def error(self, call: ApiCall) -> None:
-        """Tell that a request failed (interface.Port)."""
-        self.fleet.answer(self, call, "errored")
-        self.release(call)
+    def fail_request(self, request: Request) -> None:
+        """Tell that a request failed (ports.GatewayPort)."""
+        self.fleet.answer(self, request, "errored")
+        self.release(request)
 
-    def release(self, call: ApiCall) -> None:
+    def release(self, request: Request) -> None:
         """Forget an answered call once none of its tries is out (one refused unsent was kept for ever)."""
-        if all(one.outcome for one in call.attempts):
-            self.calls.pop(call.id, None)
+        if all(one.outcome for one in request.attempts):
+            self.calls.pop(request.id, None)
 
-    def count(self, name: int, amount: float, lives: float, told: Told) -> None:
-        """Add to a count (interface.Port)."""
-        (self.recovery.count if self.recovery else self.add)(name, amount, lives, told)
+    def add_to_counter(self, name: int, amount: float, lifetime: float, callback: CounterCallback) -> None:
+        """Add to a count (ports.GatewayPort)."""
+        (self.recovery.count if self.recovery else self.add)(name, amount, lifetime, callback)
 
-    def add(self, name: int, amount: float, lives: float, told: Told) -> None:
+    def add(self, name: int, amount: float, lifetime: float, callback: CounterCallback) -> None:
         """Add to a count at the counter."""
-        self.fleet.counter.count(self, name, amount, lives, told)
+        self.fleet.counter.count(self, name, amount, lifetime, callback)
 
     def recover(self, spec, limiters: int, ledger: Ledger | None) -> None:
         """Recovery between the decisions and the counter; its port is this seat."""
@@ -142,11 +146,11 @@
     def close_idle(self, server: Server) -> None:
         """Connections are not modelled."""
 
-    def follow_servers(self, on: bool) -> None:
+    def watch_servers(self, on: bool) -> None:
         """Discovery pushes every change to every living limiter."""
 
     def fetch_servers(self) -> None:
-        """Ask for the whole server list (interface.Port)."""
+        """Ask for the whole server list (ports.GatewayPort)."""
         self.later(self.fleet.discovery.delay, lambda: self.servers(self.fleet.entries(), whole=True))
 
     def later(self, seconds: float, callback: Callable[[], None]) -> None:
@@ -172,29 +176,31 @@
         """The server list, or changes of it, arrive."""
         if self.alive:
             off = [
-                (*entry[:4], State.DRAINING, *entry[5:])
-                if entry[0] in self.off and entry[4] is State.READY
+                (*entry[:4], ServerState.DRAINING, *entry[5:])
+                if entry[0] in self.off and entry[4] is ServerState.READY
                 else entry
                 for entry in entries
             ]
-            self.gateway.servers_told(self.roster.update(off, whole))
+            self.gateway.on_servers_updated(self.roster.update(off, whole))
 
-    def arrive(self, call: ApiCall) -> None:
+    def arrive(self, request: Request) -> None:
         """A request arrives."""
         if (
             self.engine.now < self.wakes
         ):  # it waits in the system; woken too late, its connection is ended unread
             self.engine.at(
                 self.wakes,
-                lambda: self.arrive(call) if self.engine.now < call.expires else self.fleet.lost(call),
+                lambda: (
+                    self.arrive(request) if self.engine.now < request.deadline else self.fleet.lost(request)
+                ),
             )
             return
         if not self.alive:
-            return self.fleet.lost(call)
-        self.calls[call.id] = call
+            return self.fleet.lost(request)
+        self.calls[request.id] = request
         self.asked += 1
-        self.fleet.referee.note("arrive", self.index, call.id, call.customer.id, call.route.name)
-        self.gateway.arrived(call)
+        self.fleet.referee.note("arrive", self.index, request.id, request.customer.id, request.route.name)
+        self.gateway.on_request(request)
 
     def give_up(self, one: Attempt, outcome: Outcome) -> None:
         """End an attempt from this side."""
@@ -210,11 +216,11 @@
         if one.outcome is not None or not self.alive:
             return
         one.outcome = outcome
-        self.fleet.referee.note("end", self.index, one.call.id, one.number, outcome.name)
-        final = one.call.request is None
+        self.fleet.referee.note("end", self.index, one.request.id, one.index, outcome.value)
+        final = one.request.pending is None
         if outcome is Outcome.OK and not final:
-            self.fleet.answer(self, one.call, "proxied", 0.0, one)
+            self.fleet.answer(self, one.request, "proxied", 0.0, one)
             final = True
-        self.gateway.try_ended(one, self.now - one.sent, final, 0.0, None, {})
-        if one.call.request is None:
-            self.release(one.call)
+        self.gateway.on_attempt_ended(one, self.now - one.sent_at, final, 0.0, None, {})
+        if one.request.pending is None:
+            self.release(one.request)
--- a/brookhub/emulator/result.py
+++ b/brookhub/emulator/result.py
@@ -6,7 +6,7 @@
 
 from hdrh.histogram import HdrHistogram
 
-from ..model import Plan
+from ..site import Plan
 
 LATENCY_MAX_US = 60_000_000  # the histogram's top: one minute, beyond any client timeout
 
--- a/brookhub/emulator/rules.py
+++ b/brookhub/emulator/rules.py
@@ -9,7 +9,7 @@
 import hashlib
 from collections import deque
 
-from ..model import Group, Repeat
+from ..site import DeduplicationScope, Idempotency
 
 TRAIL = 400  # events kept for the report of a break: enough to follow one API call through its tries
 LATE = 1e-9  # s by which an answer may pass the client timeout: float rounding of the same instant
@@ -51,44 +51,53 @@
 
     # rule 2, and the one try out where second copies are off; rule 3 by the true state of the server
 
-    def sending(self, call, server, second_copies: bool, drained_at: float | None, grace: float) -> None:
+    def sending(self, request, server, second_copies: bool, drained_at: float | None, grace: float) -> None:
         """Judge an attempt as it is sent."""
         now = self.now
-        if now > call.expires + LATE:
-            self.breaks(1, f"call {call.id} sent on after its client timeout")
+        if now > request.deadline + LATE:
+            self.breaks(1, f"call {request.id} sent on after its client timeout")
         if drained_at is not None and now > drained_at + grace:
             self.breaks(
-                3, f"call {call.id} sent to server {server.id}, draining or gone since {drained_at:.3f}"
+                3, f"call {request.id} sent to server {server.id}, draining or gone since {drained_at:.3f}"
             )
         from ..policy import NEVER_RAN  # the decisions' own list of outcomes that prove nothing ran
 
-        ran = [one for one in call.attempts if one.outcome not in NEVER_RAN]
-        if not second_copies and any(one.outcome is None for one in call.attempts):
-            self.breaks(2, f"call {call.id}: a second try out while second copies are off")
-        if ran and call.route.repeat is not Repeat.IDEMPOTENT:
-            if call.route.repeat is Repeat.NON_IDEMPOTENT:
-                self.breaks(2, f"non-idempotent call {call.id} sent again after a try that may have run")
-            elif now >= ran[0].sent + call.route.window:
-                self.breaks(2, f"tokened call {call.id} repeated after its window")
-            elif call.route.group is Group.ZONE and server.zone != ran[0].server.zone:
-                self.breaks(2, f"tokened call {call.id} repeated outside its zone")
-            elif call.route.group is Group.CELL and server.cell != ran[0].server.cell:
-                self.breaks(2, f"tokened call {call.id} repeated outside its cell")
-
-    def rate_limiting(self, call) -> None:
+        ran = [one for one in request.attempts if one.outcome not in NEVER_RAN]
+        if not second_copies and any(one.outcome is None for one in request.attempts):
+            self.breaks(2, f"call {request.id}: a second try out while second copies are off")
+        if ran and request.route.idempotency is not Idempotency.IDEMPOTENT:
+            if request.route.idempotency is Idempotency.NON_IDEMPOTENT:
+                self.breaks(2, f"non-idempotent call {request.id} sent again after a try that may have run")
+            elif now >= ran[0].sent_at + request.route.deduplication_window:
+                self.breaks(2, f"tokened call {request.id} repeated after its window")
+            elif (
+                request.route.deduplication_scope is DeduplicationScope.ZONE
+                and server.zone != ran[0].server.zone
+            ):
+                self.breaks(2, f"tokened call {request.id} repeated outside its zone")
+            elif (
+                request.route.deduplication_scope is DeduplicationScope.CELL
+                and server.cell != ran[0].server.cell
+            ):
+                self.breaks(2, f"tokened call {request.id} repeated outside its cell")
+
+    def rate_limiting(self, request) -> None:
         """Judge a refusal."""
         from ..policy import NEVER_RAN
 
-        ran = any(one.outcome not in NEVER_RAN for one in call.attempts)
-        safe = call.route.repeat is Repeat.IDEMPOTENT or call.route.group is Group.ALL
+        ran = any(one.outcome not in NEVER_RAN for one in request.attempts)
+        safe = (
+            request.route.idempotency is Idempotency.IDEMPOTENT
+            or request.route.deduplication_scope is DeduplicationScope.ALL
+        )
         if ran and not safe:
-            self.breaks(2, f"call {call.id} rate-limited after a try that may have run")
+            self.breaks(2, f"call {request.id} rate-limited after a try that may have run")
 
-    def answering(self, call, answered: bool) -> None:
+    def answering(self, request, answered: bool) -> None:
         """Judge a final answer."""
         if answered:
-            self.breaks(1, f"call {call.id} answered twice")
-        elif self.now > call.expires + LATE:
+            self.breaks(1, f"call {request.id} answered twice")
+        elif self.now > request.deadline + LATE:
             self.breaks(
-                1, f"call {call.id} answered {self.now - call.expires:.3f} s after its client timeout"
+                1, f"call {request.id} answered {self.now - request.deadline:.3f} s after its client timeout"
             )
--- a/brookhub/emulator/site.py
+++ b/brookhub/emulator/site.py
@@ -13,7 +13,7 @@
 from random import Random
 
 from ..maintenance import Machine, Maintenance, Plan, Settings
-from ..model import State
+from ..model import ServerState
 from .engine import Engine
 from .world import ServerModel
 
@@ -296,9 +296,14 @@
         fleet, now = self.fleet, self.engine.now
         for model in models:
             if up:
-                model.state, model.drained_at, model.mode, model.up_since = State.READY, None, "ok", now
+                model.state, model.drained_at, model.mode, model.started_at = (
+                    ServerState.READY,
+                    None,
+                    "ok",
+                    now,
+                )
             elif grace:
-                model.state, model.drained_at = State.DRAINING, now
+                model.state, model.drained_at = ServerState.DRAINING, now
         fleet.discovery.changed(models)
         if not up:
             self.engine.after(
@@ -371,8 +376,8 @@
         mine = {int(server[2:]) for server in machine.servers}
         return not any(
             one.server.id in mine and one.outcome is None
-            for call in self.fleet.seats[int(name[1:])].calls.values()
-            for one in call.attempts
+            for request in self.fleet.seats[int(name[1:])].calls.values()
+            for one in request.attempts
         )
 
     # the baselines
--- a/brookhub/experiments/load.py
+++ b/brookhub/experiments/load.py
@@ -16,17 +16,17 @@
 
 from ..config.models import Experiment
 from ..fakes.base import read_value
-from ..model import Repeat
 from ..protocol import resp
+from ..site import Idempotency
 
 OVERTIME = 1.5  # s after a call's client timeout in which its client still listens, to catch late answers
 REFUSED = 0.5  # s that the front leaves a limiter alone that refused a connection
 DIAL = 1.0  # s for a connection to a limiter to come up
 WORKERS = 600  # calls out at once at most; beyond that the generator itself would be late
 REPEATS = {
-    "idempotent": Repeat.IDEMPOTENT,
-    "tokened": Repeat.TOKENED,
-    "non_idempotent": Repeat.NON_IDEMPOTENT,
+    "idempotent": Idempotency.IDEMPOTENT,
+    "tokened": Idempotency.KEYED,
+    "non_idempotent": Idempotency.NON_IDEMPOTENT,
 }
 
 
--- a/brookhub/fakes/__init__.py
+++ b/brookhub/fakes/__init__.py
@@ -5,17 +5,17 @@
 it (RESP2 commands, chunked HTTP/1.1) and are started by tests and by the lab (docs/process-lab.md).
 """
 
-from .base import StandIn, Timers, read_value
-from .counter import CounterStandIn
-from .discovery import DiscoveryStandIn, host
-from .server import ModelServer, ServerStandIn
+from .base import FakeListener, Timers, read_value
+from .counter import FakeCounter
+from .discovery import FakeDiscovery, host
+from .server import FakeServer, ModelServer
 
 __all__ = [
-    "CounterStandIn",
-    "DiscoveryStandIn",
+    "FakeCounter",
+    "FakeDiscovery",
     "ModelServer",
-    "ServerStandIn",
-    "StandIn",
+    "FakeServer",
+    "FakeListener",
     "Timers",
     "host",
     "read_value",
--- a/brookhub/fakes/base.py
+++ b/brookhub/fakes/base.py
@@ -20,7 +20,7 @@
         conn.shutdown(socket.SHUT_RDWR)
 
 
-class StandIn:
+class FakeListener:
     """Listens on loopback at (host, port).
 
     `serve` has each connection to itself, in a thread, and may end it.
--- a/brookhub/fakes/counter.py
+++ b/brookhub/fakes/counter.py
@@ -8,10 +8,10 @@
 from time import monotonic
 
 from ..emulator.world import Keeper
-from .base import StandIn, read_value
+from .base import FakeListener, read_value
 
 
-class CounterStandIn(StandIn):
+class FakeCounter(FakeListener):
     """A counter. `mode`: ok, busy, silent, nonsense or close; `delay` s before each answer.
 
     `split()` gives the limiters (by their address, `side`) different keepers; `wipe()` empties all, `lose()`
--- a/brookhub/fakes/discovery.py
+++ b/brookhub/fakes/discovery.py
@@ -6,12 +6,12 @@
 import json
 import time
 
-from .base import StandIn
+from .base import FakeListener
 
 BEAT = 0.5  # s between empty lines while nothing changes
 
 
-class DiscoveryStandIn(StandIn):
+class FakeDiscovery(FakeListener):
     """Discovery. `tell` sends text as a chunk to all that watch; a watch begins with the whole list.
 
     `dial(limiter, host)` may give each limiter (its address) another address of a host, as links need it.
--- a/brookhub/pipeline.py
+++ b/brookhub/pipeline.py
@@ -4,7 +4,8 @@
 
 from typing import Any, Sequence
 
-from .model import Answer, Port
+from .model import Answer
+from .ports import GatewayPort
 
 
 class Stage:
@@ -13,7 +14,7 @@
     next: Any = None  # the neighbours, set by `link`
     before: Any = None
 
-    def __init__(self, port: Port) -> None:
+    def __init__(self, port: GatewayPort) -> None:
         self.port = port
 
     def ended(self, request: Any, answer: Answer) -> None:
--- a/brookhub/policy/constants.py
+++ b/brookhub/policy/constants.py
@@ -39,4 +39,4 @@
 COLD_MOST = 1.5  # times its warmth of what a warm one is sent, at most: beyond that its queue only grows
 COUNTER_RATE = RateLimits(QUICKER, SLOWER, PACE_LEAST, AT_ONCE, MEMORY)
 GOLDEN = 0.6180339887  # of a circle between numbers in turn: any few of them lie evenly round it
-NEVER_RAN = (Outcome.FULL, Outcome.UNCONNECTED, Outcome.UNSENT)  # outcomes that prove that nothing ran
+NEVER_RAN = (Outcome.BUSY, Outcome.CONNECT_FAILED, Outcome.NOT_SENT)  # outcomes that prove that nothing ran
--- a/brookhub/program/run.py
+++ b/brookhub/program/run.py
@@ -10,7 +10,6 @@
 from random import Random
 from time import monotonic, sleep, time
 
-from ..model import GatewaySettings
 from ..policy import Gateway
 from ..routing.clients import ClientLimits, Clients
 from ..routing.connections import Reconnector
@@ -18,6 +17,7 @@
 from ..routing.discovery import Discovery
 from ..routing.port import SocketPort
 from ..routing.servers import Servers
+from ..site import GatewaySettings
 from ..transport.sockets import Listener
 from ..transport.threads import small_stacks, spawn
 from . import log, start_file
@@ -60,10 +60,10 @@
     Where lists are asked for, its line is that of the whole fleet, and what all ask at one moment it answers
     late or not at all: each waits for its part.
     """
-    if not settings.asks_for_servers:
+    if not settings.polls_server_list:
         return PAUSES
-    first = max(PAUSES[0], min(LIST_TAKES * settings.gateways, LIST_SOON * settings.ask_within))
-    return first, max(first, PAUSES[1], LIST_LATE * settings.ask_within)
+    first = max(PAUSES[0], min(LIST_TAKES * settings.gateways, LIST_SOON * settings.server_list_max_age))
+    return first, max(first, PAUSES[1], LIST_LATE * settings.server_list_max_age)
 
 
 class Program:
@@ -132,7 +132,7 @@
                 "counter", address, COUNTER_CONNECT, PAUSES, self.chance, self.ends, self.fault
             )
 
-        wait = self.start.gateway_settings.counter_wait
+        wait = self.start.gateway_settings.counter_timeout
         return Counter(self.port, reconnector, wait, COUNTER_LINKS, COUNTER_SILENT)
 
     def make_clients(self) -> Clients:
@@ -200,7 +200,7 @@
         made = Recovering(
             self.port,
             self.log,
-            start.gateway_settings.slot,
+            start.gateway_settings.index,
             start.gateway_settings.gateways,
             Settings(spec.beat_s, spec.missing_most),
             Path(spec.ledger) if spec.ledger else None,
--- a/brookhub/program/start_file.py
+++ b/brookhub/program/start_file.py
@@ -30,7 +30,7 @@
         if not settings:
             raise StartError("settings are missing")
         self.gateway_settings = read_gateway_settings(settings)
-        has_counter = self.gateway_settings.counter_wait > 0
+        has_counter = self.gateway_settings.counter_timeout > 0
         self.counter = address(told.get("counter"), "counter") if has_counter else None
         self.zones, self.kinds = names(settings, "areas"), names(settings, "kinds")
         self.read_limits(read_section(settings, "limits"), read_section(told, "limits"))
--- a/brookhub/protocol/calls.py
+++ b/brookhub/protocol/calls.py
@@ -6,7 +6,7 @@
 from math import ceil
 from typing import Any
 
-from ..model import Repeat, Route
+from ..site import Idempotency, Route
 from . import resp
 
 HEXADECIMAL = re.compile(rb"[0-9a-fA-F]{16}")
@@ -72,8 +72,8 @@
     def check(self, route: Route, gateways: int, largest: float) -> None:
         """Whether it fits what the settings tell. Raises BadCallError."""
         if (
-            self.write is (route.repeat is Repeat.IDEMPOTENT)
-            or route.repeat is Repeat.TOKENED
+            self.write is (route.idempotency is Idempotency.IDEMPOTENT)
+            or route.idempotency is Idempotency.KEYED
             and not self.keyed
         ):
             raise BadCallError("a c that is not called in this way")
--- a/brookhub/protocol/hosts.py
+++ b/brookhub/protocol/hosts.py
@@ -6,10 +6,10 @@
 from hashlib import sha256
 from typing import Any
 
-from ..model import State
+from ..model import ServerState
 from .resp import MalformedError
 
-STATES = {"Ready": State.READY, "Terminating": State.DRAINING, "Gone": State.GONE}
+STATES = {"Ready": ServerState.READY, "Terminating": ServerState.DRAINING, "Gone": ServerState.GONE}
 
 
 class Host:
--- a/brookhub/recovery/core.py
+++ b/brookhub/recovery/core.py
@@ -12,15 +12,16 @@
 from dataclasses import dataclass
 from typing import Any, Callable, Protocol
 
-from ..model import Outcome, Told
+from ..model import Outcome
+from ..ports import CounterCallback
 from .epochs import TOKEN, Epochs
 from .ledger import LIVES, Ledger
 
 # Outcomes of a count that prove that nothing was added
 NEVER_ADDED = (
-    Outcome.FULL,
-    Outcome.UNCONNECTED,
-    Outcome.UNSENT,
+    Outcome.BUSY,
+    Outcome.CONNECT_FAILED,
+    Outcome.NOT_SENT,
 )
 AGAIN = 0.25  # of a beat: the least between two beats that a doubt brings forward
 AT_ONCE = 25  # names that are added again at one stroke: a call of some 50 bytes each
@@ -45,7 +46,7 @@
     def chance(self) -> float:
         """A number from 0 to 1 by chance."""
 
-    def add(self, name: int, amount: float, lives: float, told: Told) -> None:
+    def add(self, name: int, amount: float, lives: float, told: CounterCallback) -> None:
         """Add to a count at the counter; `told` hears the total."""
 
     def later(self, seconds: float, callback: Callable[[], None]) -> None:
@@ -116,7 +117,7 @@
 
     # the decisions' counts
 
-    def count(self, name: int, amount: float, lives: float, told: Told) -> None:
+    def count(self, name: int, amount: float, lives: float, told: CounterCallback) -> None:
         """Port.count: passes through while the keeper is sure; else it is noted and there is no total.
 
         What the decisions give back beyond this limiter's own part of the name (an ask of the window before,
@@ -150,14 +151,14 @@
 
         self.port.add(self.epochs.name(name), amount + owed, lives, answered)
 
-    def note(self, name: int, amount: float, lives: float, told: Told) -> None:
+    def note(self, name: int, amount: float, lives: float, told: CounterCallback) -> None:
         """No word for now: what the decisions count is kept, and added with the rest."""
         entry = self.ledger.entry(name, lives, self.port.now())
         amount = max(amount, -entry.own)
         entry.own += amount
         entry.unseen += amount
         self.unit(name, amount, lives)
-        self.port.later(0.0, lambda: told(Outcome.NOTED, 0.0, 0.0))
+        self.port.later(0.0, lambda: told(Outcome.DEFERRED, 0.0, 0.0))
         self.resend()
 
     def unit(self, name: int, amount: float, lives: float) -> None:
--- a/brookhub/registry.py
+++ b/brookhub/registry.py
@@ -5,10 +5,11 @@
 from typing import Any, Iterable
 from weakref import WeakValueDictionary
 
-from .model import Customer, Plan, Server, State
+from .model import Customer, Server, ServerState
+from .site import Plan
 
 
-class Roster:
+class ServerRegistry:
     """The servers as the list tells them.
 
     One that is gone is forgotten; who still holds it sees its last state.
@@ -28,9 +29,9 @@
             if server is None:
                 server = self.servers[ident] = Server(ident)
             server.zone, server.kind, server.cell, server.weight = zone, kind, cell, weight
-            server.state, server.up_since = state, since
+            server.state, server.started_at = state, since
             told.append(server)
-            if state is State.GONE:
+            if state is ServerState.GONE:
                 del self.servers[ident]
         if whole:
             listed = {server.id for server in told}
@@ -39,12 +40,12 @@
 
     def remove(self, server: Server) -> Server:
         """Forget a server; who still holds it sees that it is gone."""
-        server.state = State.GONE
+        server.state = ServerState.GONE
         self.servers.pop(server.id, None)
         return server
 
 
-class Customers:
+class CustomerRegistry:
     """The customers that somebody still holds, by their ids."""
 
     def __init__(self) -> None:
--- a/brookhub/routing/client_connection.py
+++ b/brookhub/routing/client_connection.py
@@ -7,7 +7,7 @@
 from time import monotonic
 from typing import TYPE_CHECKING
 
-from ..model import ApiCall
+from ..model import Request
 from ..protocol import calls, resp
 from ..transport.stream import Stream
 from .connections import read_to_end
@@ -21,10 +21,10 @@
 class PendingAnswer:
     """The place of one answer among those of its connection."""
 
-    __slots__ = ("client", "said", "size", "call")
+    __slots__ = ("client", "said", "size", "request")
 
     def __init__(self, client: ClientConnection):
-        self.client, self.said, self.size, self.call = client, None, 0, None
+        self.client, self.said, self.size, self.request = client, None, 0, None
 
     def answer(self, *parts: bytes | bytearray) -> None:
         """Give the answer; only the first one counts. Under the port's lock."""
@@ -32,15 +32,15 @@
             self.said, self.size = deque(parts), sum(map(len, parts))
             clients = self.client.clients
             clients.answered(self)
-            if self.call and clients.port.now > self.call.expires + LATEST and not self.client.gone:
-                self.call = None  # this process was stopped, or starved: a late answer helps nobody
+            if self.request and clients.port.now > self.request.deadline + LATEST and not self.client.gone:
+                self.request = None  # this process was stopped, or starved: a late answer helps nobody
                 return clients.leave(self.client, "late")
-            self.call = None  # the call may be known a while longer, what it came on is not held by it
+            self.request = None  # the call may be known a while longer, what it came on is not held by it
             self.client.pour()
 
 
 @dataclass(eq=False)
-class WordedCall(ApiCall):
+class WordedCall(Request):
     """A request with its client's words, and the place of its answer."""
 
     wording: calls.Wording = None
--- a/brookhub/routing/clients.py
+++ b/brookhub/routing/clients.py
@@ -7,9 +7,9 @@
 from time import monotonic
 from typing import Callable
 
-from ..model import GatewaySettings
 from ..protocol import calls, resp
-from ..registry import Customers
+from ..registry import CustomerRegistry
+from ..site import GatewaySettings
 from ..transport.sockets import time_limits
 from ..transport.threads import spawn
 from .client_connection import LATEST, ClientConnection, PendingAnswer, WordedCall
@@ -48,9 +48,9 @@
         self.port, self.log_end, self.fit, self.limits = port, log_end, fit, limits
         self.routes = {route.name.encode(): route for route in settings.routes}
         self.plans = {plan.name.encode(): plan for plan in settings.plans}
-        self.gateways, self.largest = settings.gateways, settings.largest
+        self.gateways, self.largest = settings.gateways, settings.max_request_units
         self.held = 0  # bytes of answers not yet written
-        self.customers = Customers()
+        self.customers = CustomerRegistry()
         self.all: dict[ClientConnection, None] = {}
         self.idle: dict[ClientConnection, None] = {}  # those without an open command, the longest idle first
         self.mute: dict[ClientConnection, None] = {}  # those that never sent a whole one, the oldest first
@@ -168,7 +168,7 @@
         ):
             return slot.answer(calls.rate_limited(0.0))
         customer = self.customers.find(wording.customer, plan)
-        call = WordedCall(
+        request = WordedCall(
             wording.ident,
             customer,
             route,
@@ -182,16 +182,16 @@
             slot=slot,
         )
         self.ids.add(wording.ident)
-        slot.call, self.open_calls, self.asked = call, self.open_calls + 1, self.asked + wording.size
-        self.port.gateway.arrived(call)
+        slot.request, self.open_calls, self.asked = request, self.open_calls + 1, self.asked + wording.size
+        self.port.gateway.on_request(request)
 
     def answered(self, slot: PendingAnswer) -> None:
         """A request has its answer, which may not be written yet."""
-        if slot.call:
-            self.ids.discard(slot.call.id)
+        if slot.request:
+            self.ids.discard(slot.request.id)
             self.open_calls -= 1
-            self.asked -= slot.call.wording.size
-            slot.call.wording = None  # it is not sent any more
+            self.asked -= slot.request.wording.size
+            slot.request.wording = None  # it is not sent any more
         if not slot.client.gone:
             self.held += slot.size
 
@@ -241,8 +241,8 @@
     def give_up(self, client: ClientConnection) -> None:
         """Have the decisions end what is open on a connection, as of a client that left."""
         for slot in list(client.slots):
-            if slot.said is None and slot.call:
-                self.port.gateway.client_left(slot.call)
+            if slot.said is None and slot.request:
+                self.port.gateway.on_client_disconnected(slot.request)
 
     def give_up_all(self) -> None:
         """Answer all that is still open: the program is about to end."""
--- a/brookhub/routing/counter.py
+++ b/brookhub/routing/counter.py
@@ -7,7 +7,8 @@
 from time import monotonic
 from typing import Callable
 
-from ..model import Outcome, Told
+from ..model import Outcome
+from ..ports import CounterCallback
 from ..protocol import counts, resp
 from ..transport.stream import Stream
 from .connections import Reconnector, read_to_end, spawn_surely
@@ -18,7 +19,7 @@
 
     __slots__ = ("told", "asked", "ends_at")
 
-    def __init__(self, told: Told | None, asked: float):
+    def __init__(self, told: CounterCallback | None, asked: float):
         self.told, self.asked, self.ends_at = told, asked, 0
 
     def end(self, now: float, outcome: Outcome, total: float = 0.0) -> None:
@@ -91,7 +92,7 @@
         self.stream, waiting, self.waiting = None, self.waiting, deque()
         for one in waiting:
             whole = one.ends_at <= stream.tried
-            one.end(self.counter.port.now, Outcome.TIMEOUT if whole else Outcome.UNCONNECTED)
+            one.end(self.counter.port.now, Outcome.TIMEOUT if whole else Outcome.CONNECT_FAILED)
         coming = self.counter.coming[self.place]
         if coming is not self:  # not dialled again: the counter is at another address
             self.counter.take_over(coming)
@@ -124,7 +125,7 @@
                 stream_end(self.counter.port, stream, "nonsense")
                 one.end(self.heard_at, Outcome.TIMEOUT)
                 continue
-            one.end(self.heard_at, Outcome.FULL if total is None else Outcome.OK, total or 0.0)
+            one.end(self.heard_at, Outcome.BUSY if total is None else Outcome.OK, total or 0.0)
         self.settled()
 
     def beat(self) -> None:
@@ -172,7 +173,7 @@
         if held and held is not link:
             held.leave()
 
-    def count(self, name: int, amount: float, lives: float, told: Told) -> None:
+    def count(self, name: int, amount: float, lives: float, told: CounterCallback) -> None:
         """A name keeps to one connection, so its totals come in the order of the calls."""
         one = Count(told, self.port.now)
         if self.links[name % len(self.links)].ask(one, counts.add(name, amount, lives)):
@@ -180,7 +181,7 @@
                 self.port.later(self.wait, self.give_up)
             self.asked.append(one)
         else:
-            self.port.soon.append(lambda: one.end(self.port.now, Outcome.UNCONNECTED))
+            self.port.soon.append(lambda: one.end(self.port.now, Outcome.CONNECT_FAILED))
 
     def give_up(self) -> None:
         """End what has waited too long; all wait alike, so one timer, for the oldest, serves."""
--- a/brookhub/routing/discovery.py
+++ b/brookhub/routing/discovery.py
@@ -5,10 +5,10 @@
 from time import monotonic
 from typing import Callable
 
-from ..model import State
+from ..model import ServerState
 from ..protocol import hosts, http
 from ..protocol.documents import DocumentReader
-from ..registry import Roster
+from ..registry import ServerRegistry
 from ..transport.sockets import time_limits
 from ..transport.stream import Stream
 from .connections import Reconnector, read_to_end, spawn_surely
@@ -95,7 +95,7 @@
     ):
         self.port, self.reconnector, self.clock_ahead = port, reconnector, clock_ahead
         self.zones, self.kinds, self.silent_after = list(zones), list(kinds), silent_after
-        self.roster, self.version, self.begun, self.watch = Roster(), 0, False, None
+        self.roster, self.version, self.begun, self.watch = ServerRegistry(), 0, False, None
         # Servers by name that a plan keeps off; else they are used as the list says
         self.held: set[str] = set()
         self.ready: dict[str, bool] = {}  # what the list says of a server, by name: ready or not
@@ -122,7 +122,7 @@
             return  # told before
         self.version = news.version
         self.ready = {} if news.whole else self.ready
-        self.ready.update((host.name, host.state is State.READY) for host in news.hosts)
+        self.ready.update((host.name, host.state is ServerState.READY) for host in news.hosts)
         told = self.roster.update([self.entry(host) for host in news.hosts], news.whole)
         addresses = {host.ident(): host.address for host in news.hosts}
         told += self.displaced(told, addresses)
@@ -132,7 +132,7 @@
                 self.port.servers.listed(server, address)
             else:
                 self.port.servers.leave(server)
-        self.port.gateway.servers_told(told)
+        self.port.gateway.on_servers_updated(told)
 
     def lists(self, name: str) -> bool:
         """Whether the list says that a server is there and ready, whatever a plan says."""
@@ -151,13 +151,13 @@
         for name in sorted(self.held ^ names):
             server = self.roster.servers.get(hosts.ident(name))
             if server is not None and self.ready.get(name):
-                server.state = State.DRAINING if name in names else State.READY
+                server.state = ServerState.DRAINING if name in names else ServerState.READY
                 told.append(server)
                 if name in names:
                     self.port.servers.leave(server)
         self.held = set(names)
         if told:
-            self.port.gateway.servers_told(told)
+            self.port.gateway.on_servers_updated(told)
 
     def displaced(self, told: list, addresses: dict) -> list:
         """Those whose address a server has that started later.
@@ -166,15 +166,15 @@
         """
         gone = []
         for server in told:
-            if server.state is State.GONE:
+            if server.state is ServerState.GONE:
                 self.vacate(server)
         for server in told:
             address = addresses.get(server.id)
-            if server.state is not State.READY or self.where.get(server.id) == address:
+            if server.state is not ServerState.READY or self.where.get(server.id) == address:
                 continue
             self.vacate(server)
             held = self.places.get(address)
-            older = held if not held or held.up_since <= server.up_since else server
+            older = held if not held or held.started_at <= server.started_at else server
             if older:
                 self.vacate(older)
                 gone.append(self.roster.remove(older))
@@ -189,7 +189,9 @@
     def entry(self, host: hosts.Host) -> tuple:
         """An entry of the list as the roster takes it."""
         born = host.born - self.clock_ahead if host.born else 0.0
-        state = State.DRAINING if host.name in self.held and host.state is State.READY else host.state
+        state = (
+            ServerState.DRAINING if host.name in self.held and host.state is ServerState.READY else host.state
+        )
         return (
             host.ident(),
             place(self.zones, host.zone),
@@ -202,7 +204,9 @@
 
     def fit(self) -> bool:
         """Whether there has been a server to send to: a gateway whose servers are all away still answers."""
-        self.begun = self.begun or any(server.state is State.READY for server in self.roster.servers.values())
+        self.begun = self.begun or any(
+            server.state is ServerState.READY for server in self.roster.servers.values()
+        )
         return self.begun
 
 
--- a/brookhub/routing/maintenance.py
+++ b/brookhub/routing/maintenance.py
@@ -45,7 +45,7 @@
             return self.peers.drop("unreadable")
         self.core.received(peer, message)
 
-    def count(self, call, took: float, served: bool) -> None:
+    def count(self, request, took: float, served: bool) -> None:
         """One API call had its final answer."""
         second = int(self.port.now)
         if not self.seconds or self.seconds[-1][0] != second:
--- a/brookhub/routing/peers.py
+++ b/brookhub/routing/peers.py
@@ -60,7 +60,7 @@
             Parts(self.turns.key, spec.name, self.by_name, self.core.counted) if spec.subsets else None
         )
         if self.ejections or self.parts:
-            port.gateway.choices_told(Shared(self.ejections, self.parts))
+            port.gateway.use_coordination(Shared(self.ejections, self.parts))
         if self.ejections:
             self.shunned: list[int] = []
             self.look()
@@ -138,7 +138,7 @@
     def told(self, live: int, rank: int, sure: int) -> None:
         """Membership tells how many are there."""
         self.numbers = (live, rank, sure)
-        self.port.gateway.fleet_told(live, rank, sure)
+        self.port.gateway.on_membership_changed(live, rank, sure)
         if self.port.recovery:
             self.port.recovery.fleet(sure)
         self.soon()
--- a/brookhub/routing/port.py
+++ b/brookhub/routing/port.py
@@ -8,7 +8,8 @@
 from time import monotonic
 from typing import Callable
 
-from ..model import ApiCall, Attempt, Outcome, Server, Told
+from ..model import Attempt, Outcome, Request, Server
+from ..ports import CounterCallback
 from ..protocol import calls
 
 
@@ -35,7 +36,7 @@
         )
         self.todo, self.soon = [], deque()
         # Told of each final answer: s it took, proxied or not
-        self.watch: Callable[[ApiCall, float, bool], None] | None = None
+        self.watch: Callable[[Request, float, bool], None] | None = None
         self.recovery = None  # stands before the counter where the operator's file has it
         self.gateway = self.servers = self.counter = self.discovery = None  # set where the program is wired
 
@@ -96,42 +97,42 @@
             self.looks_at = 0.0  # rung once is enough
             self.bell.release()
 
-    def send(self, call: ApiCall, server: Server, timeout: float) -> Attempt:
-        """Begin an attempt (interface.Port)."""
-        one = Attempt(call, server, len(call.attempts), self.now)
-        call.attempts.append(one)
-        left = call.expires - self.now
+    def start_attempt(self, request: Request, server: Server, timeout: float) -> Attempt:
+        """Begin an attempt (ports.GatewayPort)."""
+        one = Attempt(request, server, len(request.attempts), self.now)
+        request.attempts.append(one)
+        left = request.deadline - self.now
         left = min(timeout, left) if timeout > 0 else left
         self.servers.send(one, self.now + left)
         self.later(left, lambda: self.give_up(one, Outcome.TIMEOUT))
         return one
 
-    def cancel(self, upstream: Attempt) -> None:
-        """Give an attempt up (interface.Port)."""
-        if upstream.outcome is None:
-            self.servers.abandon(upstream)
-            self.soon.append(lambda: self.end_try(upstream, Outcome.CANCELLED))
+    def cancel_attempt(self, attempt: Attempt) -> None:
+        """Give an attempt up (ports.GatewayPort)."""
+        if attempt.outcome is None:
+            self.servers.abandon(attempt)
+            self.soon.append(lambda: self.end_try(attempt, Outcome.CANCELLED))
 
-    def rate_limit(self, call: ApiCall, retry_after: float) -> None:
-        """Refuse a request (interface.Port)."""
-        call.slot.answer(calls.rate_limited(retry_after))
-        self.watched(call, False)
+    def reject_request(self, request: Request, retry_after: float) -> None:
+        """Refuse a request (ports.GatewayPort)."""
+        request.slot.answer(calls.rate_limited(retry_after))
+        self.watched(request, False)
 
-    def error(self, call: ApiCall) -> None:
-        """Tell that a request failed (interface.Port)."""
-        call.slot.answer(calls.ERRORED)
-        self.watched(call, False)
+    def fail_request(self, request: Request) -> None:
+        """Tell that a request failed (ports.GatewayPort)."""
+        request.slot.answer(calls.ERRORED)
+        self.watched(request, False)
 
-    def watched(self, call: ApiCall, proxied: bool) -> None:
+    def watched(self, request: Request, proxied: bool) -> None:
         """Tell who counts answers of this one."""
         if self.watch:
-            self.watch(call, self.now - (call.expires - call.route.client_timeout), proxied)
+            self.watch(request, self.now - (request.deadline - request.route.client_timeout), proxied)
 
-    def count(self, name: int, amount: float, lives: float, told: Told) -> None:
-        """Add to a count (interface.Port)."""
-        (self.recovery or self.counter).count(name, amount, lives, told)
+    def add_to_counter(self, name: int, amount: float, lifetime: float, callback: CounterCallback) -> None:
+        """Add to a count (ports.GatewayPort)."""
+        (self.recovery or self.counter).count(name, amount, lifetime, callback)
 
-    def follow_servers(self, on: bool) -> None:
+    def watch_servers(self, on: bool) -> None:
         """Discovery is watched all along and asked again by itself."""
 
     # how tries end
@@ -155,9 +156,9 @@
         if one.outcome is not None:
             return
         one.outcome = outcome
-        final = one.call.request is None
+        final = one.request.pending is None
         if outcome is Outcome.OK and not final:
-            one.call.slot.answer(*calls.proxied(value))
-            self.watched(one.call, True)
+            one.request.slot.answer(*calls.proxied(value))
+            self.watched(one.request, True)
             final = True
-        self.gateway.try_ended(one, self.now - one.sent, final, charged, used, report or {})
+        self.gateway.on_attempt_ended(one, self.now - one.sent_at, final, charged, used, report or {})
--- a/brookhub/routing/recovery.py
+++ b/brookhub/routing/recovery.py
@@ -10,7 +10,7 @@
 from time import monotonic, time
 from typing import Callable
 
-from ..model import Told
+from ..ports import CounterCallback
 from ..recovery import Record, Recovery, Settings, UnusableError, append, scan, snapshot
 
 WRITE = 0.1  # s between two writes of what was counted: the most that a crash loses
@@ -59,7 +59,7 @@
         """Seconds on the clock that all limiters share."""
         return time()
 
-    def add(self, name: int, amount: float, lives: float, told: Told) -> None:
+    def add(self, name: int, amount: float, lives: float, told: CounterCallback) -> None:
         """Add to a count."""
         self.port.counter.count(name, amount, lives, told)
 
@@ -69,7 +69,7 @@
 
     def grant(self, part: float) -> None:
         """Tell the decisions which part of each quota is granted."""
-        self.port.gateway.counter_told(part)
+        self.port.gateway.on_granted_share_changed(part)
 
     def log(self, event: str, **facts) -> None:
         """Log an event of the recovery."""
--- a/brookhub/routing/servers.py
+++ b/brookhub/routing/servers.py
@@ -5,7 +5,7 @@
 from time import monotonic
 from typing import Callable
 
-from ..model import Attempt, Outcome, Server, State
+from ..model import Attempt, Outcome, Server, ServerState
 from ..protocol import resp
 from ..protocol.calls import ServerAnswer
 from ..transport.sockets import dial
@@ -92,9 +92,9 @@
     def listed(self, server: Server, address: tuple[str, int]) -> None:
         """Where a server is to be found; one that takes nothing more, or moved, is left."""
         pool = self.pools.get(server.id)
-        if pool is None or pool.address != address or server.state is not State.READY:
+        if pool is None or pool.address != address or server.state is not ServerState.READY:
             self.leave(server)
-        if server.state is not State.GONE and (pool is None or pool.address != address):
+        if server.state is not ServerState.GONE and (pool is None or pool.address != address):
             self.pools[server.id] = Pool(address)
 
     def leave(self, server: Server) -> None:
@@ -102,7 +102,7 @@
         pool = self.pools.get(server.id)
         for link in list(pool.idle) if pool else ():
             self.drop(link, "unlisted")
-        if server.state is State.GONE:
+        if server.state is ServerState.GONE:
             self.pools.pop(server.id, None)
 
     def send(self, one: Attempt, until: float) -> None:
@@ -114,7 +114,7 @@
             return self.write(link)
         if self.living >= self.most_links:
             if not self.idle:
-                self.port.soon.append(lambda: self.port.end_try(one, Outcome.UNCONNECTED))
+                self.port.soon.append(lambda: self.port.end_try(one, Outcome.CONNECT_FAILED))
                 return
             self.drop(next(iter(self.idle)), "made-room")
         link = Link(self, pool, one.server, one)
@@ -153,21 +153,21 @@
 
     def write(self, link: Link) -> None:
         """Write the attempt that a connection carries."""
-        link.stream.put(link.one.call.wording.for_server(link.until - self.port.now))
+        link.stream.put(link.one.request.wording.for_server(link.until - self.port.now))
         self.port.todo.append((link.stream.flush,))
 
     def connected(self, link: Link) -> None:
         """A connection came up."""
         if link.ended:
             link.stream.end(link.ended)
-        elif link.server.state is not State.READY:  # so told while it was dialled
+        elif link.server.state is not ServerState.READY:  # so told while it was dialled
             one = link.one
             self.drop(link, "unlisted")
-            self.port.end_try(one, Outcome.UNSENT)
-        elif link.one.call.request is None:  # so ended while it was dialled: nothing more goes out for it
+            self.port.end_try(one, Outcome.NOT_SENT)
+        elif link.one.request.pending is None:  # so ended while it was dialled: nothing more goes out for it
             one = link.one
             self.free(link)
-            self.port.end_try(one, Outcome.UNSENT)
+            self.port.end_try(one, Outcome.NOT_SENT)
         else:
             self.write(link)
 
@@ -215,14 +215,14 @@
         if answer.value is not None:
             port.end_try(one, Outcome.OK, answer.value, answer.charged, answer.used, answer.report)
         else:
-            outcome = Outcome.FULL if answer.turned_away else Outcome.ERROR
+            outcome = Outcome.BUSY if answer.turned_away else Outcome.ERROR
             port.end_try(one, outcome, None, 0.0, answer.used, answer.report)
 
     def free(self, link: Link) -> None:
         """A connection may carry another attempt."""
         del self.out[link.one]
         link.one, link.idle_at = None, self.port.now
-        if link.server.state is not State.READY:
+        if link.server.state is not ServerState.READY:
             self.drop(link, "unlisted")
         else:
             self.idle[link] = link.pool.idle[link] = None
@@ -250,7 +250,7 @@
         whole = link.stream is not None and link.stream.told > 0 and link.stream.may_be_whole()
         self.drop(link, link.ended)
         if one:
-            self.port.end_try(one, Outcome.RESET if whole else Outcome.UNCONNECTED)
+            self.port.end_try(one, Outcome.RESET if whole else Outcome.CONNECT_FAILED)
 
     def retire(self) -> None:
         """Leave what was idle so long that the server may be about to close it."""
--- a/brookhub/settings.py
+++ b/brookhub/settings.py
@@ -5,7 +5,7 @@
 import json
 from typing import Any, TypeVar
 
-from .model import GatewaySettings, Group, Plan, Repeat, Route
+from .site import DeduplicationScope, GatewaySettings, Idempotency, Plan, Route
 
 Choice = TypeVar("Choice")
 
@@ -14,12 +14,16 @@
     """The settings can't be read: says which one and why."""
 
 
-REPEATS = {
-    "read_like": Repeat.IDEMPOTENT,
-    "idempotency_key": Repeat.TOKENED,
-    "non_idempotent": Repeat.NON_IDEMPOTENT,
+IDEMPOTENCY_BY_NAME = {
+    "read_like": Idempotency.IDEMPOTENT,
+    "idempotency_key": Idempotency.KEYED,
+    "non_idempotent": Idempotency.NON_IDEMPOTENT,
+}
+SCOPE_BY_NAME = {
+    "all": DeduplicationScope.ALL,
+    "zone": DeduplicationScope.ZONE,
+    "cell": DeduplicationScope.CELL,
 }
-GROUPS = {"all": Group.ALL, "zone": Group.ZONE, "cell": Group.CELL}
 
 
 def parse_object(text: bytes) -> dict[str, Any]:
@@ -70,15 +74,15 @@
     return tuple(
         Route(
             name=str(item.get("name", index)),
-            target=read_number(item, "slo_s"),
+            latency_target=read_number(item, "slo_s"),
             client_timeout=read_number(item, "hard_limit_s"),
-            repeat=read_choice(REPEATS, item, "semantics", "read_like"),
-            group=read_choice(GROUPS, item, "key_scope", "all"),
-            window=read_number(item, "window_s"),
+            idempotency=read_choice(IDEMPOTENCY_BY_NAME, item, "semantics", "read_like"),
+            deduplication_scope=read_choice(SCOPE_BY_NAME, item, "key_scope", "all"),
+            deduplication_window=read_number(item, "window_s"),
             value=read_number(item, "importance", 1.0),
             late_value=read_number(item, "late_value"),
             streamed=bool(item.get("stream", False)),
-            stretch=read_number(item, "aim_stretch"),
+            target_stretch=read_number(item, "aim_stretch"),
         )
         for index, item in enumerate(read_objects(settings, "classes"))
     )
@@ -91,13 +95,13 @@
             name=str(item.get("name", index)),
             rate=read_number(item, "refill"),
             burst=read_number(item, "store_size"),
-            open_cap=int(read_number(item, "concurrency")),
+            max_concurrency=int(read_number(item, "concurrency")),
             ceiling_rate=read_number(item, "ceiling_rate"),
             ceiling_burst=read_number(item, "cap_depth"),
             ceiling_slack=read_number(item, "tolerance"),
             value=read_number(item, "pays", 1.0),
-            beyond_value=read_number(item, "excess_worth"),
-            beyond_cost=read_number(item, "overrun_cost"),
+            excess_value=read_number(item, "excess_worth"),
+            excess_cost=read_number(item, "overrun_cost"),
         )
         for index, item in enumerate(read_objects(settings, "tariffs"))
     )
@@ -113,21 +117,21 @@
             routes=read_routes(settings),
             plans=read_plans(settings),
             zone=int(read_number(settings, "zone")),
-            slot=int(read_number(settings, "slot_no")),
+            index=int(read_number(settings, "slot_no")),
             gateways=int(read_number(settings, "balancers", 1)),
-            counter_wait=read_number(extra, "count_limit_s") if extra.get("counter", False) else 0.0,
-            largest=read_number(extra, "largest", 1.0),
-            trued_up=bool(extra.get("trued_up", False)),
-            max_tries=int(read_number(limits, "max_attempts", 1)),
-            second_copies=bool(limits.get("second_copies", False)),
-            may_cancel=bool(limits.get("cancel", False)),
-            longest_retry_after=retry_after,
-            cold_from=read_number(rules, "cold_from", 1.0),
-            warm_after=read_number(rules, "ramp_time_s"),
-            fall_multiple=read_number(rules, "fall_multiple", 1.0),
-            fall_within=read_number(rules, "fall_s"),
-            asks_for_servers=settings.get("membership_mode", "pushed") == "on_request",
-            ask_within=read_number(rules, "must_ask_in_s"),
+            counter_timeout=read_number(extra, "count_limit_s") if extra.get("counter", False) else 0.0,
+            max_request_units=read_number(extra, "largest", 1.0),
+            reports_actual_units=bool(extra.get("trued_up", False)),
+            max_attempts=int(read_number(limits, "max_attempts", 1)),
+            allows_hedging=bool(limits.get("second_copies", False)),
+            can_cancel=bool(limits.get("cancel", False)),
+            max_retry_after=retry_after,
+            cold_capacity=read_number(rules, "cold_from", 1.0),
+            warm_up_time=read_number(rules, "ramp_time_s"),
+            overload_multiple=read_number(rules, "fall_multiple", 1.0),
+            overload_window=read_number(rules, "fall_s"),
+            polls_server_list=settings.get("membership_mode", "pushed") == "on_request",
+            server_list_max_age=read_number(rules, "must_ask_in_s"),
         )
     except ValueError as unusable:
         raise SettingsError(str(unusable)) from None
