--- /dev/null
+++ b/tests/test_golden_bytes.py
@@ -0,0 +1,299 @@
+"""The bytes on every wire between processes: clients, servers, counter, discovery, other limiters.
+
+Each kind of message is encoded to the bytes of its golden file, and those bytes are decoded to the values
+that were encoded. Fields are compared by position, so that they may be renamed; names on a wire may not.
+"""
+
+import hashlib
+from typing import Any
+
+import msgspec
+import pytest
+
+from brookhub.choices import TOPIC as EJECTIONS_TOPIC
+from brookhub.choices import carriers as ejection_reports
+from brookhub.choices.ejections import Health, Report
+from brookhub.emulator.peers import Crew
+from brookhub.maintenance import TOPIC as MAINTENANCE_TOPIC
+from brookhub.maintenance import messages as maintenance
+from brookhub.maintenance.plan import Machine, Plan
+from brookhub.membership import messages as membership
+from brookhub.protocol import calls, counts, hosts, http, resp
+from brookhub.recovery.epochs import Epochs
+from brookhub.transport.ring import Ring
+from golden_cases import assert_golden, golden_bytes
+
+FLEET = "north"
+BALLOT, PROMISED, MARK = (7, "n1"), (8, "n2"), (7, "n1", 3)
+TABLE = (
+    4,
+    "0123456789ab",
+    (("rack-a1", 1), ("rack-b1", 3)),
+    5,
+    "served below",
+    ("n0", "n1"),
+    2,
+    (("a", 1.5),),
+)
+NO_TABLE = (0, "", (), 0, "", (), 0, ())
+REPORT = (("rack-a1",), 12.0, 11.0, 0.5)
+
+
+def read_value(data: bytes) -> Any:
+    """The one RESP2 value that these bytes hold."""
+    ring = Ring(len(data))
+    assert ring.put(data)
+    (value,) = resp.Reader().feed(ring)
+    return value
+
+
+def plain(value: Any) -> Any:
+    """A struct as lists of plain values, without the names of its fields."""
+    return msgspec.msgpack.decode(msgspec.msgpack.encode(value))
+
+
+# RESP2: clients and servers
+
+
+def test_a_clients_get_is_read_field_by_field() -> None:
+    request = calls.Wording(read_value(golden_bytes("requests.jsonl")["get"]))
+    assert (request.customer, request.ident, request.route, request.plan) == (7, 0x8C1F30, b"look", b"wide")
+    assert (request.patience, request.units, request.spread, request.first) == (2.0, 1.5, 5, 3)
+    assert (request.repeated, request.keyed, request.write) == (True, True, False)
+
+
+def test_a_clients_post_is_read_field_by_field() -> None:
+    request = calls.Wording(read_value(golden_bytes("requests.jsonl")["post"]))
+    assert (request.customer, request.ident, request.route, request.plan) == (
+        2**33 - 1,
+        2**64 - 1,
+        b"once",
+        b"w",
+    )
+    assert (request.patience, request.units, request.spread, request.first) == (0.25, 1.0, 1, 0)
+    assert (request.repeated, request.keyed, request.write) == (False, False, True)
+    assert request.words[4] == b"body"
+
+
+def test_a_forwarded_request_keeps_its_words_but_for_the_time_left() -> None:
+    golden = golden_bytes("requests.jsonl")
+    get, post = (calls.Wording(read_value(golden[name])) for name in ("get", "post"))
+    forwarded = {"forwarded get": get.for_server(0.7504), "forwarded post": post.for_server(0.0001)}
+    assert_golden("requests.jsonl", {"get": golden["get"], "post": golden["post"], **forwarded})
+    assert calls.Wording(read_value(forwarded["forwarded get"])).patience == 0.75
+
+
+def test_answers_to_clients_have_the_golden_bytes_and_are_read_back() -> None:
+    assert_golden(
+        "answers.jsonl",
+        {
+            "pong": resp.PONG,
+            "served": b"".join(calls.proxied(b"body")),
+            "served empty": b"".join(calls.proxied(b"")),
+            "rejected": calls.rate_limited(0.0),
+            "rejected with a time": calls.rate_limited(1.2501),
+            "failed": calls.ERRORED,
+            "error": resp.error("ERR unknown\r\n command"),
+        },
+    )
+    assert {name: read_value(data) for name, data in golden_bytes("answers.jsonl").items()} == {
+        "pong": b"PONG",
+        "served": b"body",
+        "served empty": b"",
+        "rejected": b"BUSY",
+        "rejected with a time": b"BUSY 1251",
+        "failed": b"ERR failed",
+        "error": b"ERR unknown command",
+    }
+
+
+def test_a_large_value_is_written_in_parts_of_the_same_bytes() -> None:
+    value = b"x" * (resp.LARGEST + 1)
+    assert b"".join(calls.proxied(value)) == b"$65537\r\n" + value + b"\r\n"
+
+
+def server_answer(case: str) -> tuple[Any, ...]:
+    """What a server's golden answer is read as."""
+    read = calls.ServerAnswer(read_value(golden_bytes("server_answers.jsonl")[case]))
+    return read.value, read.turned_away, read.sound, read.charged, read.used, read.report
+
+
+def test_answers_of_servers_are_read_as_their_values_and_figures() -> None:
+    load = {"cpu": 0.5, "queue": 3.0}
+    assert server_answer("value and figures") == (b"body", False, True, 2.5, 4.0, load)
+    assert server_answer("value alone") == (b"body", False, True, 0.0, None, {})
+    assert server_answer("rejected") == (None, True, True, 0.0, None, {"cpu": 0.9})
+    assert server_answer("error") == (None, False, True, 0.0, None, {})
+    assert server_answer("no answer") == (None, False, False, 0.0, None, {})
+
+
+# RESP2: the counter
+
+
+def test_commands_to_the_counter_have_the_golden_bytes() -> None:
+    epochs = Epochs(slot=1, limiters=3, beat=1.0)
+    epochs.epoch = 4711
+    names = {
+        "register": epochs.register(1000.0, 1),
+        "roll": epochs.roll(1000.0, 1),
+        "claim": epochs.claim(1000.0, 99_999.0, 1),
+        "name in an epoch": epochs.name(7 << 31 | 5),
+        "ejection report": ejection_reports.ByCounter(FixedClock(), 99).name(12),
+    }
+    commands = {name: counts.add(number, 1.0, 10.0) for name, number in names.items()}
+    commands["fraction"] = counts.add(7 << 31, 0.1234567, 0.0001)
+    commands["given back"] = counts.add(7 << 31, -2.5, 60.0)
+    assert_golden("counter_commands.jsonl", {"ping": counts.PING, **commands})
+
+
+class FixedClock:
+    """A port at whose clock it is always the same time."""
+
+    now = 1000.0
+
+
+def test_answers_of_the_counter_are_read_as_totals() -> None:
+    answers = golden_bytes("counter_answers.jsonl")
+    totals = {name: counts.total(read_value(data)) for name, data in answers.items()}
+    assert totals == {"total": 12.5, "exponent": 1200.0, "busy": None, "error": None}
+
+
+# discovery
+
+
+def test_the_request_to_discovery_has_the_golden_bytes() -> None:
+    request = http.request("10.0.0.9:8500", "/v1/servers?stream=1&index=17")
+    assert_golden("discovery_requests.jsonl", {"watch": request})
+
+
+@pytest.mark.parametrize("case", ["chunked", "of a stated length"])
+def test_a_server_list_is_read_entry_by_entry(case: str) -> None:
+    ring, reader = Ring(8192), http.StreamReader()
+    assert ring.put(golden_bytes("discovery_answers.jsonl")[case])
+    (line,) = filter(bytes.strip, reader.feed(ring))
+    news = hosts.parse(line)
+    first, second = ([getattr(host, name) for name in type(host).__slots__] for host in news.hosts)
+    assert (news.version, news.whole, reader.ended) == (41, True, True)
+    assert first == ["s-0", ("10.0.0.4", 6400), "a", "m", 3, hosts.STATES["Ready"], 2.0, 1700000000.5]
+    assert second == ["s-1", ("10.0.0.5", 6400), "", "", 0, hosts.STATES["Terminating"], 1.0, 0.0]
+    assert hosts.ident("s-0") == 128467120940815
+
+
+# datagrams: membership
+
+
+MEMBERSHIP_MESSAGES = {
+    "ping": (FLEET, 1, 1, "n0", 7, "", [("n2", 2, 3, "n1"), ("n3", 4, 0, "")]),
+    "indirect ping": (FLEET, 1, 2, "n0", 8, "n2"),
+    "ack": (FLEET, 1, 3, "n0", 7),
+    "nack": (FLEET, 1, 4, "n0", 8, "n2"),
+    "news": (FLEET, 1, 5, "n0", 0, "", [("n4", 1, 2**40, "")]),
+    "table": (FLEET, 1, 6, "n0", 0, "", [("n1", 1, 0, ""), ("n2", 3, 5, "")]),
+    "hello": (FLEET, 1, 7, "n0", 1),
+    "word of maintenance": (FLEET, 1, 8, "n0", MAINTENANCE_TOPIC, "", [], b"\x92\xa4Read\x07"),
+    "word of ejections": (FLEET, 1, 8, "n0", EJECTIONS_TOPIC, "", [], b"\x91\x92\x0c\x01"),
+}
+
+
+def test_membership_datagrams_have_the_golden_bytes() -> None:
+    written = {
+        name: membership.encode(membership.Message(*fields)) for name, fields in MEMBERSHIP_MESSAGES.items()
+    }
+    assert_golden("membership_datagrams.jsonl", written)
+
+
+def test_membership_datagrams_are_read_back_by_position() -> None:
+    for name, data in golden_bytes("membership_datagrams.jsonl").items():
+        message = membership.decode(data, FLEET)
+        assert msgspec.structs.astuple(message)[: len(MEMBERSHIP_MESSAGES[name])] == MEMBERSHIP_MESSAGES[name]
+
+
+def test_a_seeded_fleet_sends_the_golden_datagrams() -> None:
+    fleet, sent = Crew(5, seed=3, warm=False), []
+    carry = fleet.net.send
+
+    def record(source: str, peer: str, data: bytes) -> None:
+        sent.append(f"{source} {peer} ".encode() + data)
+        carry(source, peer, data)
+
+    fleet.net.send, fleet.net.loss = record, 0.3
+    fleet.run(2.0)
+    fleet.seats["n0"].core.say(MAINTENANCE_TOPIC, b"word")
+    fleet.seats["n4"].core.leave()
+    fleet.run(2.0)
+    fleet.seats["n3"].kill()
+    fleet.run(4.0)
+    kinds = {msgspec.msgpack.decode(line.split(b" ", 2)[2])[2] for line in sent}
+    assert kinds == {1, 2, 3, 4, 5, 6, 7, 8}
+    digest = hashlib.sha256(b"".join(sent)).digest()
+    assert_golden("membership_run.jsonl", {"sha256 of all": digest, "first": sent[0], "last": sent[-1]})
+
+
+# datagrams: maintenance
+
+
+READ, STATE = (
+    maintenance.Read(7),
+    maintenance.State(7, True, PROMISED, MARK, maintenance.Table(*TABLE), False),
+)
+MAINTENANCE_MESSAGES = {
+    "ask": maintenance.Ask(BALLOT),
+    "grant": maintenance.Grant(BALLOT, MARK, maintenance.Table(*TABLE)),
+    "deny": maintenance.Deny(BALLOT, PROMISED),
+    "write": maintenance.Write(MARK, maintenance.Table()),
+    "wrote": maintenance.Wrote(MARK, maintenance.Report(*REPORT)),
+    "read": READ,
+    "state": STATE,
+    "pass read": maintenance.Pass("n0", "n2", READ),
+    "pass state": maintenance.Pass("n0", "n2", STATE),
+    "told": maintenance.Told(MARK, maintenance.Table(*TABLE)),
+    "heard": maintenance.Heard(MARK, maintenance.Report()),
+    "offer": maintenance.Offer(4, "0123456789ab"),
+    "want": maintenance.Want("0123456789ab", 1),
+    "piece": maintenance.Piece("0123456789ab", 1, 2, b"\x00plan\xff"),
+}
+MAINTENANCE_FIELDS = {
+    "ask": ["Ask", BALLOT],
+    "grant": ["Grant", BALLOT, MARK, TABLE],
+    "deny": ["Deny", BALLOT, PROMISED],
+    "write": ["Write", MARK, NO_TABLE],
+    "wrote": ["Wrote", MARK, REPORT],
+    "read": ["Read", 7],
+    "state": ["State", 7, True, PROMISED, MARK, TABLE, False],
+    "pass read": ["Pass", "n0", "n2", ["Read", 7]],
+    "pass state": ["Pass", "n0", "n2", ["State", 7, True, PROMISED, MARK, TABLE, False]],
+    "told": ["Told", MARK, TABLE],
+    "heard": ["Heard", MARK, ((), 0.0, 0.0, 0.0)],
+    "offer": ["Offer", 4, "0123456789ab"],
+    "want": ["Want", "0123456789ab", 1],
+    "piece": ["Piece", "0123456789ab", 1, 2, b"\x00plan\xff"],
+}
+
+
+def test_maintenance_messages_have_the_golden_bytes() -> None:
+    written = {name: maintenance.pack(message) for name, message in MAINTENANCE_MESSAGES.items()}
+    assert_golden("maintenance_messages.jsonl", written)
+    assert {type(message) for message in MAINTENANCE_MESSAGES.values()} == set(maintenance.Message.__args__)
+
+
+def test_maintenance_messages_are_read_back_by_position() -> None:
+    for name, data in golden_bytes("maintenance_messages.jsonl").items():
+        assert maintenance.unpack(data) == MAINTENANCE_MESSAGES[name]
+        assert msgspec.msgpack.decode(data) == plain(MAINTENANCE_FIELDS[name])
+
+
+def test_a_plan_has_the_golden_bytes_and_digest_and_is_read_back() -> None:
+    machines = (Machine("rack-a1", "a", 8.0, ("s-0", "s-3")), Machine("rack-b1", "b", 4.0, (), "n3"))
+    plan = Plan(3, machines, ("n0", "n1"), 2, 1, 0.6, 0.9, 0.4, 1800.0, 45.0, 20.0, 2.5, ("n2",), 1)
+    assert_golden("plan.jsonl", {"plan": msgspec.msgpack.encode(plan), "digest": plan.digest().encode()})
+    assert msgspec.msgpack.decode(golden_bytes("plan.jsonl")["plan"], type=Plan) == plan
+
+
+# reports of ejections
+
+
+def test_ejection_reports_have_the_golden_bytes_and_are_read_back() -> None:
+    reports = [Report(12, Health.FAILING), Report(2**48 - 1, Health.HEALTHY), Report(0, Health.STILL_FAILING)]
+    (data,) = ejection_reports.pack(reports)
+    assert_golden("ejection_reports.jsonl", {"reports": data})
+    assert [list(report) for report in ejection_reports.unpack(data)] == [[12, 1], [2**48 - 1, 2], [0, 3]]
--- /dev/null
+++ b/tests/test_golden_choices.py
@@ -0,0 +1,56 @@
+"""What limiters choose alike without a message: those of two versions in one fleet have to agree on it.
+
+`golden/choices.json` holds the draws, the holders of duties by epoch, the matching of limiters and servers,
+and the order of a maintenance plan's machines.
+"""
+
+import json
+from typing import Any
+
+from brookhub.choices import Subsets, Turns
+from brookhub.choices.hashing import deal, score
+from brookhub.maintenance.plan import Machine, Plan, order
+from golden_cases import golden_text
+
+KEY, LIMITERS, SERVERS = 0x8C1F30, ["n0", "n1", "n2", "n3"], range(8)
+
+
+def holders() -> list[Any]:
+    """Who holds two duties at some times of the shared calendar."""
+    turns = Turns(KEY, "n0")
+    turns.told(LIMITERS)
+    return [turns.holders(duty, now, 2) for duty in ("counter", 12) for now in (0.0, 10.0, 1.7e9)]
+
+
+def matching() -> dict[str, Any]:
+    """Each limiter's servers, of which one has twice the weight of the others."""
+    subsets = Subsets(LIMITERS, KEY)
+    subsets.listed({server: 2.0 if server == 3 else 1.0 for server in SERVERS})
+    return {str(limiter): servers for limiter, servers in subsets.match(3).items()}
+
+
+def numbered_order() -> list[Any]:
+    """All servers as the sixth of a block of numbered limiters should take them."""
+    subsets = Subsets(list(range(8)), KEY)
+    subsets.listed(dict.fromkeys(SERVERS, 1.0))
+    return subsets.order(5, 3)
+
+
+def machine_order() -> list[str]:
+    """The order of a plan's machines, one of which is down and one of which carries a limiter."""
+    machines = [Machine(f"m{place}", "abc"[place % 3], 8.0 - place, (f"s-{place}",)) for place in range(6)]
+    machines.append(Machine("m6", "a", 1.0, (), "n1"))
+    plan = Plan(1, tuple(machines), ("n0",))
+    return [machine.name for machine in order(plan, {"a": 3.0, "b": 1.0, "c": 2.0}, frozenset({"m4"}))]
+
+
+def test_limiters_choose_as_the_version_before() -> None:
+    actual = {
+        "score": score(KEY, "shift", 12),
+        "deal": deal(KEY, 4, "s-0", 1),
+        "holders": holders(),
+        "matching": matching(),
+        "numbered order": numbered_order(),
+        "machine order": machine_order(),
+    }
+    assert json.loads(golden_text("choices.json")) == actual, json.dumps(actual)
--- /dev/null
+++ b/tests/test_golden_process.py
@@ -0,0 +1,66 @@
+"""What a running limiter writes to a client, to a server and to discovery, byte by byte.
+
+`golden/conversations.jsonl` holds what the client and the server said in turn and what the limiter answered.
+"""
+
+import re
+from collections.abc import Callable
+
+from golden_cases import assert_golden
+from helpers import Program, ServerStandIn, api_call, command
+
+GET, POST = b"CALL.GET", b"CALL.POST"
+CUSTOMER, IDENT = b"%016x" % 7, b"%016x" % 5
+FIELDS = b"c=look,t=wide,d=2000,units=1,spread=1,first=0"
+REQUESTS = {
+    "ping": command(b"PING"),
+    "ping in small letters": command(b"ping"),
+    "unknown command": command(b"GET", b"key"),
+    "too few words": command(GET, CUSTOMER, IDENT),
+    "customer unreadable": command(GET, b"7", IDENT, FIELDS),
+    "customer too large": command(GET, b"f" * 16, IDENT, FIELDS),
+    "id unreadable": command(GET, CUSTOMER, b"x" * 16, FIELDS),
+    "a field twice": command(GET, CUSTOMER, IDENT, FIELDS + b",c=look"),
+    "a field without a value": command(GET, CUSTOMER, IDENT, FIELDS + b",x"),
+    "no time": command(GET, CUSTOMER, IDENT, FIELDS.replace(b"d=2000", b"d=0")),
+    "no units": command(GET, CUSTOMER, IDENT, FIELDS.replace(b",units=1", b"")),
+    "too many units": command(GET, CUSTOMER, IDENT, FIELDS.replace(b"units=1", b"units=9")),
+    "unknown class": command(GET, CUSTOMER, IDENT, FIELDS.replace(b"c=look", b"c=none")),
+    "unknown plan": command(GET, CUSTOMER, IDENT, FIELDS.replace(b"t=wide", b"t=none")),
+    "a class called in the wrong way": command(GET, CUSTOMER, IDENT, FIELDS.replace(b"c=look", b"c=once")),
+    "served": api_call(6),
+    "served post": api_call(7, route="once", body=b"body"),
+    "not an array": b":5\r\n",
+    "unknown type": b"?\r\n",
+    "not a number": b"*x\r\n",
+    "an array inside an array": b"*2\r\n*1\r\n",
+    "too many words": b"*17\r\n",
+    "a value too large": b"*1\r\n$65537\r\n",
+}
+TIME_LEFT = re.compile(rb"d=\d+")
+
+
+PONG = b"+PONG\r\n"
+
+
+def answer(program: Program, request: bytes) -> bytes:
+    """All that the limiter answers to a request, up to its answer to a PING or the connection's end."""
+    received = b""
+    with program.dial() as sock:
+        sock.sendall(request + command(b"PING"))
+        while not received.endswith(PONG) and (data := sock.recv(65536)):
+            received += data
+    return received.removesuffix(PONG)
+
+
+def test_a_running_limiter_writes_the_golden_bytes(started: Callable[..., Program]) -> None:
+    server = ServerStandIn()
+    program = started(servers=[server])
+    actual = {}
+    for name, request in REQUESTS.items():
+        actual[f"{name}: sent"] = request
+        actual[f"{name}: answer"] = answer(program, request)
+    for number, words in enumerate(server.asked):
+        actual[f"forwarded {number}"] = TIME_LEFT.sub(b"d=TIME", command(*words))
+    assert_golden("conversations.jsonl", actual)
+    assert program.discovery.asked == [b"GET /v1/servers?stream=1&index=41 HTTP/1.1\r\n"]
