--- a/tests/test_golden_bytes.py
+++ b/tests/test_golden_bytes.py
@@ -10,9 +10,9 @@
 import msgspec
 import pytest
 
-from brookhub.choices import TOPIC as EJECTIONS_TOPIC
-from brookhub.choices import carriers as ejection_reports
-from brookhub.choices.ejections import Health, Report
+from brookhub.coordination import TOPIC as EJECTIONS_TOPIC
+from brookhub.coordination import report_transport as ejection_reports
+from brookhub.coordination.ejections import Health, Report
 from brookhub.emulator.peers import Crew
 from brookhub.maintenance import TOPIC as MAINTENANCE_TOPIC
 from brookhub.maintenance import messages as maintenance
--- a/tests/test_golden_choices.py
+++ b/tests/test_golden_choices.py
@@ -7,8 +7,8 @@
 import json
 from typing import Any
 
-from brookhub.choices import Subsets, Turns
-from brookhub.choices.hashing import deal, score
+from brookhub.coordination import Subsets, Turns
+from brookhub.coordination.hashing import deal, score
 from brookhub.maintenance.plan import Machine, Plan, order
 from golden_cases import golden_text
 
--- a/tests/test_golden_files.py
+++ b/tests/test_golden_files.py
@@ -8,7 +8,7 @@
 from typing import Any
 
 from brookhub.config import Experiment, loads
-from brookhub.lab import jobs, plot, sweep
+from brookhub.experiments import jobs, plot, sweep
 from brookhub.recovery import disk
 from brookhub.recovery.ledger import Entry, Ledger
 from golden_cases import assert_golden, golden_bytes, golden_text
--- a/tests/test_golden_keys.py
+++ b/tests/test_golden_keys.py
@@ -30,9 +30,9 @@
     load,
 )
 from brookhub.config.site import SiteFile
-from brookhub.drill.host import Seat
-from brookhub.program import startfile
+from brookhub.program import start_file
 from brookhub.settings import read_gateway_settings
+from brookhub.simulator.host import Seat
 from golden_cases import GOLDEN, golden_text
 
 ROOT = GOLDEN.parent.parent
@@ -90,7 +90,7 @@
 
 
 def test_a_plan_with_every_key_is_read_value_by_value() -> None:
-    plan = json.loads(msgspec.json.encode(startfile.plan_from_file(GOLDEN / "plan.toml")))
+    plan = json.loads(msgspec.json.encode(start_file.plan_from_file(GOLDEN / "plan.toml")))
     machines = [["rack-a1", "a", 8.0, ["s-0", "s-3"], ""], ["rack-b1", "b", 4.0, ["s-1"], "n3"]]
     limits = [2, 3, 0.25, 0.9, 0.4, 1800.0, 45.0, 20.0, 2.5]
     assert plan == [3, machines, ["n0", "n1", "n2"], *limits, ["n1", "n2", "n3"], 1]
@@ -145,7 +145,7 @@
 
 def loaded(told: dict[str, Any]) -> list[Any]:
     """All that is read from a start file, by position."""
-    start = startfile.Start(told, {}, False)
+    start = start_file.Start(told, {}, False)
     settings = dataclasses.astuple(read_gateway_settings(told["settings"]))
     known = start.known and [
         (start.known.version, start.known.whole),
@@ -188,13 +188,13 @@
         return read(told)
     except ValueError as error:
         return str(error)
-    except startfile.StartError as error:
+    except start_file.StartError as error:
         return str(error)
 
 
 def test_the_start_file_is_asked_for_the_golden_keys_and_no_others() -> None:
     asked: set[str] = set()
-    startfile.Start(RecordingDict(sample(), asked), {}, False)
+    start_file.Start(RecordingDict(sample(), asked), {}, False)
     load_columns({"settings": RecordingDict(sample()["settings"], asked, "settings.")})
     assert sorted(asked) == KEYS["start file and settings"]
 
@@ -221,7 +221,7 @@
     path = tmp_path / "start.json"
     path.write_text(golden_text("start.json"))
     variables = {"NODE_CONFIG": str(path), "NODE_NAME": "n9", "NODE_LISTEN": "127.0.0.2:1"}
-    start = startfile.read({**variables, "NODE_DISCOVERY": "127.0.0.3:2"})
+    start = start_file.read({**variables, "NODE_DISCOVERY": "127.0.0.3:2"})
     assert (start.name, start.listen, start.discovery) == ("n9", ("127.0.0.2", 1), ("127.0.0.3", 2))
 
 
--- a/tests/test_golden_process.py
+++ b/tests/test_golden_process.py
@@ -7,7 +7,7 @@
 from collections.abc import Callable
 
 from golden_cases import assert_golden
-from helpers import Program, ServerStandIn, api_call, command
+from helpers import FakeServer, Program, api_call, command
 
 GET, POST = b"CALL.GET", b"CALL.POST"
 CUSTOMER, IDENT = b"%016x" % 7, b"%016x" % 5
@@ -54,7 +54,7 @@
 
 
 def test_a_running_limiter_writes_the_golden_bytes(started: Callable[..., Program]) -> None:
-    server = ServerStandIn()
+    server = FakeServer()
     program = started(servers=[server])
     actual = {}
     for name, request in REQUESTS.items():
--- a/tests/test_golden_simulator.py
+++ b/tests/test_golden_simulator.py
@@ -8,8 +8,8 @@
 import struct
 from collections.abc import Iterator
 
-from brookhub.drill import frames
-from brookhub.drill.host import Host
+from brookhub.simulator import frames
+from brookhub.simulator.host import Host
 from golden_cases import assert_golden, golden_bytes, golden_text
 
 SESSION, SETTINGS = "simulator_session.jsonl", "simulator_settings.json"
