--- a/tests/test_entry.py
+++ b/tests/test_entry.py
@@ -29,9 +29,7 @@
 
 
 def test_the_former_name_of_the_simulator_adapter_works_with_one_warning_line():
-    command = [sys.executable, "-m", "brookhub.simulator"]
+    command = [sys.executable, "-m", "brookhub.drill"]
     completed = subprocess.run(command, stdin=subprocess.DEVNULL, capture_output=True, text=True)
     assert completed.returncode == 0 and completed.stdout == ""
-    assert completed.stderr.splitlines() == [
-        "brookhub.simulator: deprecated, use `python -m brookhub.simulator`"
-    ]
+    assert completed.stderr.splitlines() == ["brookhub.drill: deprecated, use `python -m brookhub.simulator`"]
