--- a/brookhub/experiments/load.py
+++ b/brookhub/experiments/load.py
@@ -197,7 +197,7 @@
             f"c={spec.name},t={plan.name},d={max(1, round((one.expires - monotonic()) * 1000))}{key}"
             f"{',r=1' if one.repeated else ''},units=1,spread={len(self.limiters)},first={one.limiter}"
         )
-        return resp.command(
+        return resp.encode_command(
             b"CALL.GET" if reads else b"CALL.POST",
             b"%016x" % one.customer,
             b"%016x" % one.id,
--- a/brookhub/program/run.py
+++ b/brookhub/program/run.py
@@ -19,7 +19,7 @@
 from ..routing.servers import Servers
 from ..site import GatewaySettings
 from ..transport.sockets import Listener
-from ..transport.threads import small_stacks, spawn
+from ..transport.threads import start_thread, use_small_stacks
 from . import log, start_file
 from .start_file import Start, StartError
 
@@ -139,15 +139,15 @@
         """The connections of clients; what descriptors the others leave."""
         start = self.start
         limits = ClientLimits(
-            connections=max(8, start.sockets - self.servers_most - COUNTER_LINKS - SPARE),
+            max_connections=max(8, start.sockets - self.servers_most - COUNTER_LINKS - SPARE),
             spare_connections=SPARE // 2,
-            open_requests=start.most_calls,
-            unread_bytes_of_one=int(start.memory * CLIENT_HELD),
-            unread_bytes=int(start.memory * ALL_HELD),
-            stalled_for=STALLED,
-            lingers_for=LINGER,
-            mute_for=MUTE,
-            idle_for=IDLE,
+            max_open_requests=start.most_calls,
+            max_unread_bytes_per_client=int(start.memory * CLIENT_HELD),
+            max_unread_bytes=int(start.memory * ALL_HELD),
+            write_timeout=STALLED,
+            linger_time=LINGER,
+            first_request_timeout=MUTE,
+            idle_timeout=IDLE,
         )
         return Clients(self.port, self.ends, start.gateway_settings, self.discovery.fit, limits)
 
@@ -236,13 +236,13 @@
 
     def run(self) -> None:
         """Serve until SIGTERM or SIGINT, then answer what was taken; SIGHUP has the start file read again."""
-        small_stacks()
+        use_small_stacks()
         gc.freeze()  # what stands now stands to the end
         gc.set_threshold(GARBAGE)
         port = self.port
         port.run(monotonic(), port.servers.retire)
-        port.run(monotonic(), self.clients.sweep)
-        spawn("timers", port.run_timers)
+        port.run(monotonic(), self.clients.close_stale_connections)
+        start_thread("timers", port.run_timers)
         if port.counter:
             port.run(monotonic(), port.counter.move, self.start.counter)
             port.run(monotonic(), port.counter.beat)
@@ -254,7 +254,7 @@
         if self.keeper:
             self.port.watch = self.keeper.count
             self.port.run(monotonic(), self.keeper.start)
-        spawn("accept", self.listener.run, self.clients.accepted)
+        start_thread("accept", self.listener.accept_until_closed, self.clients.on_accepted)
         self.log.info("serving")
         while signal.sigwait(SIGNALS) == signal.SIGHUP:
             self.reload()
@@ -292,16 +292,16 @@
         if self.peers:
             self.port.run(told_at, self.peers.leave)
         answers_by = told_at + min(LONGEST, self.longest) + AFTER
-        self.port.run(told_at, self.clients.stop)
+        self.port.run(told_at, self.clients.begin_shutdown)
         sleep(ACCEPTS_ON)
         self.listener.close(LINGER / 4)
-        self.port.run(monotonic(), self.clients.close)
-        while self.clients.all and monotonic() < answers_by:
+        self.port.run(monotonic(), self.clients.drain)
+        while self.clients.connections and monotonic() < answers_by:
             sleep(0.02)
-        if self.clients.all:
-            self.port.run(monotonic(), self.clients.give_up_all)
+        if self.clients.connections:
+            self.port.run(monotonic(), self.clients.fail_open_requests)
             sleep(0.1)
-        self.log.info("stopped", connections=len(self.clients.all))
+        self.log.info("stopped", connections=len(self.clients.connections))
 
 
 def main() -> int:
--- a/brookhub/program/start_file.py
+++ b/brookhub/program/start_file.py
@@ -5,8 +5,8 @@
 from pathlib import Path
 from typing import TYPE_CHECKING, Mapping
 
-from ..protocol import hosts
-from ..protocol.resp import MalformedError
+from ..protocol import server_list
+from ..protocol.errors import MalformedError
 from ..settings import SettingsError, parse_object, read_gateway_settings, read_number, read_section
 
 if TYPE_CHECKING:
@@ -64,12 +64,12 @@
     return path
 
 
-def known_list(told: object) -> hosts.News | None:
+def known_list(told: object) -> server_list.ServerListUpdate | None:
     """The server list as last heard, None where none is told. Raises StartError."""
     if told is None:
         return None
     try:
-        return hosts.News(told)
+        return server_list.ServerListUpdate(told)
     except MalformedError as bad:
         raise StartError(f"known: {bad}") from None
 
@@ -85,7 +85,7 @@
 def address(text, what: str) -> tuple[str, int]:
     """An address of the form HOST:PORT. Raises StartError."""
     try:
-        return hosts.address(text if isinstance(text, str) else "")
+        return server_list.parse_address(text if isinstance(text, str) else "")
     except ValueError:
         raise StartError(f"{what}: an address of the form HOST:PORT is needed, not {text!r}") from None
 
--- a/brookhub/protocol/http.py
+++ b/brookhub/protocol/http.py
@@ -7,35 +7,35 @@
 
 from collections.abc import Callable, Iterator
 
-from ..transport.ring import Ring
-from .resp import MalformedError
+from ..transport.ring_buffer import RingBuffer
+from .errors import MalformedError
 
-LONGEST_HEAD = 4096  # bytes of a line of the head, or of one that announces a chunk
-LONGEST_LINE = 1024 * 1024  # bytes of one line of the answer: a whole list of some thousand servers
-MOST_HEADERS = 100
-LONGEST_LENGTH = 9  # digits of a content length
-LONGEST_RETRY_AFTER = 4  # digits of a Retry-After that is read at all
-TOO_MANY_REQUESTS = (b"429", b"503")  # too many ask: the answer is yet to be had, later
-LONGEST_ASKED = 60.0  # s of a Retry-After that is heeded: more would leave the list old for good
+MAX_HEAD_LINE_BYTES = 4096  # bytes of a line of the head, or of one that announces a chunk
+MAX_BODY_LINE_BYTES = 1024 * 1024  # bytes of one line of the answer: a whole list of some thousand servers
+MAX_HEADERS = 100
+MAX_CONTENT_LENGTH_DIGITS = 9  # digits of a content length
+MAX_RETRY_AFTER_DIGITS = 4  # digits of a Retry-After that is read at all
+REJECTED_STATUS_CODES = (b"429", b"503")  # too many ask: the answer is yet to be had, later
+MAX_RETRY_AFTER = 60.0  # s of a Retry-After that is heeded: more would leave the list old for good
 
 
-def request(host: str, path: str) -> bytes:
+def encode_get(host: str, path: str) -> bytes:
     """A GET request."""
     return f"GET {path} HTTP/1.1\r\nHost: {host}\r\nAccept: application/json\r\n\r\n".encode("ascii")
 
 
-class StreamReader:
+class HttpResponseReader:
     """Takes an answer's lines from a ring buffer as they come.
 
-    `ended` is set once the answer is whole, `asked` is how long (s) a server that turned the request away
-    wants to be left alone. All methods raise MalformedError where the bytes are no such answer; its reason is
-    "turned-away" for an answer 429 or 503 and "oversized" for a line that is too long.
+    `is_complete` is set once the answer is whole, `retry_after` is how long (s) a server that turned the
+    request away wants to be left alone. All methods raise MalformedError where the bytes are no such answer;
+    its reason is "turned-away" for an answer 429 or 503 and "oversized" for a line that is too long.
     """
 
     def __init__(self) -> None:
-        self.ended = False
-        self.turned_away = False
-        self.asked = 0.0
+        self.is_complete = False
+        self.is_rejected = False
+        self.retry_after = 0.0
         self._step: Callable[[bytes], None] | None = self._status  # takes the next line; None within the body
         self._headers = 0
         self._interim = False
@@ -45,17 +45,17 @@
         self._left = 0  # bytes of the body, or of the chunk, that have yet to come
         self._rest = bytearray()  # the line of the body under way
 
-    def feed(self, ring: Ring) -> Iterator[bytes]:
+    def feed(self, ring: RingBuffer) -> Iterator[bytes]:
         """Each line of the body that is whole, without its line end."""
-        while not self.ended:
+        while not self.is_complete:
             if self._step is None:
                 yield from self._body(ring)
-                if self._step is None and not self.ended:
+                if self._step is None and not self.is_complete:
                     return
             elif not self._take_line(ring, self._step):
                 return
 
-    def end(self) -> bytes:
+    def on_eof(self) -> bytes:
         """Tell that the other side ended the connection in order.
 
         The last line of a body that lasts until then, where it has no line end; else nothing.
@@ -64,12 +64,12 @@
         self._rest = bytearray()
         return rest
 
-    def _take_line(self, ring: Ring, step: Callable[[bytes], None]) -> bool:
-        line = ring.line()
+    def _take_line(self, ring: RingBuffer, step: Callable[[bytes], None]) -> bool:
+        line = ring.read_line()
         if line is not None:
             step(line)
             return True
-        if len(ring) > LONGEST_HEAD:
+        if len(ring) > MAX_HEAD_LINE_BYTES:
             raise MalformedError("a line of the head that does not end")
         return False
 
@@ -81,14 +81,14 @@
             raise MalformedError("no HTTP/1.1 answer")
         code = words[1]
         self._interim = len(code) == 3 and code.startswith(b"1") and code != b"101"
-        self.turned_away = code in TOO_MANY_REQUESTS
-        if code != b"200" and not self._interim and not self.turned_away:
+        self.is_rejected = code in REJECTED_STATUS_CODES
+        if code != b"200" and not self._interim and not self.is_rejected:
             raise MalformedError("an answer that is not 200")
         self._step = self._header
 
     def _header(self, line: bytes) -> None:
         self._headers += 1
-        if self._headers > MOST_HEADERS:
+        if self._headers > MAX_HEADERS:
             raise MalformedError("too many headers")
         if not line:
             self._end_head()
@@ -99,19 +99,19 @@
         self._take_header(name.strip().lower(), value.strip().lower())
 
     def _take_header(self, name: bytes, value: bytes) -> None:
-        if name == b"retry-after" and value.isdigit() and len(value) <= LONGEST_RETRY_AFTER:
-            self.asked = min(float(value), LONGEST_ASKED)
+        if name == b"retry-after" and value.isdigit() and len(value) <= MAX_RETRY_AFTER_DIGITS:
+            self.retry_after = min(float(value), MAX_RETRY_AFTER)
         elif name == b"transfer-encoding":
             self._chunked = value == b"chunked"
         elif name == b"content-length":
-            if not value.isdigit() or len(value) > LONGEST_LENGTH:
+            if not value.isdigit() or len(value) > MAX_CONTENT_LENGTH_DIGITS:
                 raise MalformedError("a length that is no number")
             self._length = int(value)
 
     def _end_head(self) -> None:
         if self._interim:  # word that the answer is yet to come
             self._step, self._chunked, self._length = self._status, False, None
-        elif self.turned_away:
+        elif self.is_rejected:
             raise MalformedError("turned away", "turned-away")
         elif self._chunked:
             self._step = self._chunk_size
@@ -122,11 +122,11 @@
 
     # the body
 
-    def _body(self, ring: Ring) -> Iterator[bytes]:
+    def _body(self, ring: RingBuffer) -> Iterator[bytes]:
         if self._until_end:
-            yield from self._lines(ring.take(len(ring)))
+            yield from self._lines(ring.read(len(ring)))
             return
-        data = ring.take(min(self._left, len(ring)))
+        data = ring.read(min(self._left, len(ring)))
         self._left -= len(data)
         yield from self._lines(data)
         if self._left:
@@ -134,7 +134,7 @@
         if self._chunked:
             self._step = self._chunk_end
             return
-        self.ended = True
+        self.is_complete = True
         if self._rest:
             yield bytes(self._rest)
 
@@ -154,7 +154,7 @@
 
     def _trailer(self, line: bytes) -> None:
         if not line:
-            self.ended = True
+            self.is_complete = True
 
     def _lines(self, data: bytes) -> Iterator[bytes]:
         start = 0
@@ -164,5 +164,5 @@
             yield line
             start = end + 1
         self._rest += data[start:]
-        if len(self._rest) > LONGEST_LINE:
+        if len(self._rest) > MAX_BODY_LINE_BYTES:
             raise MalformedError("a line of the answer too long", "oversized")
--- a/brookhub/protocol/documents.py
+++ b/brookhub/protocol/json_documents.py
@@ -9,14 +9,14 @@
 
 import re
 
-from .resp import MalformedError
+from .errors import MalformedError
 
 # Bytes of one object with its line ends: a whole list of some thousand servers
-LONGEST_DOCUMENT = 1024 * 1024
+MAX_DOCUMENT_BYTES = 1024 * 1024
 STRING = re.compile(rb'"(?:[^"\\]|\\.)*"')  # JSON strings hold no raw line ends, so none spans two lines
 
 
-class DocumentReader:
+class JsonObjectReader:
     """Collects the lines of one JSON object at a time."""
 
     def __init__(self) -> None:
@@ -36,7 +36,7 @@
         self._check(line, blank)
         self._lines.append(line)
         self._size += len(line) + 1
-        if self._size > LONGEST_DOCUMENT:
+        if self._size > MAX_DOCUMENT_BYTES:
             raise MalformedError("a server list too long", "oversized")
         self._depth += nesting(line)
         if self._depth > 0:
--- a/brookhub/routing/client_connection.py
+++ b/brookhub/routing/client_connection.py
@@ -8,9 +8,10 @@
 from typing import TYPE_CHECKING
 
 from ..model import Request
-from ..protocol import calls, resp
+from ..protocol import request_codec, resp
+from ..protocol.errors import MalformedError
 from ..transport.stream import Stream
-from .connections import read_to_end
+from .connections import read_until_closed
 
 if TYPE_CHECKING:
     from .clients import Clients
@@ -18,7 +19,7 @@
 LATEST = 0.5  # s after its deadline from which a connection is ended rather than answered: nobody waits
 
 
-class PendingAnswer:
+class PendingResponse:
     """The place of one answer among those of its connection."""
 
     __slots__ = ("client", "said", "size", "request")
@@ -26,7 +27,7 @@
     def __init__(self, client: ClientConnection):
         self.client, self.said, self.size, self.request = client, None, 0, None
 
-    def answer(self, *parts: bytes | bytearray) -> None:
+    def complete(self, *parts: bytes | bytearray) -> None:
         """Give the answer; only the first one counts. Under the port's lock."""
         if self.said is None:
             self.said, self.size = deque(parts), sum(map(len, parts))
@@ -40,11 +41,11 @@
 
 
 @dataclass(eq=False)
-class WordedCall(Request):
+class ClientRequest(Request):
     """A request with its client's words, and the place of its answer."""
 
-    wording: calls.Wording = None
-    slot: PendingAnswer = None
+    parsed: request_codec.ParsedRequest = None
+    response: PendingResponse = None
 
 
 class ClientConnection:
@@ -52,8 +53,8 @@
 
     def __init__(self, clients: Clients, sock):
         self.clients = clients
-        self.stream, self.reader = Stream(sock, resp.ROOM, self.drained), resp.Reader()
-        self.slots: deque[PendingAnswer] = deque()
+        self.stream, self.reader = Stream(sock, resp.BUFFER_BYTES, self.drained), resp.RespReader()
+        self.slots: deque[PendingResponse] = deque()
         self.served, self.idle_at, self.waited = 0, 0.0, 0.0  # waited: s that what came may have lain unread
         self.waits = self.gone = self.parting = False  # parting: its end is under way, nothing more is taken
 
@@ -62,90 +63,92 @@
     def run(self) -> None:
         """Read the connection to its end. Runs in a thread of its own."""
         port, began, stream = self.clients.port, monotonic(), self.stream
-        reason = read_to_end(stream.read, self.took, port.faults)
-        stream.end(stream.last or ("left" if reason == "closed" else reason))
+        reason = read_until_closed(stream.read, self.took, port.faults)
+        stream.abort(stream.shutdown_reason or ("left" if reason == "closed" else reason))
         stream.close()
         port.run(monotonic(), self.left)
-        stream.drained = None  # or the two would hold each other until somebody looks for garbage
-        self.clients.log_end("client", stream.reason, None, monotonic() - began, self.served)
+        stream.on_drained = None  # or the two would hold each other until somebody looks for garbage
+        self.clients.log_end("client", stream.close_reason, None, monotonic() - began, self.served)
 
     def took(self, at: float) -> bool:
         """Bytes came at a moment (s): begin what they ask; whether the connection is over."""
         stream = self.stream
         if self.parting:
-            stream.inbound.drop(len(stream.inbound))
+            stream.inbound.consume(len(stream.inbound))
             return False
         asked, bad = self.read_commands()
         if not asked and not bad:
             return False
-        if stream.other_side_ended():
+        if stream.is_closed_by_peer():
             return True  # it left before what it asked was begun: nothing is sent on for it
         self.clients.port.run(at, self.take, asked, bad)
         return bad is not None  # what follows bytes that can't be read is not waited for
 
-    def read_commands(self) -> tuple[list[calls.Wording | bytes], resp.MalformedError | None]:
+    def read_commands(self) -> tuple[list[request_codec.ParsedRequest | bytes], MalformedError | None]:
         """The commands that are there as a whole, and the error of the first that can't be read."""
-        asked: list[calls.Wording | bytes] = []
+        asked: list[request_codec.ParsedRequest | bytes] = []
         try:
             for words in self.reader.feed(self.stream.inbound):
                 asked.append(self.understand(words))
-        except resp.MalformedError as bad:
+        except MalformedError as bad:
             return asked, bad
         return asked, None
 
-    def understand(self, words) -> calls.Wording | bytes:
+    def understand(self, words) -> request_codec.ParsedRequest | bytes:
         """A command as an API call, or the answer that it gets at once."""
         if not isinstance(words, list) or not words or not all(type(word) is bytes for word in words):
-            raise resp.MalformedError("a command is an array of bulk strings")
+            raise MalformedError("a command is an array of bulk strings")
         if words[0].upper() == b"PING":
             return resp.PONG
-        if words[0] not in calls.VERBS:
-            return resp.error("ERR unknown command")
+        if words[0] not in request_codec.ARGUMENT_COUNTS:
+            return resp.encode_error("ERR unknown command")
         clients = self.clients
         try:
-            wording = calls.Wording(words)
-            if wording.route not in clients.routes or wording.plan not in clients.plans:
-                raise calls.BadCallError("unknown c or t")
-            wording.check(clients.routes[wording.route], clients.gateways, clients.largest)
-        except calls.BadCallError as bad:
-            return resp.error(f"ERR {bad}")
+            wording = request_codec.ParsedRequest(words)
+            if wording.route_name not in clients.routes or wording.plan_name not in clients.plans:
+                raise request_codec.InvalidRequestError("unknown c or t")
+            wording.validate(clients.routes[wording.route_name], clients.gateways, clients.largest)
+        except request_codec.InvalidRequestError as bad:
+            return resp.encode_error(f"ERR {bad}")
         return wording
 
     # under the port's lock
 
-    def take(self, asked: list[calls.Wording | bytes], bad: resp.MalformedError | None) -> None:
+    def take(self, asked: list[request_codec.ParsedRequest | bytes], bad: MalformedError | None) -> None:
         """Begin what was asked, in order; `bad`: what came after it can't be read and ends the connection."""
         if self.parting:
             return  # it crossed the end of the connection: the client asks again on another
         self.clients.woken()
         waited, self.waited = self.waited, 0.0
-        if waited and any(isinstance(one, calls.Wording) and one.patience <= waited for one in asked):
+        if waited and any(
+            isinstance(one, request_codec.ParsedRequest) and one.time_left <= waited for one in asked
+        ):
             return self.clients.leave(self, "late")
         for one in asked:
-            if isinstance(one, calls.Wording):
+            if isinstance(one, request_codec.ParsedRequest):
                 self.begin(one, waited)
             elif one is resp.PONG and not self.clients.fit():
-                self.slot().answer(resp.error("ERR not ready yet"))
+                self.slot().complete(resp.encode_error("ERR not ready yet"))
             else:
-                self.slot().answer(one)
+                self.slot().complete(one)
         if bad:  # it ends at once, whatever else is open on it: all that was taken gets its answer
             self.clients.give_up(self)
             self.parting = True
-            self.slot().answer(resp.error(f"ERR {bad}"))
-            self.clients.port.todo.append((self.stream.finish, bad.reason))
+            self.slot().complete(resp.encode_error(f"ERR {bad}"))
+            self.clients.port.todo.append((self.stream.shutdown_gracefully, bad.reason))
 
-    def begin(self, wording: calls.Wording, waited: float) -> None:
+    def begin(self, wording: request_codec.ParsedRequest, waited: float) -> None:
         """Have a request decided; a fault costs this one, not those behind it on the connection."""
         slot = self.slot()
         try:
             self.clients.call(slot, wording, waited)
         except Exception as met:
             self.clients.port.todo.append((self.clients.port.faults, met))
-            slot.answer(calls.ERRORED)
+            slot.complete(request_codec.ENCODED_FAILURE)
 
-    def slot(self) -> PendingAnswer:
+    def slot(self) -> PendingResponse:
         """The place of the next answer; the connection is not idle any more."""
-        slot = PendingAnswer(self)
+        slot = PendingResponse(self)
         self.slots.append(slot)
         self.clients.idle.pop(self, None)
         self.clients.mute.pop(self, None)
@@ -156,12 +159,12 @@
         self.waits = False
         while self.slots and self.slots[0].said is not None and not self.gone:
             slot = self.slots[0]
-            while slot.said and (put := self.stream.put_part(slot.said[0])) == len(slot.said[0]):
+            while slot.said and (put := self.stream.enqueue_part(slot.said[0])) == len(slot.said[0]):
                 slot.said.popleft()
             if slot.said:  # the rest once that is written
                 slot.said[0], self.waits = memoryview(slot.said[0])[put:], True
                 if self.clients.holds_too_much(self):
-                    self.clients.port.todo.append((self.stream.end, "slow-reader"))
+                    self.clients.port.todo.append((self.stream.abort, "slow-reader"))
                 break
             self.slots.popleft()
             self.clients.held -= slot.size
--- a/brookhub/routing/clients.py
+++ b/brookhub/routing/clients.py
@@ -7,12 +7,12 @@
 from time import monotonic
 from typing import Callable
 
-from ..protocol import calls, resp
+from ..protocol import request_codec, resp
 from ..registry import CustomerRegistry
 from ..site import GatewaySettings
-from ..transport.sockets import time_limits
-from ..transport.threads import spawn
-from .client_connection import LATEST, ClientConnection, PendingAnswer, WordedCall
+from ..transport.sockets import set_blocking_timeouts
+from ..transport.threads import start_thread
+from .client_connection import LATEST, ClientConnection, ClientRequest, PendingResponse
 
 STOPPED = 1.0  # s that a look at the connections may come late before the process counts as stopped
 LOOKS = 8  # idle connections looked at for one that can be closed, at a time
@@ -22,19 +22,19 @@
 class ClientLimits:
     """What clients may take of the program. Times in seconds."""
 
-    connections: int
+    max_connections: int
     spare_connections: int  # beyond that, while those that make room are being closed
-    open_requests: int
-    unread_bytes_of_one: int  # of answers that one client has not read, behind the first
-    unread_bytes: int  # of all clients, and of requests' bodies
-    stalled_for: float  # that a client may leave its answers unread
-    lingers_for: float  # for a client to hear that its connection ends
-    mute_for: float  # until a connection is closed on which nothing whole came
-    idle_for: float  # until one is closed on which nothing is open
+    max_open_requests: int
+    max_unread_bytes_per_client: int  # of answers that one client has not read, behind the first
+    max_unread_bytes: int  # of all clients, and of requests' bodies
+    write_timeout: float  # that a client may leave its answers unread
+    linger_time: float  # for a client to hear that its connection ends
+    first_request_timeout: float  # until a connection is closed on which nothing whole came
+    idle_timeout: float  # until one is closed on which nothing is open
 
 
 class Clients:
-    """All client connections. Its methods but for `accepted` are called under the port's lock."""
+    """All client connections. Its methods but for `on_accepted` are called under the port's lock."""
 
     def __init__(
         self,
@@ -51,23 +51,23 @@
         self.gateways, self.largest = settings.gateways, settings.max_request_units
         self.held = 0  # bytes of answers not yet written
         self.customers = CustomerRegistry()
-        self.all: dict[ClientConnection, None] = {}
+        self.connections: dict[ClientConnection, None] = {}
         self.idle: dict[ClientConnection, None] = {}  # those without an open command, the longest idle first
         self.mute: dict[ClientConnection, None] = {}  # those that never sent a whole one, the oldest first
         # No idle one is closed for another or for its age; each after its answer
         self.stopping = self.closing = False
         self.ids: set[int] = set()  # of the calls that are open
-        self.sweeps_at = port.now + limits.mute_for  # when the next look at them is due
+        self.sweeps_at = port.now + limits.first_request_timeout  # when the next look at them is due
         self.woke_at = (
             self.slept_for
         ) = -1.0  # when this process last was found to have been stopped, and how long
         # Descriptors not yet given back; API calls, bytes of them
         self.living = self.open_calls = self.asked = 0
 
-    def accepted(self, sock) -> None:
+    def on_accepted(self, sock) -> None:
         """A client connected. Called by the thread that accepts, without the lock."""
         try:
-            time_limits(sock, writing=self.limits.stalled_for)
+            set_blocking_timeouts(sock, writing=self.limits.write_timeout)
         except OSError:
             return sock.close()
         client = ClientConnection(self, sock)
@@ -75,18 +75,20 @@
 
     def welcome(self, client: ClientConnection) -> None:
         """Take a connection in, make room for it, or turn it away."""
-        if self.living >= self.limits.connections:
+        if self.living >= self.limits.max_connections:
             oldest = self.to_leave()
-            if not oldest or self.living >= self.limits.connections + self.limits.spare_connections:
+            if not oldest or self.living >= self.limits.max_connections + self.limits.spare_connections:
                 self.port.todo.append((self.turn_away, client))
                 return
             self.leave(oldest, "made-room")
         self.living += 1
         self.woken()
         if self.port.now - self.woke_at < LATEST:
-            client.waited = client.stream.lain(self.slept_for)  # it may have come up while nobody accepted
+            client.waited = client.stream.oldest_unread_age(
+                self.slept_for
+            )  # it may have come up while nobody accepted
         client.idle_at = self.port.now
-        self.all[client] = self.mute[client] = None
+        self.connections[client] = self.mute[client] = None
         self.port.todo.append((self.start, client))
 
     def to_leave(self) -> ClientConnection | None:
@@ -96,7 +98,7 @@
         idle longest.
         """
         mute = self.longest(self.mute)
-        if mute and (self.stopping or self.port.now - mute.idle_at > self.limits.mute_for / 8):
+        if mute and (self.stopping or self.port.now - mute.idle_at > self.limits.first_request_timeout / 8):
             return mute
         return mute if self.stopping else self.longest(self.idle) or mute
 
@@ -106,7 +108,7 @@
         Not so in midst of a command.
         """
         for client in list(islice(held, LOOKS)):
-            if len(client.stream.inbound) or not client.stream.unheard():
+            if len(client.stream.inbound) or not client.stream.has_unread_bytes():
                 return client
             del held[client]
             held[client] = None
@@ -117,7 +119,7 @@
         """Close it between two commands. What it now may ask crosses the end: it asks again elsewhere."""
         client.parting = True
         self.forget(client)
-        self.port.todo.append((client.stream.end, reason))
+        self.port.todo.append((client.stream.abort, reason))
 
     def woken(self) -> None:
         """See whether this process was stopped for a while (a signal, a paused machine).
@@ -128,17 +130,20 @@
         late = self.port.now - self.sweeps_at
         if late > STOPPED:
             self.sweeps_at = self.port.now
-            self.woke_at, self.slept_for = self.port.now, late + self.limits.mute_for / 8
-            for client in list(self.all):
-                client.waited = client.stream.lain(self.slept_for)
+            self.woke_at, self.slept_for = self.port.now, late + self.limits.first_request_timeout / 8
+            for client in list(self.connections):
+                client.waited = client.stream.oldest_unread_age(self.slept_for)
             self.port.todo.append((self.port.log_woken, self.slept_for))
 
-    def sweep(self) -> None:
+    def close_stale_connections(self) -> None:
         """Close who connected and sent nothing whole, and who has been idle for long."""
         self.woken()
-        self.sweeps_at = self.port.now + self.limits.mute_for / 8
-        self.port.later(self.limits.mute_for / 8, self.sweep)
-        kinds = [(self.mute, self.limits.mute_for, "mute"), (self.idle, self.limits.idle_for, "idle")]
+        self.sweeps_at = self.port.now + self.limits.first_request_timeout / 8
+        self.port.later(self.limits.first_request_timeout / 8, self.close_stale_connections)
+        kinds = [
+            (self.mute, self.limits.first_request_timeout, "mute"),
+            (self.idle, self.limits.idle_timeout, "idle"),
+        ]
         for held, most, reason in kinds[:1] if self.stopping else kinds:
             while held and self.port.now - next(iter(held)).idle_at > most:
                 client = self.longest(held)
@@ -152,54 +157,58 @@
 
     def start(self, client: ClientConnection) -> None:
         """Begin to read a connection. Without the lock."""
-        if not spawn("client", client.run):
+        if not start_thread("client", client.run):
             client.stream.close()
             self.port.run(monotonic(), client.left)
             self.log_end("client", "no-thread", None, 0.0, 0)
 
-    def call(self, slot: PendingAnswer, wording: calls.Wording, waited: float = 0.0) -> None:
+    def call(self, slot: PendingResponse, wording: request_codec.ParsedRequest, waited: float = 0.0) -> None:
         """Have a request decided; `waited`: s that it may have lain unread."""
-        route, plan = self.routes[wording.route], self.plans[wording.plan]
-        if wording.ident in self.ids:
-            return slot.answer(resp.error("ERR the id is that of another open call"))
+        route, plan = self.routes[wording.route_name], self.plans[wording.plan_name]
+        if wording.request_id in self.ids:
+            return slot.complete(resp.encode_error("ERR the id is that of another open call"))
         if (
-            self.open_calls >= self.limits.open_requests
-            or self.asked + self.held + wording.size > self.limits.unread_bytes
+            self.open_calls >= self.limits.max_open_requests
+            or self.asked + self.held + wording.size_bytes > self.limits.max_unread_bytes
         ):
-            return slot.answer(calls.rate_limited(0.0))
-        customer = self.customers.find(wording.customer, plan)
-        request = WordedCall(
-            wording.ident,
+            return slot.complete(request_codec.encode_rejected(0.0))
+        customer = self.customers.find(wording.customer_id, plan)
+        request = ClientRequest(
+            wording.request_id,
             customer,
             route,
-            self.port.now + min(wording.patience, route.client_timeout) - waited,
+            self.port.now + min(wording.time_left, route.client_timeout) - waited,
             wording.units,
-            wording.spread,
-            wording.first,
-            wording.repeated,
-            wording.write,
-            wording=wording,
-            slot=slot,
+            wording.quota_holders,
+            wording.first_gateway,
+            wording.is_retry,
+            wording.is_write,
+            parsed=wording,
+            response=slot,
+        )
+        self.ids.add(wording.request_id)
+        slot.request, self.open_calls, self.asked = (
+            request,
+            self.open_calls + 1,
+            self.asked + wording.size_bytes,
         )
-        self.ids.add(wording.ident)
-        slot.request, self.open_calls, self.asked = request, self.open_calls + 1, self.asked + wording.size
         self.port.gateway.on_request(request)
 
-    def answered(self, slot: PendingAnswer) -> None:
+    def answered(self, slot: PendingResponse) -> None:
         """A request has its answer, which may not be written yet."""
         if slot.request:
             self.ids.discard(slot.request.id)
             self.open_calls -= 1
-            self.asked -= slot.request.wording.size
-            slot.request.wording = None  # it is not sent any more
+            self.asked -= slot.request.parsed.size_bytes
+            slot.request.parsed = None  # it is not sent any more
         if not slot.client.gone:
             self.held += slot.size
 
     def holds_too_much(self, client: ClientConnection) -> bool:
         """Whether the answers that a client leaves unread take memory that others need."""
         return (
-            self.held > 1.5 * self.limits.unread_bytes
-            or client.unread() - client.slots[0].size > self.limits.unread_bytes_of_one
+            self.held > 1.5 * self.limits.max_unread_bytes
+            or client.unread() - client.slots[0].size > self.limits.max_unread_bytes_per_client
         )
 
     def settled(self, client: ClientConnection) -> None:
@@ -215,25 +224,25 @@
     def part(self, client: ClientConnection) -> None:
         """End the sending between two API calls, and all once the client had time to hear of it."""
         client.parting = True
-        self.port.todo.append((client.stream.finish, "restart"))
+        self.port.todo.append((client.stream.shutdown_gracefully, "restart"))
         self.port.later(
-            self.limits.lingers_for, lambda: self.port.todo.append((client.stream.end, "restart"))
+            self.limits.linger_time, lambda: self.port.todo.append((client.stream.abort, "restart"))
         )
 
     def forget(self, client: ClientConnection) -> None:
         """A connection is no longer looked after."""
-        self.all.pop(client, None)
+        self.connections.pop(client, None)
         self.idle.pop(client, None)
         self.mute.pop(client, None)
 
-    def stop(self) -> None:
+    def begin_shutdown(self) -> None:
         """The end is near: what crosses the close of a connection may find no other way in any more."""
         self.stopping = True
 
-    def close(self) -> None:
+    def drain(self) -> None:
         """From now on a connection ends as soon as all that came on it is answered."""
         self.closing = True
-        for client in [one for one in (*self.idle, *self.mute) if not one.stream.unheard()]:
+        for client in [one for one in (*self.idle, *self.mute) if not one.stream.has_unread_bytes()]:
             self.part(client)
             self.idle.pop(client, None)
             self.mute.pop(client, None)
@@ -244,7 +253,7 @@
             if slot.said is None and slot.request:
                 self.port.gateway.on_client_disconnected(slot.request)
 
-    def give_up_all(self) -> None:
+    def fail_open_requests(self) -> None:
         """Answer all that is still open: the program is about to end."""
-        for client in list(self.all):
+        for client in list(self.connections):
             self.give_up(client)
--- a/brookhub/routing/connections.py
+++ b/brookhub/routing/connections.py
@@ -7,15 +7,17 @@
 from time import monotonic
 from typing import Callable
 
-from ..protocol.resp import MalformedError
-from ..transport.sockets import dial
-from ..transport.threads import spawn
+from ..protocol.errors import MalformedError
+from ..transport.sockets import connect
+from ..transport.threads import start_thread
 
 THREAD_PAUSE = 0.5  # s until a thread is asked for again that the system had none left to give
 SHORTEST_PAUSE = 0.05  # s between two dials at least, also where the time to be back in is over
 
 
-def read_to_end(wait: Callable[[], bool], took: Callable[[float], bool | None], faults: Callable) -> str:
+def read_until_closed(
+    wait: Callable[[], bool], took: Callable[[float], bool | None], faults: Callable
+) -> str:
     """Have whatever comes taken in, until the connection ends or `took` has enough.
 
     The reason why it ended.
@@ -36,27 +38,30 @@
         return "fault"
 
 
-def spawn_surely(port, name: str, work: Callable[[], None]) -> None:
+def start_thread_with_retry(port, name: str, work: Callable[[], None]) -> None:
     """Start a thread that the program can't do without.
 
     Again and again where the system has none left to give.
 
     Called outside the port's lock.
     """
-    if not spawn(name, work):
+    if not start_thread(name, work):
         port.run(
-            monotonic(), port.later, THREAD_PAUSE, lambda: port.todo.append((spawn_surely, port, name, work))
+            monotonic(),
+            port.later,
+            THREAD_PAUSE,
+            lambda: port.todo.append((start_thread_with_retry, port, name, work)),
         )
 
 
 class Reconnector:
-    """Keeps one peer's address dialled, from a thread of its own, until it is `over`.
+    """Keeps one peer's address dialled, from a thread of its own, until it is `stopped`.
 
     The pause between two dials doubles while no connection brings an answer, up to the longest of `pauses`.
     Each is drawn between half of it and one and a half, because all gateways lose a peer at the same moment
-    and would return to it together, each time. `asked` is how long (s) the peer wants to be left alone; it
-    goes before the pause. The next dial begins at the latest `again_within` s after the peer was last heard,
-    whatever pause is due.
+    and would return to it together, each time. `retry_after` is how long (s) the peer wants to be left alone;
+    it goes before the pause. The next dial begins at the latest `again_within` s after the peer was last
+    heard, whatever pause is due.
     """
 
     def __init__(
@@ -72,23 +77,23 @@
     ):
         self.peer, self.address, self.within, self.pauses, self.chance = peer, address, within, pauses, chance
         self.log_end, self.faults, self.again_within = log_end, faults, again_within
-        self.over, self.asked = Event(), 0.0
-        self.heard_at = 0.0  # when the peer last said anything, or else when the last dial began
+        self.stopped, self.retry_after = Event(), 0.0
+        self.last_received_at = 0.0  # when the peer last said anything, or else when the last dial began
 
     def run(self, serve: Callable[[object], tuple[str, int]]) -> None:
         """`serve` tells why its connection ended and how many answers it brought."""
         pause, longest = self.pauses
-        while not self.over.is_set():
-            began = self.heard_at = monotonic()
+        while not self.stopped.is_set():
+            began = self.last_received_at = monotonic()
             reason, answers = self._connection(serve)
             self.log_end(self.peer, reason, None, monotonic() - began, answers)
             pause = self.pauses[0] if answers else min(longest, 2 * pause)
-            self.over.wait(self.wait_after(pause, monotonic()))
-            self.asked = 0.0
+            self.stopped.wait(self.wait_after(pause, monotonic()))
+            self.retry_after = 0.0
 
     def _connection(self, serve: Callable[[object], tuple[str, int]]) -> tuple[str, int]:
         try:
-            sock = dial(self.address, self.within)
+            sock = connect(self.address, self.within)
         except OSError:
             return "unconnected", 0
         try:
@@ -103,8 +108,8 @@
 
         The pause drawn, or else a part of the time left to be back in.
         """
-        wait = max(pause, self.asked) * (0.5 + self.chance()) + 0.5 * self.asked
-        left = self.heard_at + self.again_within - now
+        wait = max(pause, self.retry_after) * (0.5 + self.chance()) + 0.5 * self.retry_after
+        left = self.last_received_at + self.again_within - now
         if wait <= left:
             return wait
         return max(SHORTEST_PAUSE, left) * (0.5 + self.chance()) / 1.5
--- a/brookhub/routing/counter.py
+++ b/brookhub/routing/counter.py
@@ -9,9 +9,10 @@
 
 from ..model import Outcome
 from ..ports import CounterCallback
-from ..protocol import counts, resp
+from ..protocol import counter_codec, resp
+from ..protocol.errors import MalformedError
 from ..transport.stream import Stream
-from .connections import Reconnector, read_to_end, spawn_surely
+from .connections import Reconnector, read_until_closed, start_thread_with_retry
 
 
 class Count:
@@ -42,8 +43,8 @@
 
     def serve(self, sock) -> tuple[str, int]:
         """Read a connection to its end; why it ended and how many answers it brought."""
-        port, reader, answers = self.counter.port, resp.Reader(), 0
-        stream = Stream(sock, resp.ROOM)
+        port, reader, answers = self.counter.port, resp.RespReader(), 0
+        stream = Stream(sock, resp.BUFFER_BYTES)
 
         def took(at: float) -> None:
             nonlocal answers
@@ -55,17 +56,17 @@
                 port.run(at, self.answered, stream, said)
 
         port.run(monotonic(), self.up, stream)
-        stream.end(read_to_end(stream.read, took, port.faults))
+        stream.abort(read_until_closed(stream.read, took, port.faults))
         port.run(monotonic(), self.down, stream)
         stream.close()
-        return stream.reason, answers
+        return stream.close_reason, answers
 
     # under the port's lock
 
     def up(self, stream: Stream) -> None:
         """The connection is up and takes calls."""
         self.stream, self.heard_at = stream, self.counter.port.now
-        if self.reconnector.over.is_set():
+        if self.reconnector.stopped.is_set():
             stream_end(self.counter.port, stream, "moved")
         else:
             self.counter.take_over(self)
@@ -75,7 +76,7 @@
 
         What is out on it is still heard, as long as the counter has anything to say.
         """
-        self.reconnector.over.set()
+        self.reconnector.stopped.set()
         self.settled()
         if self.stream:
             self.counter.port.later(
@@ -84,14 +85,14 @@
 
     def settled(self) -> None:
         """Leave the connection where another has taken its place and nothing is out on it any more."""
-        if self.reconnector.over.is_set() and self.stream and not self.waiting:
+        if self.reconnector.stopped.is_set() and self.stream and not self.waiting:
             stream_end(self.counter.port, self.stream, "moved")
 
     def down(self, stream: Stream) -> None:
         """What was written whole may have been added, or may yet be; the rest was not."""
         self.stream, waiting, self.waiting = None, self.waiting, deque()
         for one in waiting:
-            whole = one.ends_at <= stream.tried
+            whole = one.ends_at <= stream.bytes_maybe_written
             one.end(self.counter.port.now, Outcome.TIMEOUT if whole else Outcome.CONNECT_FAILED)
         coming = self.counter.coming[self.place]
         if coming is not self:  # not dialled again: the counter is at another address
@@ -100,9 +101,9 @@
     def ask(self, one: Count, command: bytes) -> bool:
         """Put a call behind those before it; False where the connection takes none."""
         stream = self.stream
-        if stream is None or stream.reason or not stream.put(command):
+        if stream is None or stream.close_reason or not stream.enqueue(command):
             return False
-        one.ends_at = stream.told
+        one.ends_at = stream.bytes_queued
         self.waiting.append(one)
         self.counter.port.todo.append((stream.flush,))
         return True
@@ -111,17 +112,17 @@
         """Answers came, in the order of the calls."""
         self.heard_at = self.counter.port.now
         for answer in said:
-            if not self.waiting or stream.reason:
+            if not self.waiting or stream.close_reason:
                 return stream_end(self.counter.port, stream, "nonsense")
             one = self.waiting.popleft()
-            if isinstance(answer, resp.Status):
+            if isinstance(answer, resp.SimpleString):
                 if one.told:
                     stream_end(self.counter.port, stream, "nonsense")
                     one.end(self.heard_at, Outcome.TIMEOUT)
                 continue
             try:
-                total = counts.total(answer)
-            except resp.MalformedError:
+                total = counter_codec.decode_total(answer)
+            except MalformedError:
                 stream_end(self.counter.port, stream, "nonsense")
                 one.end(self.heard_at, Outcome.TIMEOUT)
                 continue
@@ -131,17 +132,17 @@
     def beat(self) -> None:
         """Keep an idle connection open, and leave one that has gone silent."""
         now, stream = self.counter.port.now, self.stream
-        if stream is None or stream.reason:
+        if stream is None or stream.close_reason:
             return
         if self.waiting and now - max(self.heard_at, self.waiting[0].asked) > self.counter.silent_after:
             stream_end(self.counter.port, stream, "silent")
         elif not self.waiting:
-            self.ask(Count(None, now), counts.PING)
+            self.ask(Count(None, now), counter_codec.PING)
 
 
 def stream_end(port, stream: Stream, reason: str) -> None:
     """End a connection once the lock is free."""
-    port.todo.append((stream.end, reason))
+    port.todo.append((stream.abort, reason))
 
 
 class Counter:
@@ -165,7 +166,7 @@
             link = self.coming[place] = CounterLink(self, place, self.reconnector(address))
             if self.links[place] is None or self.links[place].stream is None:
                 self.take_over(link)
-            self.port.todo.append((spawn_surely, self.port, "counter", link.run))
+            self.port.todo.append((start_thread_with_retry, self.port, "counter", link.run))
 
     def take_over(self, link: CounterLink) -> None:
         """A new link is up: calls go there from now on."""
@@ -176,7 +177,7 @@
     def count(self, name: int, amount: float, lives: float, told: CounterCallback) -> None:
         """A name keeps to one connection, so its totals come in the order of the calls."""
         one = Count(told, self.port.now)
-        if self.links[name % len(self.links)].ask(one, counts.add(name, amount, lives)):
+        if self.links[name % len(self.links)].ask(one, counter_codec.encode_add(name, amount, lives)):
             if not self.asked:
                 self.port.later(self.wait, self.give_up)
             self.asked.append(one)
--- a/brookhub/routing/discovery.py
+++ b/brookhub/routing/discovery.py
@@ -6,12 +6,12 @@
 from typing import Callable
 
 from ..model import ServerState
-from ..protocol import hosts, http
-from ..protocol.documents import DocumentReader
+from ..protocol import http, server_list
+from ..protocol.json_documents import JsonObjectReader
 from ..registry import ServerRegistry
-from ..transport.sockets import time_limits
+from ..transport.sockets import set_blocking_timeouts
 from ..transport.stream import Stream
-from .connections import Reconnector, read_to_end, spawn_surely
+from .connections import Reconnector, read_until_closed, start_thread_with_retry
 
 
 class Watch:
@@ -26,59 +26,59 @@
 
     def serve(self, sock) -> tuple[str, int]:
         """Read one watch to its end; why it ended and how many lines it brought."""
-        port, reader, documents = self.discovery.port, http.StreamReader(), DocumentReader()
-        stream = Stream(sock, 2 * http.LONGEST_HEAD)
+        port, reader, documents = self.discovery.port, http.HttpResponseReader(), JsonObjectReader()
+        stream = Stream(sock, 2 * http.MAX_HEAD_LINE_BYTES)
         lines = 0
 
         def took(at: float) -> bool:
             nonlocal lines
             for line in reader.feed(stream.inbound):
                 lines += 1
-                self.reconnector.heard_at = at
+                self.reconnector.last_received_at = at
                 self.tell(at, documents.feed(line))
-            return reader.ended
+            return reader.is_complete
 
-        time_limits(sock, reading=self.discovery.silent_after)
+        set_blocking_timeouts(sock, reading=self.discovery.silent_after)
         port.run(monotonic(), self.up, stream)
         stream.flush()
-        reason = read_to_end(stream.read, took, port.faults)
+        reason = read_until_closed(stream.read, took, port.faults)
         if reason == "closed" and (
-            rest := reader.end()
+            rest := reader.on_eof()
         ):  # an answer of no stated length, whose last line has no end
             self.tell(monotonic(), documents.feed(rest))
-        stream.end(reason)
+        stream.abort(reason)
         stream.close()
-        self.reconnector.asked = reader.asked
-        return stream.reason, lines
+        self.reconnector.retry_after = reader.retry_after
+        return stream.close_reason, lines
 
     def tell(self, at: float, document: bytes | None) -> None:
         """Have one list, or one change to it, taken in; nothing while it is not whole."""
         if document is not None:
-            self.discovery.port.run(at, self.heard, hosts.parse(document))
+            self.discovery.port.run(at, self.heard, server_list.parse_update(document))
 
     # under the port's lock
 
     def up(self, stream: Stream) -> None:
         """The connection is up: ask for changes since the last known version."""
         self.stream = stream
-        stream.put(
-            http.request(
+        stream.enqueue(
+            http.encode_get(
                 "%s:%d" % self.reconnector.address, f"/v1/servers?stream=1&index={self.discovery.version}"
             )
         )
-        if self.reconnector.over.is_set():
+        if self.reconnector.stopped.is_set():
             self.leave()
 
-    def heard(self, news: hosts.News) -> None:
+    def heard(self, news: server_list.ServerListUpdate) -> None:
         """A line came."""
-        if not self.reconnector.over.is_set():
+        if not self.reconnector.stopped.is_set():
             self.discovery.heard(news)
 
     def leave(self) -> None:
         """Another address is watched from now on."""
-        self.reconnector.over.set()
+        self.reconnector.stopped.set()
         if self.stream:
-            self.discovery.port.todo.append((self.stream.end, "moved"))
+            self.discovery.port.todo.append((self.stream.abort, "moved"))
 
 
 class Discovery:
@@ -114,17 +114,17 @@
             self.watch.leave()
             self.version = 0
         self.watch = Watch(self, self.reconnector(address))
-        self.port.todo.append((spawn_surely, self.port, "discovery", self.watch.run))
+        self.port.todo.append((start_thread_with_retry, self.port, "discovery", self.watch.run))
 
-    def heard(self, news: hosts.News) -> None:
+    def heard(self, news: server_list.ServerListUpdate) -> None:
         """Take in a list, whole or what changed since the last one."""
-        if not news.whole and news.version <= self.version and self.version:
+        if not news.is_complete and news.version <= self.version and self.version:
             return  # told before
         self.version = news.version
-        self.ready = {} if news.whole else self.ready
-        self.ready.update((host.name, host.state is ServerState.READY) for host in news.hosts)
-        told = self.roster.update([self.entry(host) for host in news.hosts], news.whole)
-        addresses = {host.ident(): host.address for host in news.hosts}
+        self.ready = {} if news.is_complete else self.ready
+        self.ready.update((host.name, host.state is ServerState.READY) for host in news.servers)
+        told = self.roster.update([self.entry(host) for host in news.servers], news.is_complete)
+        addresses = {host.server_id(): host.address for host in news.servers}
         told += self.displaced(told, addresses)
         for server in told:
             address = addresses.get(server.id)
@@ -140,7 +140,7 @@
 
     def ident(self, name: str) -> int:
         """The number by which a server is known here."""
-        return hosts.ident(name)
+        return server_list.server_id(name)
 
     def hold(self, names: set[str]) -> None:
         """Keep off these servers, as if the list said that they drain.
@@ -149,7 +149,7 @@
         """
         told = []
         for name in sorted(self.held ^ names):
-            server = self.roster.servers.get(hosts.ident(name))
+            server = self.roster.servers.get(server_list.server_id(name))
             if server is not None and self.ready.get(name):
                 server.state = ServerState.DRAINING if name in names else ServerState.READY
                 told.append(server)
@@ -186,14 +186,14 @@
         """A server is gone: its connections are left."""
         self.places.pop(self.where.pop(server.id, None), None)
 
-    def entry(self, host: hosts.Host) -> tuple:
+    def entry(self, host: server_list.ServerEntry) -> tuple:
         """An entry of the list as the roster takes it."""
-        born = host.born - self.clock_ahead if host.born else 0.0
+        born = host.started_at - self.clock_ahead if host.started_at else 0.0
         state = (
             ServerState.DRAINING if host.name in self.held and host.state is ServerState.READY else host.state
         )
         return (
-            host.ident(),
+            host.server_id(),
             place(self.zones, host.zone),
             place(self.kinds, host.kind),
             host.cell,
--- a/brookhub/routing/peers.py
+++ b/brookhub/routing/peers.py
@@ -14,7 +14,7 @@
 
 from ..coordination import TOPIC, ByPeers, Parts, Shared, SharedEjections, Turns, UnusableError, unpack
 from ..membership import LARGEST, WORDS, Membership, UnreadableError, decode
-from ..transport.threads import spawn
+from ..transport.threads import start_thread
 
 BUFFER = 256 * 1024  # bytes that the system holds of datagrams not yet read: a burst after a split heals
 # Seconds between two log lines of the fleet's state at the least, of what was dropped
@@ -72,7 +72,7 @@
 
     def start(self) -> None:
         """Begin to read datagrams and to talk."""
-        spawn("peers", self.read)
+        start_thread("peers", self.read)
         self.port.run(monotonic(), self.core.start)
         self.port.run(monotonic(), self.later, SAYS_DROPPED, self.say_dropped)
 
--- a/brookhub/routing/port.py
+++ b/brookhub/routing/port.py
@@ -10,7 +10,7 @@
 
 from ..model import Attempt, Outcome, Request, Server
 from ..ports import CounterCallback
-from ..protocol import calls
+from ..protocol import request_codec
 
 
 class SocketPort:
@@ -115,12 +115,12 @@
 
     def reject_request(self, request: Request, retry_after: float) -> None:
         """Refuse a request (ports.GatewayPort)."""
-        request.slot.answer(calls.rate_limited(retry_after))
+        request.response.complete(request_codec.encode_rejected(retry_after))
         self.watched(request, False)
 
     def fail_request(self, request: Request) -> None:
         """Tell that a request failed (ports.GatewayPort)."""
-        request.slot.answer(calls.ERRORED)
+        request.response.complete(request_codec.ENCODED_FAILURE)
         self.watched(request, False)
 
     def watched(self, request: Request, proxied: bool) -> None:
@@ -158,7 +158,7 @@
         one.outcome = outcome
         final = one.request.pending is None
         if outcome is Outcome.OK and not final:
-            one.request.slot.answer(*calls.proxied(value))
+            one.request.response.complete(*request_codec.encode_served(value))
             self.watched(one.request, True)
             final = True
         self.gateway.on_attempt_ended(one, self.now - one.sent_at, final, charged, used, report or {})
--- a/brookhub/routing/servers.py
+++ b/brookhub/routing/servers.py
@@ -7,11 +7,12 @@
 
 from ..model import Attempt, Outcome, Server, ServerState
 from ..protocol import resp
-from ..protocol.calls import ServerAnswer
-from ..transport.sockets import dial
+from ..protocol.errors import MalformedError
+from ..protocol.request_codec import ServerResponse
+from ..transport.sockets import connect
 from ..transport.stream import Stream
-from ..transport.threads import spawn
-from .connections import read_to_end
+from ..transport.threads import start_thread
+from .connections import read_until_closed
 
 
 class Pool:
@@ -27,20 +28,20 @@
     def __init__(self, servers: Servers, pool: Pool, server: Server, one: Attempt):
         self.servers, self.pool, self.server, self.one = servers, pool, server, one
         self.stream, self.ended, self.idle_at, self.until, self.served = None, None, 0.0, 0.0, 0
-        self.reader, self.gathered = resp.Reader(servers.largest), 0
+        self.reader, self.gathered = resp.RespReader(servers.largest), 0
 
     def run(self) -> None:
         """Dial, then read to the end. Runs in a thread of its own."""
         servers, port = self.servers, self.servers.port
         began = monotonic()
         try:
-            sock = dial(self.pool.address, servers.connect_within)
+            sock = connect(self.pool.address, servers.connect_within)
         except OSError:
             port.run(monotonic(), servers.broke, self)
             port.run(monotonic(), servers.closed)
             servers.log_end("server", self.ended or "unconnected", self.server, monotonic() - began, 0)
             return
-        self.stream = Stream(sock, resp.ROOM)
+        self.stream = Stream(sock, resp.BUFFER_BYTES)
         port.run(monotonic(), servers.connected, self)
 
         def took(at: float) -> bool:
@@ -48,21 +49,23 @@
             return self.ended is not None
 
         def wait() -> bool:
-            return self.stream.wait(self.reader.wants() - len(self.stream.inbound))
+            return self.stream.wait_for_bytes(self.reader.bytes_wanted() - len(self.stream.inbound))
 
-        self.stream.end(read_to_end(wait, took, port.faults))  # first: what is not written never will be
+        self.stream.abort(
+            read_until_closed(wait, took, port.faults)
+        )  # first: what is not written never will be
         port.run(monotonic(), servers.broke, self)
         self.stream.close()
         port.run(monotonic(), servers.closed)
         servers.log_end(
-            "server", self.ended or self.stream.reason, self.server, monotonic() - began, self.served
+            "server", self.ended or self.stream.close_reason, self.server, monotonic() - began, self.served
         )
 
     def end(self, reason: str) -> None:
         """End the connection; the first reason is kept."""
         self.ended = self.ended or reason
         if self.stream:
-            self.stream.end(reason)
+            self.stream.abort(reason)
 
 
 class Servers:
@@ -129,7 +132,7 @@
         while nothing waited is of no further use.
         """
         for link in reversed(list(pool.idle)):
-            if not link.stream.quiet():
+            if not link.stream.is_quiet():
                 self.drop(link, "nonsense")
             elif self.port.now - link.idle_at >= self.settles_for:
                 del self.idle[link], pool.idle[link]
@@ -138,7 +141,7 @@
 
     def start(self, link: Link) -> None:
         """Begin a connection. Without the lock."""
-        if not spawn("server", link.run):
+        if not start_thread("server", link.run):
             self.port.run(monotonic(), self.broke, link)
             self.port.run(monotonic(), self.closed)
             self.log_end("server", "no-thread", link.server, 0.0, 0)
@@ -153,13 +156,13 @@
 
     def write(self, link: Link) -> None:
         """Write the attempt that a connection carries."""
-        link.stream.put(link.one.request.wording.for_server(link.until - self.port.now))
+        link.stream.enqueue(link.one.request.parsed.encode_for_server(link.until - self.port.now))
         self.port.todo.append((link.stream.flush,))
 
     def connected(self, link: Link) -> None:
         """A connection came up."""
         if link.ended:
-            link.stream.end(link.ended)
+            link.stream.abort(link.ended)
         elif link.server.state is not ServerState.READY:  # so told while it was dialled
             one = link.one
             self.drop(link, "unlisted")
@@ -179,13 +182,13 @@
                 return
             for said in link.reader.feed(stream.inbound) if one else ():
                 self.gather(link, 0)
-                return self.answered(link, ServerAnswer(said))
+                return self.answered(link, ServerResponse(said))
             if not one:
                 return self.drop(link, "nonsense")
-            self.gather(link, len(link.reader.gathered))  # what was said is counted: it may yet come
+            self.gather(link, len(link.reader.partial_value))  # what was said is counted: it may yet come
             if self.gathered > self.most_gathered:
-                raise resp.MalformedError("more than there is memory for", "oversized")
-        except resp.MalformedError as bad:
+                raise MalformedError("more than there is memory for", "oversized")
+        except MalformedError as bad:
             self.drop(link, "oversized" if bad.reason == "oversized" else "nonsense")
             self.port.end_try(one, Outcome.ERROR)
         except OSError:
@@ -193,30 +196,32 @@
 
     def read(self, link: Link) -> int:
         """Take what came on a connection, where it belongs; how many bytes."""
-        room = link.reader.room()
+        room = link.reader.value_buffer()
         if not len(room):
-            return link.stream.read_at_once(link.reader.wants())
-        length = link.stream.read_into(room)
-        link.reader.filled += length
+            return link.stream.read_available(link.reader.bytes_wanted())
+        length = link.stream.read_available_into(room)
+        link.reader.received += length
         return length
 
     def gather(self, link: Link, held: int) -> None:
         """Count the bytes held of values that are on their way."""
         self.gathered, link.gathered = self.gathered + held - link.gathered, held
 
-    def answered(self, link: Link, answer: ServerAnswer) -> None:
+    def answered(self, link: Link, answer: ServerResponse) -> None:
         """An attempt has its answer."""
         one, port = link.one, self.port
-        if not answer.sound or len(link.stream.inbound) or not link.stream.may_be_whole():
+        if not answer.is_well_formed or len(link.stream.inbound) or not link.stream.may_be_fully_written():
             self.drop(link, "nonsense")  # also for what came behind it: nothing may be left for the next try
         else:
             self.free(link)
         link.served += 1
         if answer.value is not None:
-            port.end_try(one, Outcome.OK, answer.value, answer.charged, answer.used, answer.report)
+            port.end_try(
+                one, Outcome.OK, answer.value, answer.charged_units, answer.used_units, answer.load_report
+            )
         else:
-            outcome = Outcome.BUSY if answer.turned_away else Outcome.ERROR
-            port.end_try(one, outcome, None, 0.0, answer.used, answer.report)
+            outcome = Outcome.BUSY if answer.is_rejected else Outcome.ERROR
+            port.end_try(one, outcome, None, 0.0, answer.used_units, answer.load_report)
 
     def free(self, link: Link) -> None:
         """A connection may carry another attempt."""
@@ -247,7 +252,9 @@
     def broke(self, link: Link) -> None:
         """The other side ended it, or it never came up. What was written whole may have run."""
         one = link.one
-        whole = link.stream is not None and link.stream.told > 0 and link.stream.may_be_whole()
+        whole = (
+            link.stream is not None and link.stream.bytes_queued > 0 and link.stream.may_be_fully_written()
+        )
         self.drop(link, link.ended)
         if one:
             self.port.end_try(one, Outcome.RESET if whole else Outcome.CONNECT_FAILED)
--- a/brookhub/transport/threads.py
+++ b/brookhub/transport/threads.py
@@ -6,15 +6,15 @@
 import threading
 from typing import Callable
 
-STACK = 256 * 1024  # bytes of address space for a thread's stack; only what is touched takes memory
+STACK_BYTES = 256 * 1024  # bytes of address space for a thread's stack; only what is touched takes memory
 
 
-def small_stacks() -> None:
+def use_small_stacks() -> None:
     """To be called before the first thread is started."""
-    threading.stack_size(STACK)
+    threading.stack_size(STACK_BYTES)
 
 
-def spawn(name: str, work: Callable[..., None], *args) -> bool:
+def start_thread(name: str, work: Callable[..., None], *args) -> bool:
     """Start a thread that ends with the program; False where the system has none left to give.
 
     It is not waited for until it runs, as `threading.Thread` would: two switches that each connection would
--- a/tests/test_choices_processes.py
+++ b/tests/test_choices_processes.py
@@ -15,7 +15,7 @@
 from brookhub.coordination.epoch_leases import GRACE
 from brookhub.experiments.processes import ProcessLab
 from brookhub.membership.core import SHRINK
-from brookhub.protocol import hosts
+from brookhub.protocol import server_list
 from helpers import experiment, until
 from test_fleet_processes import all_hold, fleet
 
@@ -250,11 +250,14 @@
         for name in here:
             one = Parts(xxh3_64_intdigest("lab"), name, names, lambda: here)
             one.listed(
-                {hosts.ident(f"s-{ident}"): (server.model.zone, 1.0) for ident, server in lab.servers.items()}
+                {
+                    server_list.server_id(f"s-{ident}"): (server.model.zone, 1.0)
+                    for ident, server in lab.servers.items()
+                }
             )
             own = set(one.order()[: one.least()])
             found[lab.limiters[int(name[1:])].address] = {
-                ident for ident in lab.servers if hosts.ident(f"s-{ident}") in own
+                ident for ident in lab.servers if server_list.server_id(f"s-{ident}") in own
             }
         return found
 
--- a/tests/test_endings.py
+++ b/tests/test_endings.py
@@ -19,13 +19,14 @@
 import pytest
 
 from brookhub.fakes import FakeListener
-from brookhub.protocol import http, resp
-from brookhub.protocol.documents import DocumentReader
+from brookhub.protocol import http
+from brookhub.protocol.errors import MalformedError
+from brookhub.protocol.json_documents import JsonObjectReader
 from brookhub.routing import connections
 from brookhub.routing.connections import Reconnector
 from brookhub.routing.port import SocketPort
 from brookhub.transport import threads
-from brookhub.transport.ring import Ring
+from brookhub.transport.ring_buffer import RingBuffer
 from brookhub.transport.sockets import Listener
 from helpers import PORTS, Client, FakeServer, api_call, command, host, read_value, until
 
@@ -62,7 +63,7 @@
 
 def test_an_object_is_whole_once_its_brackets_are_closed_and_its_strings_may_hold_brackets():
     lines = [b"", b'{"seq": 1, "hosts": [', b'  {"host": "a}]{\\"["}', b"]", b"}", b"", b'{"seq": 2}']
-    reader = DocumentReader()
+    reader = JsonObjectReader()
     assert [text for text in map(reader.feed, lines) if text] == [b"\n".join(lines[1:5]), b'{"seq": 2}']
 
 
@@ -76,8 +77,8 @@
     ],
 )
 def test_lines_that_no_object_can_come_of_are_refused(lines, reason):
-    reader = DocumentReader()
-    with pytest.raises(resp.MalformedError) as met:
+    reader = JsonObjectReader()
+    with pytest.raises(MalformedError) as met:
         for line in lines:
             reader.feed(line)
     assert met.value.reason == reason
@@ -87,9 +88,9 @@
     "data, ended, rest", [(b'{"a":1}\n{"b"', [b'{"a":1}'], b'{"b"'), (b'{"a":1}\n', [b'{"a":1}'], b"")]
 )
 def test_an_answer_of_no_stated_length_lasts_until_the_connection_ends(data, ended, rest):
-    reader, ring = http.StreamReader(), Ring(8192)
-    ring.put(b"HTTP/1.1 200 OK\r\n\r\n" + data)
-    assert list(reader.feed(ring)) == ended and not reader.ended and reader.end() == rest
+    reader, ring = http.HttpResponseReader(), RingBuffer(8192)
+    ring.append(b"HTTP/1.1 200 OK\r\n\r\n" + data)
+    assert list(reader.feed(ring)) == ended and not reader.is_complete and reader.on_eof() == rest
 
 
 @pytest.mark.parametrize(
@@ -130,16 +131,16 @@
 ):
     clock, begun, heard = [100.0], [], []
     monkeypatch.setattr(connections, "monotonic", lambda: clock[0])
-    monkeypatch.setattr(connections, "dial", lambda address, within: None)
+    monkeypatch.setattr(connections, "connect", lambda address, within: None)
     for seed in range(20):
 
         def serve(sock):
             begun.append(clock[0])
             heard.append(clock[0])
             clock[0] += takes
-            reconnector.asked = asked
+            reconnector.retry_after = asked
             if len(begun) == 8:
-                reconnector.over.set()
+                reconnector.stopped.set()
             return "ended", brings
 
         def wait(seconds):
@@ -156,7 +157,7 @@
             lambda met: None,
             5.25,
         )
-        reconnector.over.wait = wait
+        reconnector.stopped.wait = wait
         reconnector.run(serve)
         gaps = [after - before for before, after in zip(heard, begun[1:], strict=False)]
         assert len(gaps) == 7 and max(gaps) <= 5.3 and min(gaps) >= takes + 0.01
@@ -166,12 +167,14 @@
 def test_a_watch_whose_thread_the_system_refused_is_begun_again(monkeypatch):
     # Before: the thread was asked for once, and a list never heard of was never heard of.
     port, begun, refused = SocketPort(print, 0.001), threading.Event(), [True, True]
-    threads.spawn("timers", port.run_timers)
+    threads.start_thread("timers", port.run_timers)
     monkeypatch.setattr(connections, "THREAD_PAUSE", 0.02)
     monkeypatch.setattr(
-        connections, "spawn", lambda name, work: not refused.pop() if refused else threads.spawn(name, work)
+        connections,
+        "start_thread",
+        lambda name, work: not refused.pop() if refused else threads.start_thread(name, work),
     )
-    connections.spawn_surely(port, "discovery", begun.set)
+    connections.start_thread_with_retry(port, "discovery", begun.set)
     assert begun.wait(2) and not refused
 
 
--- a/tests/test_golden_bytes.py
+++ b/tests/test_golden_bytes.py
@@ -18,9 +18,9 @@
 from brookhub.maintenance import messages as maintenance
 from brookhub.maintenance.plan import Machine, Plan
 from brookhub.membership import messages as membership
-from brookhub.protocol import calls, counts, hosts, http, resp
+from brookhub.protocol import counter_codec, http, request_codec, resp, server_list
 from brookhub.recovery.epochs import Epochs
-from brookhub.transport.ring import Ring
+from brookhub.transport.ring_buffer import RingBuffer
 from golden_cases import assert_golden, golden_bytes
 
 FLEET = "north"
@@ -41,9 +41,9 @@
 
 def read_value(data: bytes) -> Any:
     """The one RESP2 value that these bytes hold."""
-    ring = Ring(len(data))
-    assert ring.put(data)
-    (value,) = resp.Reader().feed(ring)
+    ring = RingBuffer(len(data))
+    assert ring.append(data)
+    (value,) = resp.RespReader().feed(ring)
     return value
 
 
@@ -56,31 +56,49 @@
 
 
 def test_a_clients_get_is_read_field_by_field() -> None:
-    request = calls.Wording(read_value(golden_bytes("requests.jsonl")["get"]))
-    assert (request.customer, request.ident, request.route, request.plan) == (7, 0x8C1F30, b"look", b"wide")
-    assert (request.patience, request.units, request.spread, request.first) == (2.0, 1.5, 5, 3)
-    assert (request.repeated, request.keyed, request.write) == (True, True, False)
+    request = request_codec.ParsedRequest(read_value(golden_bytes("requests.jsonl")["get"]))
+    assert (request.customer_id, request.request_id, request.route_name, request.plan_name) == (
+        7,
+        0x8C1F30,
+        b"look",
+        b"wide",
+    )
+    assert (request.time_left, request.units, request.quota_holders, request.first_gateway) == (
+        2.0,
+        1.5,
+        5,
+        3,
+    )
+    assert (request.is_retry, request.has_idempotency_key, request.is_write) == (True, True, False)
 
 
 def test_a_clients_post_is_read_field_by_field() -> None:
-    request = calls.Wording(read_value(golden_bytes("requests.jsonl")["post"]))
-    assert (request.customer, request.ident, request.route, request.plan) == (
+    request = request_codec.ParsedRequest(read_value(golden_bytes("requests.jsonl")["post"]))
+    assert (request.customer_id, request.request_id, request.route_name, request.plan_name) == (
         2**33 - 1,
         2**64 - 1,
         b"once",
         b"w",
     )
-    assert (request.patience, request.units, request.spread, request.first) == (0.25, 1.0, 1, 0)
-    assert (request.repeated, request.keyed, request.write) == (False, False, True)
-    assert request.words[4] == b"body"
+    assert (request.time_left, request.units, request.quota_holders, request.first_gateway) == (
+        0.25,
+        1.0,
+        1,
+        0,
+    )
+    assert (request.is_retry, request.has_idempotency_key, request.is_write) == (False, False, True)
+    assert request.arguments[4] == b"body"
 
 
 def test_a_forwarded_request_keeps_its_words_but_for_the_time_left() -> None:
     golden = golden_bytes("requests.jsonl")
-    get, post = (calls.Wording(read_value(golden[name])) for name in ("get", "post"))
-    forwarded = {"forwarded get": get.for_server(0.7504), "forwarded post": post.for_server(0.0001)}
+    get, post = (request_codec.ParsedRequest(read_value(golden[name])) for name in ("get", "post"))
+    forwarded = {
+        "forwarded get": get.encode_for_server(0.7504),
+        "forwarded post": post.encode_for_server(0.0001),
+    }
     assert_golden("requests.jsonl", {"get": golden["get"], "post": golden["post"], **forwarded})
-    assert calls.Wording(read_value(forwarded["forwarded get"])).patience == 0.75
+    assert request_codec.ParsedRequest(read_value(forwarded["forwarded get"])).time_left == 0.75
 
 
 def test_answers_to_clients_have_the_golden_bytes_and_are_read_back() -> None:
@@ -88,12 +106,12 @@
         "answers.jsonl",
         {
             "pong": resp.PONG,
-            "served": b"".join(calls.proxied(b"body")),
-            "served empty": b"".join(calls.proxied(b"")),
-            "rejected": calls.rate_limited(0.0),
-            "rejected with a time": calls.rate_limited(1.2501),
-            "failed": calls.ERRORED,
-            "error": resp.error("ERR unknown\r\n command"),
+            "served": b"".join(request_codec.encode_served(b"body")),
+            "served empty": b"".join(request_codec.encode_served(b"")),
+            "rejected": request_codec.encode_rejected(0.0),
+            "rejected with a time": request_codec.encode_rejected(1.2501),
+            "failed": request_codec.ENCODED_FAILURE,
+            "error": resp.encode_error("ERR unknown\r\n command"),
         },
     )
     assert {name: read_value(data) for name, data in golden_bytes("answers.jsonl").items()} == {
@@ -108,14 +126,21 @@
 
 
 def test_a_large_value_is_written_in_parts_of_the_same_bytes() -> None:
-    value = b"x" * (resp.LARGEST + 1)
-    assert b"".join(calls.proxied(value)) == b"$65537\r\n" + value + b"\r\n"
+    value = b"x" * (resp.MAX_VALUE_BYTES + 1)
+    assert b"".join(request_codec.encode_served(value)) == b"$65537\r\n" + value + b"\r\n"
 
 
 def server_answer(case: str) -> tuple[Any, ...]:
     """What a server's golden answer is read as."""
-    read = calls.ServerAnswer(read_value(golden_bytes("server_answers.jsonl")[case]))
-    return read.value, read.turned_away, read.sound, read.charged, read.used, read.report
+    read = request_codec.ServerResponse(read_value(golden_bytes("server_answers.jsonl")[case]))
+    return (
+        read.value,
+        read.is_rejected,
+        read.is_well_formed,
+        read.charged_units,
+        read.used_units,
+        read.load_report,
+    )
 
 
 def test_answers_of_servers_are_read_as_their_values_and_figures() -> None:
@@ -140,10 +165,10 @@
         "name in an epoch": epochs.name(7 << 31 | 5),
         "ejection report": ejection_reports.ByCounter(FixedClock(), 99).name(12),
     }
-    commands = {name: counts.add(number, 1.0, 10.0) for name, number in names.items()}
-    commands["fraction"] = counts.add(7 << 31, 0.1234567, 0.0001)
-    commands["given back"] = counts.add(7 << 31, -2.5, 60.0)
-    assert_golden("counter_commands.jsonl", {"ping": counts.PING, **commands})
+    commands = {name: counter_codec.encode_add(number, 1.0, 10.0) for name, number in names.items()}
+    commands["fraction"] = counter_codec.encode_add(7 << 31, 0.1234567, 0.0001)
+    commands["given back"] = counter_codec.encode_add(7 << 31, -2.5, 60.0)
+    assert_golden("counter_commands.jsonl", {"ping": counter_codec.PING, **commands})
 
 
 class FixedClock:
@@ -154,7 +179,7 @@
 
 def test_answers_of_the_counter_are_read_as_totals() -> None:
     answers = golden_bytes("counter_answers.jsonl")
-    totals = {name: counts.total(read_value(data)) for name, data in answers.items()}
+    totals = {name: counter_codec.decode_total(read_value(data)) for name, data in answers.items()}
     assert totals == {"total": 12.5, "exponent": 1200.0, "busy": None, "error": None}
 
 
@@ -162,21 +187,39 @@
 
 
 def test_the_request_to_discovery_has_the_golden_bytes() -> None:
-    request = http.request("10.0.0.9:8500", "/v1/servers?stream=1&index=17")
+    request = http.encode_get("10.0.0.9:8500", "/v1/servers?stream=1&index=17")
     assert_golden("discovery_requests.jsonl", {"watch": request})
 
 
 @pytest.mark.parametrize("case", ["chunked", "of a stated length"])
 def test_a_server_list_is_read_entry_by_entry(case: str) -> None:
-    ring, reader = Ring(8192), http.StreamReader()
-    assert ring.put(golden_bytes("discovery_answers.jsonl")[case])
+    ring, reader = RingBuffer(8192), http.HttpResponseReader()
+    assert ring.append(golden_bytes("discovery_answers.jsonl")[case])
     (line,) = filter(bytes.strip, reader.feed(ring))
-    news = hosts.parse(line)
-    first, second = ([getattr(host, name) for name in type(host).__slots__] for host in news.hosts)
-    assert (news.version, news.whole, reader.ended) == (41, True, True)
-    assert first == ["s-0", ("10.0.0.4", 6400), "a", "m", 3, hosts.STATES["Ready"], 2.0, 1700000000.5]
-    assert second == ["s-1", ("10.0.0.5", 6400), "", "", 0, hosts.STATES["Terminating"], 1.0, 0.0]
-    assert hosts.ident("s-0") == 128467120940815
+    news = server_list.parse_update(line)
+    first, second = ([getattr(host, name) for name in type(host).__slots__] for host in news.servers)
+    assert (news.version, news.is_complete, reader.is_complete) == (41, True, True)
+    assert first == [
+        "s-0",
+        ("10.0.0.4", 6400),
+        "a",
+        "m",
+        3,
+        server_list.STATES_BY_HEALTH["Ready"],
+        2.0,
+        1700000000.5,
+    ]
+    assert second == [
+        "s-1",
+        ("10.0.0.5", 6400),
+        "",
+        "",
+        0,
+        server_list.STATES_BY_HEALTH["Terminating"],
+        1.0,
+        0.0,
+    ]
+    assert server_list.server_id("s-0") == 128467120940815
 
 
 # datagrams: membership
--- a/tests/test_processes.py
+++ b/tests/test_processes.py
@@ -39,7 +39,7 @@
 
     def ask(self, server, words):
         with socket.create_connection(server.at, 2.0) as sock, sock.makefile("rb") as lines:
-            sock.sendall(resp.command(*words))
+            sock.sendall(resp.encode_command(*words))
             return read_value(lines)
 
     def serve(self, conn, lines):
@@ -183,7 +183,7 @@
 
     def ask(n):
         sock = socket.create_connection(server.at, 2.0)
-        sock.sendall(resp.command(b"CALL.GET", b"%016x" % 1, b"%016x" % n, b"c=look,t=wide,d=900"))
+        sock.sendall(resp.encode_command(b"CALL.GET", b"%016x" % 1, b"%016x" % n, b"c=look,t=wide,d=900"))
         return sock
 
     held = []
--- a/tests/test_protocol.py
+++ b/tests/test_protocol.py
@@ -7,9 +7,10 @@
 import pytest
 
 from brookhub.model import ServerState
-from brookhub.protocol import calls, counts, hosts, http, resp
+from brookhub.protocol import counter_codec, http, request_codec, resp, server_list
+from brookhub.protocol.errors import MalformedError
 from brookhub.registry import ServerRegistry
-from brookhub.transport.ring import Ring
+from brookhub.transport.ring_buffer import RingBuffer
 
 CALL = [
     b"CALL.GET",
@@ -31,8 +32,8 @@
     b"v" * 300,
     None,
     42,
-    resp.Failure(b"BUSY 20"),
-    resp.Status(b"OK"),
+    resp.ErrorReply(b"BUSY 20"),
+    resp.SimpleString(b"OK"),
     [b"value", b"used=37,cost=4", None],
     [],
 ]
@@ -43,9 +44,9 @@
         return b"$-1\r\n"
     if isinstance(value, list):
         return b"*%d\r\n" % len(value) + b"".join(map(word, value))
-    if isinstance(value, resp.Failure):
+    if isinstance(value, resp.ErrorReply):
         return b"-%b\r\n" % value
-    if isinstance(value, resp.Status):
+    if isinstance(value, resp.SimpleString):
         return b"+%b\r\n" % value
     return b":%d\r\n" % value if isinstance(value, int) else b"$%d\r\n%b\r\n" % (len(value), value)
 
@@ -53,7 +54,7 @@
 def feed(reader, ring, pieces):
     got = []
     for piece in pieces:
-        assert ring.put(piece)
+        assert ring.append(piece)
         got += reader.feed(ring)
     return got
 
@@ -61,79 +62,82 @@
 def test_ring_keeps_its_bytes_in_order_through_random_use():
     chance = random.Random(5)
     for limit in (1, 7, 4096, 70000):
-        ring, held = Ring(limit), b""
+        ring, held = RingBuffer(limit), b""
         for _ in range(800):
             step = chance.randrange(5)
             if step == 0:
                 data = chance.randbytes(chance.randrange(min(limit, 5000) + 3))
-                assert ring.put(data) == (len(held) + len(data) <= limit)
+                assert ring.append(data) == (len(held) + len(data) <= limit)
                 held += data if len(held) + len(data) <= limit else b""
             elif step == 1:
-                with ring.space() as space:
+                with ring.writable_view() as space:
                     data = chance.randbytes(chance.randrange(len(space) + 1))
                     space[: len(data)] = data
                 assert len(space_left(ring)) > 0 or len(held) == limit
-                ring.filled(len(data))
+                ring.commit_write(len(data))
                 held += data
             elif step == 2 and held:
-                with ring.chunk() as chunk:
+                with ring.readable_view() as chunk:
                     assert len(chunk) > 0 and held.startswith(chunk)
                     length = chance.randrange(1, len(chunk) + 1)
-                ring.drop(length)
+                ring.consume(length)
                 held = held[length:]
             elif step == 3 and held:
                 length = chance.randrange(1, len(held) + 1)
-                assert ring.take(length) == held[:length]
+                assert ring.read(length) == held[:length]
                 held = held[length:]
             else:
-                line, found, rest = ring.line(), *held.partition(b"\r\n")[:2]
+                line, found, rest = ring.read_line(), *held.partition(b"\r\n")[:2]
                 assert line == (found if rest else None)
                 held = held[len(found) + 2 :] if rest else held
             assert len(ring) == len(held) <= limit
-        ring.take(len(held))
-        assert len(ring.store) <= 2048  # little is kept while it is empty
+        ring.read(len(held))
+        assert len(ring.storage) <= 2048  # little is kept while it is empty
 
 
 def space_left(ring):
-    with ring.space() as space:
+    with ring.writable_view() as space:
         return bytes(space)
 
 
 def test_values_come_out_alike_whole_and_split_at_every_byte():
     data = b"".join(map(word, VALUES))
-    assert feed(resp.Reader(), Ring(resp.ROOM), [data]) == VALUES
-    assert feed(resp.Reader(), Ring(resp.ROOM), [data[at : at + 1] for at in range(len(data))]) == VALUES
+    assert feed(resp.RespReader(), RingBuffer(resp.BUFFER_BYTES), [data]) == VALUES
+    assert (
+        feed(resp.RespReader(), RingBuffer(resp.BUFFER_BYTES), [data[at : at + 1] for at in range(len(data))])
+        == VALUES
+    )
     for at in range(len(data)):
-        assert feed(resp.Reader(), Ring(resp.ROOM), [data[:at], data[at:]]) == VALUES
+        assert feed(resp.RespReader(), RingBuffer(resp.BUFFER_BYTES), [data[:at], data[at:]]) == VALUES
 
 
 def test_the_largest_value_fits_the_ring_and_one_more_byte_is_refused_unstored():
-    value, ring = [CALL[0], *CALL[1:], b"x" * resp.LARGEST], Ring(resp.ROOM)
+    value, ring = [CALL[0], *CALL[1:], b"x" * resp.MAX_VALUE_BYTES], RingBuffer(resp.BUFFER_BYTES)
     assert feed(
-        resp.Reader(), ring, [word(value)[at : at + 1000] for at in range(0, len(word(value)), 1000)]
+        resp.RespReader(), ring, [word(value)[at : at + 1000] for at in range(0, len(word(value)), 1000)]
     ) == [value]
-    with pytest.raises(resp.MalformedError) as bad:
-        feed(resp.Reader(), ring, [b"$%d\r\n" % (resp.LARGEST + 1)])
+    with pytest.raises(MalformedError) as bad:
+        feed(resp.RespReader(), ring, [b"$%d\r\n" % (resp.MAX_VALUE_BYTES + 1)])
     assert bad.value.reason == "oversized" and len(ring) == 0
-    with pytest.raises(resp.MalformedError) as bad:  # many words that are small enough one by one
-        feed(resp.Reader(), ring, [b"*9\r\n", *[word(b"y" * 30000)] * 2, b"$30000\r\n"])
+    with pytest.raises(MalformedError) as bad:  # many words that are small enough one by one
+        feed(resp.RespReader(), ring, [b"*9\r\n", *[word(b"y" * 30000)] * 2, b"$30000\r\n"])
     assert bad.value.reason == "oversized"
 
 
 def test_a_value_larger_than_the_ring_is_gathered_as_it_comes_up_to_its_bound():
     value, data = [random.Random(1).randbytes(300_000), b"cost=1", None], word
     for piece in (2000, 65536):
-        reader, ring, got, sent = resp.Reader(300_000), Ring(resp.ROOM), [], data(value)
+        reader, ring, got, sent = resp.RespReader(300_000), RingBuffer(resp.BUFFER_BYTES), [], data(value)
         for at in range(0, len(sent), piece):
             got += feed(reader, ring, [sent[at : at + piece]])
-            assert len(ring) < resp.ALONGSIDE
-        assert got == [value] and reader.wants() == 0 and not reader.gathered
-    with pytest.raises(resp.MalformedError):
-        feed(resp.Reader(300_000), Ring(resp.ROOM), [b"*3\r\n$300001\r\n"])
-    with pytest.raises(resp.MalformedError):
+            assert len(ring) < resp.MAX_OVERHEAD_BYTES
+        assert got == [value] and reader.bytes_wanted() == 0 and not reader.partial_value
+    with pytest.raises(MalformedError):
+        feed(resp.RespReader(300_000), RingBuffer(resp.BUFFER_BYTES), [b"*3\r\n$300001\r\n"])
+    with pytest.raises(MalformedError):
         feed(
-            resp.Reader(300_000),
-            Ring(resp.ROOM),
+            resp.RespReader(300_000),
+            RingBuffer(resp.BUFFER_BYTES),
             [b"*3\r\n$250000\r\n", *[b"x" * 50_000] * 5, b"\r\n$60000\r\n"],
         )
 
@@ -157,8 +161,8 @@
 )
 def test_bytes_that_are_no_resp_are_told_apart(data):
     for pieces in ([data], [data[at : at + 1] for at in range(len(data))]):
-        with pytest.raises(resp.MalformedError):
-            feed(resp.Reader(), Ring(resp.ROOM), pieces)
+        with pytest.raises(MalformedError):
+            feed(resp.RespReader(), RingBuffer(resp.BUFFER_BYTES), pieces)
 
 
 def test_random_garbage_ends_in_values_waiting_or_malformed():
@@ -167,30 +171,35 @@
         data = bytearray(b"".join(map(word, chance.choices(VALUES, k=3))))
         for _ in range(chance.randrange(4)):
             data[chance.randrange(len(data))] = chance.choice(b"*$-+:\r\n0159\0a")
-        ring, lines = Ring(resp.ROOM), http.StreamReader()
+        ring, lines = RingBuffer(resp.BUFFER_BYTES), http.HttpResponseReader()
         try:
-            for said in feed(resp.Reader(), ring, [bytes(data)]):
-                calls.ServerAnswer(said)
+            for said in feed(resp.RespReader(), ring, [bytes(data)]):
+                request_codec.ServerResponse(said)
                 if isinstance(said, list) and said and all(type(one) is bytes for one in said):
-                    calls.Wording(said)
-        except (resp.MalformedError, calls.BadCallError):
+                    request_codec.ParsedRequest(said)
+        except (MalformedError, request_codec.InvalidRequestError):
             pass
-        with contextlib.suppress(resp.MalformedError):
+        with contextlib.suppress(MalformedError):
             feed(
                 lines,
-                Ring(http.LONGEST_HEAD * 2),
+                RingBuffer(http.MAX_HEAD_LINE_BYTES * 2),
                 [b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n", bytes(data)],
             )
 
 
 def test_a_call_goes_on_in_its_client_s_words_but_for_the_time_left():
-    wording = calls.Wording(POST)
-    assert (wording.customer, wording.route, wording.plan) == (0xB4D65521, b"order", b"team")
-    assert (wording.patience, wording.units, wording.spread, wording.first) == (0.48, 2.5, 3, 1)
-    assert wording.repeated and wording.write and not calls.Wording(CALL).repeated
-    (sent,) = feed(resp.Reader(), Ring(resp.ROOM), [wording.for_server(0.3)])
+    wording = request_codec.ParsedRequest(POST)
+    assert (wording.customer_id, wording.route_name, wording.plan_name) == (0xB4D65521, b"order", b"team")
+    assert (wording.time_left, wording.units, wording.quota_holders, wording.first_gateway) == (
+        0.48,
+        2.5,
+        3,
+        1,
+    )
+    assert wording.is_retry and wording.is_write and not request_codec.ParsedRequest(CALL).is_retry
+    (sent,) = feed(resp.RespReader(), RingBuffer(resp.BUFFER_BYTES), [wording.encode_for_server(0.3)])
     assert sent == [*POST[:3], POST[3].replace(b"d=480", b"d=300"), POST[4]]
-    assert b"d=1," in wording.for_server(-2.0)  # a time that is up is not worded as none
+    assert b"d=1," in wording.encode_for_server(-2.0)  # a time that is up is not worded as none
 
 
 @pytest.mark.parametrize(
@@ -210,41 +219,46 @@
     ],
 )
 def test_calls_that_ask_for_nothing_that_can_be_done(words):
-    with pytest.raises(calls.BadCallError):
-        calls.Wording(words)
+    with pytest.raises(request_codec.InvalidRequestError):
+        request_codec.ParsedRequest(words)
 
 
 def test_what_servers_say():
-    whole = calls.ServerAnswer([b"v", b"used=37,cost=4", b"inflight=7,util=0.61"])
-    assert (whole.value, whole.used, whole.charged, whole.report) == (
+    whole = request_codec.ServerResponse([b"v", b"used=37,cost=4", b"inflight=7,util=0.61"])
+    assert (whole.value, whole.used_units, whole.charged_units, whole.load_report) == (
         b"v",
         37,
         4,
         {"inflight": 7, "util": 0.61},
     )
-    assert calls.ServerAnswer([b"v", None, None]).value == b"v"
+    assert request_codec.ServerResponse([b"v", None, None]).value == b"v"
     full, failed = (
-        calls.ServerAnswer(resp.Failure(b"BUSY")),
-        calls.ServerAnswer(resp.Failure(b"ERR failed used=3 util=0.5")),
+        request_codec.ServerResponse(resp.ErrorReply(b"BUSY")),
+        request_codec.ServerResponse(resp.ErrorReply(b"ERR failed used=3 util=0.5")),
     )
-    assert full.turned_away and not failed.turned_away and failed.value is None
-    assert (failed.used, failed.report) == (3, {"util": 0.5})
-    for said in (None, 4, [], [None], [1], b"bulk", resp.Status(b"OK"), [3, b"a", None]):
-        answer = calls.ServerAnswer(said)
-        assert not answer.sound and answer.value is None and not answer.turned_away
+    assert full.is_rejected and not failed.is_rejected and failed.value is None
+    assert (failed.used_units, failed.load_report) == (3, {"util": 0.5})
+    for said in (None, 4, [], [None], [1], b"bulk", resp.SimpleString(b"OK"), [3, b"a", None]):
+        answer = request_codec.ServerResponse(said)
+        assert not answer.is_well_formed and answer.value is None and not answer.is_rejected
     for beside in (
         [b"cost=inf,used=x,=,", b"\xff\0=1,q"],
         [b"cost=1_0", b"x" * 999],
-        [3, resp.Failure(b"no")],
+        [3, resp.ErrorReply(b"no")],
         [None] * 9,
-        [resp.Status(b"cost=9"), []],
+        [resp.SimpleString(b"cost=9"), []],
         [b"cost=-1,used=1e9", b"=,="],
         [b"cost=nan"],
         [],
     ):
         # What can't be read beside a good value takes nothing from it
-        answer = calls.ServerAnswer([b"v", *beside])
-        assert answer.sound and (answer.value, answer.charged, answer.used, answer.report) == (
+        answer = request_codec.ServerResponse([b"v", *beside])
+        assert answer.is_well_formed and (
+            answer.value,
+            answer.charged_units,
+            answer.used_units,
+            answer.load_report,
+        ) == (
             b"v",
             0.0,
             None,
@@ -253,25 +267,34 @@
 
 
 def test_answers_to_clients():
-    assert calls.rate_limited(0.0) == b"-BUSY\r\n" and calls.rate_limited(0.0101) == b"-BUSY 11\r\n"
-    assert b"".join(calls.proxied(b"a\r\n")) == b"$3\r\na\r\n\r\n" and b"".join(
-        calls.proxied(b"x" * 70000)
+    assert (
+        request_codec.encode_rejected(0.0) == b"-BUSY\r\n"
+        and request_codec.encode_rejected(0.0101) == b"-BUSY 11\r\n"
+    )
+    assert b"".join(request_codec.encode_served(b"a\r\n")) == b"$3\r\na\r\n\r\n" and b"".join(
+        request_codec.encode_served(b"x" * 70000)
     ) == word(b"x" * 70000)
-    assert resp.error("ERR two\r\nlines") == b"-ERR two lines\r\n"
+    assert resp.encode_error("ERR two\r\nlines") == b"-ERR two lines\r\n"
 
 
 def test_counter_calls_and_answers():
-    assert counts.add(5, -2.5, 4.0) == word([b"ADDGET", b"5", b"-2.5", b"4000"])
-    assert counts.add(5, 0.0, 0.0) == word([b"ADDGET", b"5", b"0", b"1"])
-    assert counts.add(2**64 - 1, 1e-9, 99.0).split(b"\r\n")[6] == b"0"
-    assert counts.total(b"38.25") == 38.25 and counts.total(resp.Failure(b"BUSY")) is None
-    assert counts.total(b"-1.5e+07") == -1.5e7 and counts.total(resp.Failure(b"ERR no such call")) is None
+    assert counter_codec.encode_add(5, -2.5, 4.0) == word([b"ADDGET", b"5", b"-2.5", b"4000"])
+    assert counter_codec.encode_add(5, 0.0, 0.0) == word([b"ADDGET", b"5", b"0", b"1"])
+    assert counter_codec.encode_add(2**64 - 1, 1e-9, 99.0).split(b"\r\n")[6] == b"0"
+    assert (
+        counter_codec.decode_total(b"38.25") == 38.25
+        and counter_codec.decode_total(resp.ErrorReply(b"BUSY")) is None
+    )
+    assert (
+        counter_codec.decode_total(b"-1.5e+07") == -1.5e7
+        and counter_codec.decode_total(resp.ErrorReply(b"ERR no such call")) is None
+    )
     for said in (
         b"many",
         None,
         [b"1"],
         7,
-        resp.Status(b"OK"),
+        resp.SimpleString(b"OK"),
         b"nan",
         b"inf",
         b"-infinity",
@@ -280,11 +303,11 @@
         b"",
         b"1e999",
         b"1" * 99,
-        resp.Failure(b"%$"),
-        resp.Failure(b"BUSYBODY"),
+        resp.ErrorReply(b"%$"),
+        resp.ErrorReply(b"BUSYBODY"),
     ):
-        with pytest.raises(resp.MalformedError):
-            counts.total(said)
+        with pytest.raises(MalformedError):
+            counter_codec.decode_total(said)
 
 
 def test_a_watch_comes_out_alike_whole_and_split_at_every_byte():
@@ -296,12 +319,13 @@
     )
     wanted = [b'{"a":', b"", b"1}", b'{"b":2}']
     for pieces in ([data], [data[at : at + 1] for at in range(len(data))], [data[:90], data[90:]]):
-        lines = http.StreamReader()
-        assert feed(lines, Ring(8192), pieces) == wanted and lines.ended
-    sized = http.StreamReader()
+        lines = http.HttpResponseReader()
+        assert feed(lines, RingBuffer(8192), pieces) == wanted and lines.is_complete
+    sized = http.HttpResponseReader()
     assert (
-        feed(sized, Ring(8192), [b"HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nab\ncd"]) == [b"ab", b"cd"]
-        and sized.ended
+        feed(sized, RingBuffer(8192), [b"HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nab\ncd"])
+        == [b"ab", b"cd"]
+        and sized.is_complete
     )
 
 
@@ -319,8 +343,8 @@
     ],
 )
 def test_answers_that_are_no_watch(data):
-    with pytest.raises(resp.MalformedError):
-        feed(http.StreamReader(), Ring(16384), [data])
+    with pytest.raises(MalformedError):
+        feed(http.HttpResponseReader(), RingBuffer(16384), [data])
 
 
 @pytest.mark.parametrize(
@@ -329,7 +353,7 @@
         (b"503 Service Unavailable", b"Content-Length: 0", "turned-away", 0.0),
         (b"429 Slow", b"Retry-After: 7", "turned-away", 7.0),
         (b"503 Busy", b"Retry-After: 99999", "turned-away", 0.0),
-        (b"503 Busy", b"retry-after: 3600", "turned-away", http.LONGEST_ASKED),
+        (b"503 Busy", b"retry-after: 3600", "turned-away", http.MAX_RETRY_AFTER),
         (b"503 Busy", b"Retry-After: soon", "turned-away", 0.0),
         (b"500 Down", b"Retry-After: 7", "malformed", 0.0),
     ],
@@ -337,16 +361,16 @@
 def test_discovery_that_turns_away_is_told_from_one_that_talks_nonsense(status, header, reason, asked):
     data = b"HTTP/1.1 " + status + b"\r\n" + header + b"\r\n\r\n"
     for pieces in ([data], [data[at : at + 1] for at in range(len(data))]):
-        lines = http.StreamReader()
-        with pytest.raises(resp.MalformedError) as met:
-            feed(lines, Ring(8192), pieces)
-        assert (met.value.reason, lines.asked) == (reason, asked)
+        lines = http.HttpResponseReader()
+        with pytest.raises(MalformedError) as met:
+            feed(lines, RingBuffer(8192), pieces)
+        assert (met.value.reason, lines.retry_after) == (reason, asked)
 
 
 def test_a_line_of_a_watch_has_an_end():
-    lines, ring = http.StreamReader(), Ring(16384)
+    lines, ring = http.HttpResponseReader(), RingBuffer(16384)
     feed(lines, ring, [b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n7fffffff\r\n"])
-    with pytest.raises(resp.MalformedError) as bad:
+    with pytest.raises(MalformedError) as bad:
         feed(lines, ring, [b"z" * 8192] * 200)
     assert bad.value.reason == "oversized"
 
@@ -364,14 +388,18 @@
 
 
 def test_server_lists_and_what_is_none():
-    news = hosts.parse(
+    news = server_list.parse_update(
         json.dumps(
             {"seq": 41, "whole": True, "hosts": [HOST, {**HOST, "host": "s-2", "health": "Terminating"}]}
         ).encode()
     )
-    assert news.whole and news.version == 41 and news.hosts[0].address == ("10.1.0.18", 6379)
-    assert [one.state for one in news.hosts] == [ServerState.READY, ServerState.DRAINING]
-    assert news.hosts[0].ident() == hosts.Host(HOST).ident() != news.hosts[1].ident()
+    assert news.is_complete and news.version == 41 and news.servers[0].address == ("10.1.0.18", 6379)
+    assert [one.state for one in news.servers] == [ServerState.READY, ServerState.DRAINING]
+    assert (
+        news.servers[0].server_id()
+        == server_list.ServerEntry(HOST).server_id()
+        != news.servers[1].server_id()
+    )
     for broken in (
         "",
         "{",
@@ -395,8 +423,8 @@
             )
         ),
     ):
-        with pytest.raises(resp.MalformedError):
-            hosts.parse(broken.encode())
+        with pytest.raises(MalformedError):
+            server_list.parse_update(broken.encode())
 
 
 def test_a_whole_list_removes_what_it_does_not_name_and_a_change_does_not():
--- a/tests/test_routing.py
+++ b/tests/test_routing.py
@@ -13,7 +13,7 @@
 import pytest
 
 from brookhub.model import Customer, Outcome, Request, Server, ServerState
-from brookhub.protocol import calls, hosts, resp
+from brookhub.protocol import request_codec, resp, server_list
 from brookhub.routing import (
     counter as counter_module,
 )
@@ -31,7 +31,7 @@
 from brookhub.routing.port import SocketPort
 from brookhub.routing.servers import Servers
 from brookhub.site import Plan, Route
-from brookhub.transport.ring import Ring
+from brookhub.transport.ring_buffer import RingBuffer
 from brookhub.transport.sockets import Listener
 from brookhub.transport.stream import Stream
 from helpers import DEFAULT_SETTINGS
@@ -41,45 +41,45 @@
     """In a stream's place: what was put, how much of it is written, and whether it was ended."""
 
     def __init__(self):
-        self.said, self.told, self.tried, self.reason, self.full, self.inbound = (
+        self.said, self.bytes_queued, self.bytes_maybe_written, self.close_reason, self.full, self.inbound = (
             [],
             0,
             0,
             None,
             False,
-            Ring(resp.ROOM),
+            RingBuffer(resp.BUFFER_BYTES),
         )
         self.coming = b""
 
-    def put_part(self, data):
-        return len(data) if self.put(bytes(data)) else 0
+    def enqueue_part(self, data):
+        return len(data) if self.enqueue(bytes(data)) else 0
 
-    def put(self, data):
+    def enqueue(self, data):
         if self.full:
             return False
         self.said.append(data)
-        self.told += len(data)
+        self.bytes_queued += len(data)
         return True
 
     def flush(self):
-        if not self.reason:
-            self.tried = self.told
+        if not self.close_reason:
+            self.bytes_maybe_written = self.bytes_queued
 
-    def may_be_whole(self):
-        return self.tried >= self.told
+    def may_be_fully_written(self):
+        return self.bytes_maybe_written >= self.bytes_queued
 
-    def end(self, reason):
-        self.reason = self.reason or reason
+    def abort(self, reason):
+        self.close_reason = self.close_reason or reason
 
-    def finish(self, reason):
-        self.reason = self.reason or reason
+    def shutdown_gracefully(self, reason):
+        self.close_reason = self.close_reason or reason
 
-    def quiet(self):
+    def is_quiet(self):
         return not self.coming
 
-    def read_at_once(self, wanted):
+    def read_available(self, wanted):
         data, self.coming = self.coming, b""
-        return self.inbound.put(data)
+        return self.inbound.append(data)
 
 
 class Decisions:
@@ -99,9 +99,11 @@
 def port(monkeypatch):
     """A port whose events run at once; connections to servers are dialled when the test says so."""
     faults, dialled = [], []
-    monkeypatch.setattr(servers_module, "spawn", lambda name, work: dialled.append(work.__self__) or True)
+    monkeypatch.setattr(
+        servers_module, "start_thread", lambda name, work: dialled.append(work.__self__) or True
+    )
     for module in (counter_module, discovery_module):
-        monkeypatch.setattr(module, "spawn_surely", lambda port, name, work: None)
+        monkeypatch.setattr(module, "start_thread_with_retry", lambda port, name, work: None)
     made = SocketPort(faults.append, 0.0)
     made.gateway, made.dialled = Decisions(), dialled
     made.servers = Servers(made, lambda *_: None, 0.25, 5.0, 0.003, 3, 300_000, 500_000)
@@ -111,15 +113,15 @@
 
 
 LIMITS = ClientLimits(
-    connections=9,
+    max_connections=9,
     spare_connections=1,
-    open_requests=9,
-    unread_bytes_of_one=9999,
-    unread_bytes=9999,
-    stalled_for=9.0,
-    lingers_for=1.0,
-    mute_for=2.0,
-    idle_for=4.0,
+    max_open_requests=9,
+    max_unread_bytes_per_client=9999,
+    max_unread_bytes=9999,
+    write_timeout=9.0,
+    linger_time=1.0,
+    first_request_timeout=2.0,
+    idle_timeout=4.0,
 )
 
 
@@ -144,9 +146,9 @@
 def call(port, patience=2.0):
     words = words_of(1)
     made = Request(1, Customer(7, Plan("wide")), Route("look", 1.0, 2.0), port.now + patience)
-    made.wording, made.pending, made.said = calls.Wording(words), object(), []
-    made.slot = SimpleNamespace(
-        answer=lambda *said: (made.said.append(b"".join(said)), setattr(made, "pending", None))
+    made.parsed, made.pending, made.said = request_codec.ParsedRequest(words), object(), []
+    made.response = SimpleNamespace(
+        complete=lambda *said: (made.said.append(b"".join(said)), setattr(made, "pending", None))
     )
     return made
 
@@ -186,7 +188,7 @@
     (one,) = tries(port, (first, where))
     port.now += 0.5
     stream = come_up(port, port.dialled[0])
-    assert b"d=1500" in stream.said[0] and stream.may_be_whole()
+    assert b"d=1500" in stream.said[0] and stream.may_be_fully_written()
     hear(port, port.dialled[0], VALUE)
     assert first.said == [b"$1\r\nv\r\n"] and port.gateway.ends == [(one, Outcome.OK, True)]
     advance(port, 0.01)
@@ -201,8 +203,8 @@
     come_up(port, late)
     early.stream = Remembering()
     at(port, port.servers.connected, early)
-    early.stream.tried = 3
-    early.stream.end("reset")  # sealed, as the thread that reads it does first
+    early.stream.bytes_maybe_written = 3
+    early.stream.abort("reset")  # sealed, as the thread that reads it does first
     for link in (early, late):
         at(port, port.servers.broke, link)
     assert outcomes(port) == [Outcome.CONNECT_FAILED, Outcome.RESET]
@@ -229,7 +231,7 @@
     advance(port, 0.01)
     stream.coming = more if late else b""  # here, and its thread has not yet come to it
     tries(port, (second, where))
-    assert stream.reason == "nonsense" and len(port.dialled) == 2 and len(stream.said) == 1
+    assert stream.close_reason == "nonsense" and len(port.dialled) == 2 and len(stream.said) == 1
 
 
 def test_a_connection_rests_a_moment_after_its_answer(port):
@@ -238,7 +240,7 @@
     stream = come_up(port, port.dialled[0])
     hear(port, port.dialled[0], VALUE)
     tries(port, (call(port), where))
-    assert len(port.dialled) == 2 and stream.reason is None
+    assert len(port.dialled) == 2 and stream.close_reason is None
     advance(port, 0.01)
     tries(port, (call(port), where))
     assert len(port.dialled) == 2 and len(stream.said) == 2
@@ -269,17 +271,17 @@
             hear(port, link, piece)
         assert (
             outcomes(port)[-1] is Outcome.ERROR
-            and stream.reason in ("nonsense", "oversized")
+            and stream.close_reason in ("nonsense", "oversized")
             and one.said == []
         )
-        assert len(stream.inbound) <= resp.ROOM and link not in port.servers.idle
+        assert len(stream.inbound) <= resp.BUFFER_BYTES and link not in port.servers.idle
 
 
 def test_a_try_given_up_closes_its_connection_before_the_next_is_written(port):
     where, other, one = server(port), server(port, 2), call(port)
     (first,) = tries(port, (one, where))
     stream, order = come_up(port, port.dialled[0]), []
-    stream.end = lambda reason: order.append("closed")
+    stream.abort = lambda reason: order.append("closed")
 
     def move():
         port.cancel_attempt(first)
@@ -297,7 +299,7 @@
     tries(port, (one, where))
     stream = come_up(port, port.dialled[0])
     advance(port, 1.0)
-    assert outcomes(port) == [Outcome.TIMEOUT] and stream.reason == "abandoned"
+    assert outcomes(port) == [Outcome.TIMEOUT] and stream.close_reason == "abandoned"
 
 
 def test_connections_are_bounded_and_the_longest_idle_makes_room(port):
@@ -309,10 +311,10 @@
     for link in port.dialled:
         hear(port, link, VALUE)
     tries(port, (call(port), other))
-    assert streams[0].reason == "made-room" and len(port.dialled) == 4
+    assert streams[0].close_reason == "made-room" and len(port.dialled) == 4
     advance(port, 0.0)
     at(port, port.servers.retire, after=6.0)
-    assert streams[1].reason == streams[2].reason == "idle" and not port.servers.idle
+    assert streams[1].close_reason == streams[2].close_reason == "idle" and not port.servers.idle
 
 
 def test_tries_keep_the_rules_through_a_random_run(port):
@@ -345,7 +347,7 @@
         elif step == 4 and port.servers.out:
             one, link = chance.choice(list(port.servers.out.items()))
             if link.stream:
-                link.stream.end("reset")
+                link.stream.abort("reset")
                 at(port, port.servers.broke, link)
             else:
                 at(port, port.cancel_attempt, one)
@@ -374,7 +376,7 @@
     heard, port.faults = [], lambda met: heard.append(str(met))
     routes, plans = [Route("look", 1.0, 2.0)], [Plan("wide")]
     settings = replace(DEFAULT_SETTINGS, routes=tuple(routes), plans=tuple(plans), gateways=1)
-    clients = Clients(port, lambda *_: None, settings, lambda: True, replace(LIMITS, connections=9))
+    clients = Clients(port, lambda *_: None, settings, lambda: True, replace(LIMITS, max_connections=9))
     client = ClientConnection(clients, None)
     client.stream = Remembering()
 
@@ -385,7 +387,7 @@
 
     port.gateway.on_request = arrived
     words = [words_of(n) for n in range(3)]
-    at(port, client.take, [calls.Wording(one) for one in words], None)
+    at(port, client.take, [request_codec.ParsedRequest(one) for one in words], None)
     assert client.stream.said == [b"-BUSY\r\n", b"-ERR failed\r\n", b"-BUSY\r\n"]
     assert heard == ["no such room"] and clients.open_calls == clients.asked == 0 and client in clients.idle
 
@@ -395,14 +397,14 @@
 
 
 def test_who_has_asked_again_is_not_closed_as_idle_and_nobody_is_once_the_end_is_near(port):
-    limits = replace(LIMITS, connections=3, spare_connections=9)
+    limits = replace(LIMITS, max_connections=3, spare_connections=9)
     clients = Clients(port, lambda *_: None, DEFAULT_SETTINGS, lambda: True, limits)
     clients.start = lambda client: None
 
     def met(asked):
         client = ClientConnection(clients, None)
         client.stream = Remembering()
-        client.stream.unheard = lambda: bool(client.stream.coming)
+        client.stream.has_unread_bytes = lambda: bool(client.stream.coming)
         at(port, clients.welcome, client)
         if asked:
             at(port, client.take, [resp.PONG], None)
@@ -411,20 +413,22 @@
     first, second, third = met(True), met(True), met(True)
     first.stream.coming = b"*4"  # its thread has not come to it yet
     met(False)
-    assert [one.stream.reason for one in (first, second, third)] == [None, "made-room", None]
-    at(port, clients.stop)
+    assert [one.stream.close_reason for one in (first, second, third)] == [None, "made-room", None]
+    at(port, clients.begin_shutdown)
     late = met(False)
-    assert third.stream.reason is None and late.stream.reason is None  # the one that said nothing made room
+    assert (
+        third.stream.close_reason is None and late.stream.close_reason is None
+    )  # the one that said nothing made room
     unread = met(False)
     unread.stream.coming = b"*4"
     advance(port, 3.0)  # past the time in which something whole is to come
-    at(port, clients.sweep)
-    assert unread.stream.reason is None
-    at(port, clients.close)
-    assert third.stream.reason == "restart" and first.stream.reason is None
+    at(port, clients.close_stale_connections)
+    assert unread.stream.close_reason is None
+    at(port, clients.drain)
+    assert third.stream.close_reason == "restart" and first.stream.close_reason is None
     first.stream.coming = b""
     at(port, first.take, [resp.PONG], None)
-    assert first.stream.reason == "restart" and first.stream.said[-1] == resp.PONG
+    assert first.stream.close_reason == "restart" and first.stream.said[-1] == resp.PONG
 
 
 def counter_of(port, links=2):
@@ -457,7 +461,7 @@
     advance(port, 0.1)
     assert second == [(Outcome.TIMEOUT, 0.0, 0.08)]
     third = ask(port, counter)
-    at(port, link.answered, link.stream, [b"6", resp.Failure(b"BUSY")])
+    at(port, link.answered, link.stream, [b"6", resp.ErrorReply(b"BUSY")])
     assert len(second) == 1 and [outcome for outcome, *_ in third] == [Outcome.BUSY]
 
 
@@ -467,7 +471,7 @@
     written = ask(port, counter)
     stream.flush = lambda: None
     unwritten = ask(port, counter)
-    stream.end("reset")
+    stream.abort("reset")
     at(port, counter.links[0].down, stream)
     assert written[0][0] is Outcome.TIMEOUT and unwritten[0][0] is Outcome.CONNECT_FAILED
     assert ask(port, counter)[0][0] is Outcome.CONNECT_FAILED  # none is up: nothing is added
@@ -483,12 +487,12 @@
         ask(port, counter)
         at(port, link.answered, stream, [b"1"], after=0.4)
         at(port, link.beat)
-    assert stream.reason is None
+    assert stream.close_reason is None
     ask(port, counter)
     at(port, link.beat, after=0.9)
-    assert stream.reason is None
+    assert stream.close_reason is None
     at(port, link.beat, after=0.2)
-    assert stream.reason == "silent"
+    assert stream.close_reason == "silent"
 
 
 def test_an_idle_counter_connection_is_kept_open_and_nonsense_ends_it(port):
@@ -496,11 +500,11 @@
     link = counter.links[0]
     at(port, link.beat)
     assert link.stream.said == [b"*1\r\n$4\r\nPING\r\n"]
-    at(port, link.answered, link.stream, [resp.Status(b"PONG")])
-    assert link.stream.reason is None and not link.waiting
+    at(port, link.answered, link.stream, [resp.SimpleString(b"PONG")])
+    assert link.stream.close_reason is None and not link.waiting
     doubt = ask(port, counter)
     at(port, link.answered, link.stream, [b"many"])
-    assert doubt[0][0] is Outcome.TIMEOUT and link.stream.reason == "nonsense"
+    assert doubt[0][0] is Outcome.TIMEOUT and link.stream.close_reason == "nonsense"
 
 
 def test_a_moved_counter_answers_what_is_out_and_gets_what_is_new_once_it_is_up(port):
@@ -509,14 +513,18 @@
     at(port, counter.move, ("127.0.0.1", 2))
     new, before = counter.coming[0], ask(port, counter)
     stream = old.stream
-    assert len(stream.said) == 2 and not old.reconnector.over.is_set()  # none is up at the new address yet
+    assert len(stream.said) == 2 and not old.reconnector.stopped.is_set()  # none is up at the new address yet
     at(port, new.up, Remembering())
     after = ask(port, counter)
-    assert len(stream.said) == 2 and len(new.stream.said) == 1 and stream.reason is None
+    assert len(stream.said) == 2 and len(new.stream.said) == 1 and stream.close_reason is None
     at(port, old.answered, stream, [b"1", b"2"])
     at(port, new.answered, new.stream, [b"3"])
     assert [heard[0][1] for heard in (out, before, after)] == [1.0, 2.0, 3.0]
-    assert stream.reason == "moved" and old.reconnector.over.is_set() and not new.reconnector.over.is_set()
+    assert (
+        stream.close_reason == "moved"
+        and old.reconnector.stopped.is_set()
+        and not new.reconnector.stopped.is_set()
+    )
 
 
 def test_a_counter_that_moves_again_or_dies_while_it_moves_is_left_for_the_newest(port):
@@ -526,12 +534,12 @@
     second = counter.coming[0]
     at(port, counter.move, ("127.0.0.1", 3))
     newest = counter.coming[0]
-    assert second.reconnector.over.is_set() and counter.links[0] is old
+    assert second.reconnector.stopped.is_set() and counter.links[0] is old
     at(port, second.up, Remembering())  # its dial came up too late
-    assert second.stream.reason == "moved" and counter.links[0] is old
+    assert second.stream.close_reason == "moved" and counter.links[0] is old
     lost = ask(port, counter)
     at(port, old.down, old.stream)
-    assert counter.links[0] is newest and old.reconnector.over.is_set() and lost[0][0] is Outcome.TIMEOUT
+    assert counter.links[0] is newest and old.reconnector.stopped.is_set() and lost[0][0] is Outcome.TIMEOUT
     at(port, counter.move, ("127.0.0.1", 3))
     assert counter.coming[0] is newest  # nothing new was said
     at(port, newest.up, Remembering())
@@ -540,7 +548,9 @@
     at(port, counter.coming[0].up, Remembering())
     stream = newest.stream
     advance(port, 1.1)
-    assert stream.reason == "moved" and silent[0][0] is Outcome.TIMEOUT  # a silent one is not kept for ever
+    assert (
+        stream.close_reason == "moved" and silent[0][0] is Outcome.TIMEOUT
+    )  # a silent one is not kept for ever
 
 
 def test_a_moved_watch_is_asked_anew_and_the_old_one_is_not_heard_any_more(port):
@@ -550,9 +560,9 @@
     at(port, old.up, stream)
     at(port, old.heard, news(50, True, ("x", "Ready", 0)))
     at(port, watch.move, ("127.0.0.1", 1))
-    assert watch.watch is old and stream.reason is None
+    assert watch.watch is old and stream.close_reason is None
     at(port, watch.move, ("127.0.0.1", 2))
-    assert stream.reason == "moved" and old.reconnector.over.is_set()
+    assert stream.close_reason == "moved" and old.reconnector.stopped.is_set()
     at(port, old.heard, news(51, True))
     assert watch.fit() and len(port.gateway.lists) == 1
     fresh = Remembering()
@@ -569,7 +579,7 @@
 
 
 def news(seq, whole, *items):
-    return hosts.News(
+    return server_list.ServerListUpdate(
         {
             "seq": seq,
             "whole": whole,
@@ -627,7 +637,7 @@
     hear(port, port.dialled[0], VALUE)
     at(port, watch.heard, news(2, False, ("new", "Ready", 5000)))  # at the address that the old one had
     (new,) = watch.roster.servers.values()
-    assert new is not old and old.state is ServerState.GONE and stream.reason == "unlisted"
+    assert new is not old and old.state is ServerState.GONE and stream.close_reason == "unlisted"
     assert port.gateway.lists[-1] == [(new.id, ServerState.READY), (old.id, ServerState.GONE)]
     # Late news of the old one takes nothing away
     at(port, watch.heard, news(3, False, ("old", "Terminating", 0)))
@@ -665,11 +675,13 @@
     heard, listener = [], Listener(("127.0.0.1", 0))
     address = listener.sock.getsockname()
     threading.Thread(
-        target=listener.run, args=(lambda sock: (time.sleep(0.02), heard.append(sock)),), daemon=True
+        target=listener.accept_until_closed,
+        args=(lambda sock: (time.sleep(0.02), heard.append(sock)),),
+        daemon=True,
     ).start()
     waiting = [socket.create_connection(address) for _ in range(10)]
     listener.close(1.0)
-    assert len(heard) >= 10 and listener.ended.is_set()
+    assert len(heard) >= 10 and listener.stopped.is_set()
     with pytest.raises(OSError):
         socket.create_connection(address)
     for sock in (*heard, *waiting):
@@ -677,7 +689,7 @@
 
 
 def test_nothing_under_the_lock_writes():
-    """A stream's `put` copies and returns, also while its peer takes nothing at all."""
+    """A stream's `enqueue` copies and returns, also while its peer takes nothing at all."""
 
     class Stuck:
         def send(self, data, flags):
@@ -687,11 +699,11 @@
             pass
 
     stream = Stream(Stuck(), 1000)
-    assert stream.put(b"x" * 1000) and not stream.put(b"y") and not stream.may_be_whole()
+    assert stream.enqueue(b"x" * 1000) and not stream.enqueue(b"y") and not stream.may_be_fully_written()
     stream.flush()
-    assert not stream.may_be_whole()
-    stream.end("over")
-    assert stream.put(b"") and not stream.may_be_whole()
+    assert not stream.may_be_fully_written()
+    stream.abort("over")
+    assert stream.enqueue(b"") and not stream.may_be_fully_written()
 
 
 def test_gateways_that_lose_discovery_together_do_not_come_back_together():
@@ -731,15 +743,15 @@
         for index in range(8):
 
             def ended(*what):
-                reconnector.asked = asked
+                reconnector.retry_after = asked
 
             def wait(seconds):
                 waited.append(seconds)
-                reconnector.over.set()
+                reconnector.stopped.set()
 
             reconnector = Reconnector(
                 "peer", ("127.0.0.1", 1), 0.1, (0.05, 1.0), Random(index).random, ended, lambda met: None
             )
-            reconnector.over.wait = wait
+            reconnector.stopped.wait = wait
             reconnector.run(lambda sock: ("closed", 0))
         assert len({round(one, 6) for one in waited}) == 8 and all(least <= one <= most for one in waited)
