--- a/brookhub/commands/maintenance.py
+++ b/brookhub/commands/maintenance.py
@@ -18,10 +18,10 @@
 
 def plan_of(path: str) -> Plan:
     """The plan of a file; ends the program where it can't be used."""
-    from ..program.start_file import plan_from_file
+    from ..program.start_file import read_plan
 
     load_or_refuse(path, PlanFile)
-    return plan_from_file(Path(path))
+    return read_plan(Path(path))
 
 
 @click.group()
--- a/brookhub/program/log.py
+++ b/brookhub/program/log.py
@@ -1,26 +1,32 @@
-"""The log: one line for each connection that ended, and few others."""
+"""The log: JSON lines on standard error, one for each connection that ended, and few others.
+
+Written by all threads, without the event loop's lock.
+"""
 
 from __future__ import annotations
 
 import sys
-from typing import TextIO
+from typing import TextIO, cast
 
 import structlog
+from structlog.typing import FilteringBoundLogger
+
+from ..model import Server
 
 
 class LossyFile:
-    """A log file that never fails its writer.
+    """A log file whose writers never fail.
 
-    A line that can't be written (nobody reads the pipe any more, the disk is full) is dropped and counted.
-    Threads that serve write here, and no request is to end for want of a log.
+    A line that cannot be written (the pipe's reader is gone, the disk is full) is dropped and counted,
+    because no request may fail for want of a log.
     """
 
     def __init__(self, file: TextIO):
         self._file = file
-        self.dropped = 0
+        self.dropped = 0  # lines
 
     def write(self, text: str) -> None:
-        """Write, or count what can't be written."""
+        """Write, or count a line that cannot be written."""
         try:
             self._file.write(text)
         except (OSError, ValueError):
@@ -35,43 +41,48 @@
 
 
 def setup(form: str = "json") -> None:
-    """One log configuration for every sub-command.
-
-    JSON lines (`json`) or a terminal's (`console`), on stderr.
-    """
-    render = (
-        structlog.dev.ConsoleRenderer(colors=False)
-        if form == "console"
-        else structlog.processors.JSONRenderer()
-    )
+    """Configure the log of all sub-commands: JSON lines (`json`) or lines for a terminal (`console`)."""
+    if form == "console":
+        renderer: structlog.typing.Processor = structlog.dev.ConsoleRenderer(colors=False)
+    else:
+        renderer = structlog.processors.JSONRenderer()
+    file = cast(TextIO, LossyFile(sys.stderr))  # of a file only `write` and `flush` are used
     structlog.configure(
         processors=[
             structlog.processors.add_log_level,
             structlog.processors.TimeStamper(fmt="iso", utc=True),
             structlog.processors.format_exc_info,
-            render,
+            renderer,
         ],
-        logger_factory=structlog.WriteLoggerFactory(file=LossyFile(sys.stderr)),
+        logger_factory=structlog.WriteLoggerFactory(file=file),
         cache_logger_on_first_use=True,
     )
 
 
-def open_log(name: str):
-    """A log of JSON lines on standard error, each with the time and this gateway's name."""
+def open_log(name: str) -> FilteringBoundLogger:
+    """The log of a gateway, whose lines carry its name."""
     if not structlog.is_configured():
         setup("json")
-    return structlog.get_logger(node=name)
-
-
-class Ends:
-    """Tells how connections ended."""
-
-    def __init__(self, log):
-        self.log = log
-
-    def __call__(self, peer: str, reason: str, server, seconds: float, answers: int) -> None:
-        """A connection ended: `answers` that it brought, `seconds` that it was up."""
-        more = {"server": f"{server.id:x}"} if server else {}
-        self.log.info(
-            "connection ended", peer=peer, reason=reason, seconds=round(seconds, 3), answers=answers, **more
+    logger: FilteringBoundLogger = structlog.get_logger(node=name)
+    return logger
+
+
+class ConnectionLog:
+    """Logs the end of each connection. Implements `routing.log.ConnectionLogger`."""
+
+    def __init__(self, logger: FilteringBoundLogger):
+        self._logger = logger
+
+    def __call__(self, peer: str, reason: str, server: Server | None, seconds: float, answers: int) -> None:
+        """Log that a connection ended, which was up for so many seconds and brought so many answers."""
+        fields: dict[str, object] = {}
+        if server:
+            fields["server"] = f"{server.id:x}"
+        self._logger.info(
+            "connection closed",
+            peer=peer,
+            reason=reason,
+            seconds=round(seconds, 3),
+            answers=answers,
+            **fields,
         )
--- a/brookhub/program/run.py
+++ b/brookhub/program/run.py
@@ -1,4 +1,8 @@
-"""Wires the parts together, runs them, and ends them when asked to."""
+"""The gateway process: creates its parts, runs them, and shuts them down.
+
+`main` is the program. Its main thread waits for signals; all else happens in the threads of connections, of
+the listener and of the timers.
+"""
 
 from __future__ import annotations
 
@@ -9,309 +13,308 @@
 from pathlib import Path
 from random import Random
 from time import monotonic, sleep, time
+from typing import TYPE_CHECKING
 
 from ..policy import Gateway
-from ..routing.clients import ClientLimits, Clients
+from ..routing.clients import Clients
 from ..routing.connections import Reconnector
-from ..routing.counter import Counter
-from ..routing.discovery import Discovery
-from ..routing.port import SocketPort
-from ..routing.servers import Servers
-from ..site import GatewaySettings
+from ..routing.counter import CounterClient
+from ..routing.discovery import DiscoveryClient
+from ..routing.port import SocketGatewayPort
+from ..routing.upstreams import UpstreamConnections
 from ..transport.sockets import Listener
 from ..transport.threads import start_thread, use_small_stacks
-from . import log, start_file
-from .start_file import Start, StartError
-
-SPARE = 24  # descriptors kept for the log, the listener, discovery and what is being closed
-COUNTER_LINKS = 2  # enough to have one while the other is dialled anew
-SERVER_PART = 0.25  # of the descriptors, for connections to servers: they are few for each, clients are many
-# Of the memory, for answers not read by one client, by all; also bodies, values
-CLIENT_HELD, ALL_HELD = 0.005, 0.2
-LARGEST = 1 / 64  # of the memory, for one value of a server
-STALLED = 20.0  # s that a client may leave its answers unread
-MUTE, IDLE = 2.0, 4.0  # s until a client's connection is closed on which nothing whole came, or nothing since
-LINGER = 1.0  # s for a client to hear that its connection ends
-IDLE_PART = 0.5  # of the time after which servers close idle connections: they are left well before
-# Seconds after an answer in which more than belongs to it may yet come: second ones were seen 3.9 ms late.
-SETTLE = 0.01
-COUNTER_CONNECT, COUNTER_SILENT = 0.5, 1.0  # s to come up; s without a word while calls wait
-DISCOVERY_CONNECT, DISCOVERY_SILENT = 1.0, 4.5  # s to come up; s without a line: two are due every 4 s
-PAUSES = (0.05, 1.0)  # s between two dials, doubled while they bring nothing
-# Seconds of pause for each gateway where lists are asked for: discovery has them all to answer, one by one
-LIST_TAKES = 0.1
-LIST_SOON, LIST_LATE = 0.5, 2.0  # shares of the time to ask in: the longest first pause, the longest of all
-# Seconds after discovery was last heard until it is called again: a change counts as told 6 s after it had it
-# and could be reached, whatever became of the calls before, and the answer needs a moment
-LIST_AGAIN = 5.25
-GRAIN = 0.001  # s between looks at the timers: each costs a thread's wake; no timer is that exact
-GARBAGE = 5000  # objects made between two looks for garbage in cycles: that of about a hundred API calls
+from . import limits, log, start_file
+from .start_file import Address, StartError, StartFile
+
+if TYPE_CHECKING:  # imported where the start file asks for them only: they cost memory
+    from ..maintenance import Plan
+    from ..routing.maintenance import MaintenanceDriver
+    from ..routing.peers import Peers
+    from ..routing.recovery import Recovering
+
+UNUSABLE_START_FILE = 2  # exit code
+TIMER_RESOLUTION = 0.001  # s between two wake-ups of the timer thread: each costs a switch of threads
+GARBAGE_THRESHOLD = 5000  # objects created between two collections: those of about a hundred requests
 SIGNALS = {signal.SIGTERM, signal.SIGINT, signal.SIGHUP}
-# Seconds after SIGTERM while new connections still come: 0.4 s, and some way; what waits then is taken
-ACCEPTS_ON = 0.45
-# Seconds after SIGTERM by which all is answered: the longest client timeout, this at the most, and some more;
-# SIGKILL may come 0.7 s after that
-LONGEST, AFTER = 3.0, 0.2
-
 
-def list_pauses(settings: GatewaySettings) -> tuple[float, float]:
-    """The pauses (s) between two dials of discovery, the first and the longest.
+# The shutdown, in seconds. SIGKILL may come 0.7 s after the longest client timeout is over.
+ACCEPT_TIME = 0.45  # for new connections: the front sends them for 0.4 s after SIGTERM
+MAX_CLIENT_TIMEOUT = 3.0  # the longest that is waited for
+DRAIN_GRACE = 0.2  # beyond the longest client timeout, for all answers
+DRAIN_POLL_INTERVAL = 0.02
+FLUSH_TIME = 0.1  # for the last answers
 
-    Where lists are asked for, its line is that of the whole fleet, and what all ask at one moment it answers
-    late or not at all: each waits for its part.
-    """
-    if not settings.polls_server_list:
-        return PAUSES
-    first = max(PAUSES[0], min(LIST_TAKES * settings.gateways, LIST_SOON * settings.server_list_max_age))
-    return first, max(first, PAUSES[1], LIST_LATE * settings.server_list_max_age)
 
+class GatewayProcess:
+    """One gateway on sockets.
 
-class Program:
-    """One gateway on sockets."""
+    Its methods are called by the main thread, without the event loop's lock, but for those documented
+    otherwise.
+    """
 
-    def __init__(self, start: Start):
-        """Raises StartError where the start file asks for what can't be had."""
+    def __init__(self, start: StartFile):
+        """Raises StartError where the start file asks for what cannot be had."""
         self.start = start
         self.log = log.open_log(start.name)
-        self.ends = log.Ends(self.log)
-        self.chance = Random(start.seed).random
-        self.longest = max((route.client_timeout for route in start.gateway_settings.routes), default=LONGEST)
-        self.port = port = SocketPort(self.fault, GRAIN, self.woken)
-        self.servers_most = max(8, int(start.sockets * SERVER_PART))
-        port.servers = self.make_servers()
-        port.discovery = self.discovery = self.make_discovery()
-        if start.counter:
-            port.counter = self.make_counter()
-        self.clients = self.make_clients()
-        port.gateway = Gateway(port, start.seed, start.gateway_settings)
-        self.recovering = self.recover(start)
-        self.peers = self.join(start)
-        self.keeper = self.keep(start) if self.peers and start.maintenance else None
-        if start.known:
-            port.run(monotonic(), self.discovery.heard, start.known)
-        self.listener = self.listen()
-
-    def make_servers(self) -> Servers:
-        """The connections to servers."""
-        start = self.start
-        return Servers(
+        self.connection_log = log.ConnectionLog(self.log)
+        self.random = Random(start.seed).random
+        timeouts = [route.client_timeout for route in start.gateway_settings.routes]
+        self.max_client_timeout = max(timeouts, default=MAX_CLIENT_TIMEOUT)
+        self.port = SocketGatewayPort(self.log_internal_error, TIMER_RESOLUTION, self.log_suspension)
+        self.upstreams = UpstreamConnections(self.port, self.connection_log, limits.upstream_settings(start))
+        self.port.upstreams = self.upstreams
+        self.discovery = self.create_discovery()
+        self.counter = self.create_counter() if start.counter else None
+        if self.counter:
+            self.port.counter = self.counter
+        self.clients = Clients(
             self.port,
-            self.ends,
-            start.connect_within,
-            start.server_idle_for * IDLE_PART,
-            SETTLE,
-            self.servers_most,
-            int(start.memory * LARGEST),
-            int(start.memory * ALL_HELD),
+            self.connection_log,
+            start.gateway_settings,
+            self.discovery.has_had_server,
+            limits.client_limits(start),
         )
+        self.port.gateway = Gateway(self.port, start.seed, start.gateway_settings)
+        self.recovery = self.create_recovery()
+        self.peers = self.create_peers()
+        self.maintenance = self.create_maintenance()
+        if start.initial_server_list:
+            self.port.run(monotonic(), self.discovery.on_update, start.initial_server_list)
+        self.listener = self.create_listener()
+
+    # creation of the parts
+
+    def create_discovery(self) -> DiscoveryClient:
+        """The client of discovery."""
+        start = self.start
+        backoff = limits.discovery_backoff(start.gateway_settings)
 
-    def make_discovery(self) -> Discovery:
-        """The watch on the server list."""
-        start, pauses = self.start, list_pauses(self.start.gateway_settings)
-
-        def reconnector(address: tuple[str, int]) -> Reconnector:
+        def create_reconnector(address: Address) -> Reconnector:
             return Reconnector(
                 "discovery",
                 address,
-                DISCOVERY_CONNECT,
-                pauses,
-                self.chance,
-                self.ends,
-                self.fault,
-                LIST_AGAIN,
+                limits.DISCOVERY_CONNECT_TIMEOUT,
+                backoff,
+                self.random,
+                self.connection_log,
+                self.log_internal_error,
+                limits.DISCOVERY_MAX_REDIAL_TIME,
             )
 
-        ahead = time() - monotonic()
-        return Discovery(self.port, reconnector, start.zones, start.kinds, ahead, DISCOVERY_SILENT)
+        clock_offset = time() - monotonic()
+        return DiscoveryClient(
+            self.port,
+            create_reconnector,
+            start.zones,
+            start.kinds,
+            clock_offset,
+            limits.DISCOVERY_READ_TIMEOUT,
+        )
 
-    def make_counter(self) -> Counter:
-        """The connections to the counter."""
+    def create_counter(self) -> CounterClient:
+        """The client of the shared counter."""
 
-        def reconnector(address: tuple[str, int]) -> Reconnector:
+        def create_reconnector(address: Address) -> Reconnector:
             return Reconnector(
-                "counter", address, COUNTER_CONNECT, PAUSES, self.chance, self.ends, self.fault
+                "counter",
+                address,
+                limits.COUNTER_CONNECT_TIMEOUT,
+                limits.BACKOFF,
+                self.random,
+                self.connection_log,
+                self.log_internal_error,
             )
 
-        wait = self.start.gateway_settings.counter_timeout
-        return Counter(self.port, reconnector, wait, COUNTER_LINKS, COUNTER_SILENT)
-
-    def make_clients(self) -> Clients:
-        """The connections of clients; what descriptors the others leave."""
-        start = self.start
-        limits = ClientLimits(
-            max_connections=max(8, start.sockets - self.servers_most - COUNTER_LINKS - SPARE),
-            spare_connections=SPARE // 2,
-            max_open_requests=start.most_calls,
-            max_unread_bytes_per_client=int(start.memory * CLIENT_HELD),
-            max_unread_bytes=int(start.memory * ALL_HELD),
-            write_timeout=STALLED,
-            linger_time=LINGER,
-            first_request_timeout=MUTE,
-            idle_timeout=IDLE,
+        return CounterClient(
+            self.port,
+            create_reconnector,
+            self.start.gateway_settings.counter_timeout,
+            limits.COUNTER_CONNECTIONS,
+            limits.COUNTER_READ_TIMEOUT,
         )
-        return Clients(self.port, self.ends, start.gateway_settings, self.discovery.fit, limits)
-
-    def listen(self) -> Listener:
-        """Listen last.
-
-        Who connects before requests are taken waits unseen, and its time begins once it is read.
-
-        Listening before the operator's files were read, requests were answered up to 0.5 s after their
-        deadline.
-        """
-        host, port = self.start.listen
-        try:
-            return Listener(self.start.listen)
-        except OSError as broken:
-            raise StartError(f"can't listen at {host}:{port}: {broken.strerror}") from None
 
-    def join(self, start: Start):
-        """The membership driver, where the start file names peers and the settings let limiters talk.
+    def create_peers(self) -> Peers | None:
+        """The membership of the fleet, where peers are named and the settings allow their messages.
 
-        Else nothing: no socket, no thread, and nothing of it imported.
+        Else there is no socket and no thread, and nothing of it is imported.
         """
-        if start.membership is None:
+        path = self.start.membership_path
+        if path is None:
             return None
-        spec = start_file.peers(start)
-        if not start.may_talk:
-            self.log.warning("membership refused", why="the settings do not allow peer messages")
+        file = start_file.read_membership_file(path)
+        if not self.start.allows_peer_messages:
+            self.log.warning("membership disabled", why="the settings do not allow peer messages")
             return None
         from ..routing.peers import Peers
 
         try:
-            return Peers(self.port, self.log, spec, start.seed)
-        except OSError as broken:
-            raise StartError(f"membership: can't listen at {spec.listen}: {broken.strerror}") from None
+            return Peers(self.port, self.log, file, self.start.seed)
+        except OSError as error:
+            raise StartError(f"membership: can't listen at {file.listen}: {error.strerror}") from None
 
-    def recover(self, start: Start):
-        """The driver of recovery, where the start file names its file and there is a counter.
+    def create_recovery(self) -> Recovering | None:
+        """The recovery of the counter, where the start file names its file and the settings have a counter.
 
         Else nothing of it is imported.
         """
-        if start.recovery is None:
+        start = self.start
+        if start.recovery_path is None:
             return None
-        spec = start_file.recovery(start)
+        file = start_file.read_recovery_file(start.recovery_path)
         if not start.counter:
-            self.log.warning("recovery refused", why="the settings have no counter")
+            self.log.warning("recovery disabled", why="the settings have no counter")
             return None
         from ..recovery import Settings
         from ..routing.recovery import Recovering
 
-        made = Recovering(
+        driver = Recovering(
             self.port,
             self.log,
             start.gateway_settings.index,
             start.gateway_settings.gateways,
-            Settings(spec.beat_s, spec.missing_most),
-            Path(spec.ledger) if spec.ledger else None,
+            Settings(file.beat_s, file.missing_most),
+            Path(file.ledger) if file.ledger else None,
             Random(start.seed ^ 1).random,
         )
-        self.port.recovery = made.core
-        return made
+        self.port.recovery = driver.core
+        return driver
 
-    def keep(self, start: Start):
-        """The driver of maintenance, where the start file names a plan and there are peers."""
-        given = start_file.plan(start)
+    def create_maintenance(self) -> MaintenanceDriver | None:
+        """The maintenance of machines, where the start file names a plan and there are peers."""
+        path = self.start.maintenance_path
+        if not self.peers or not path:
+            return None
+        plan = start_file.read_plan_if_present(path)
         from ..maintenance import Settings
-        from ..routing.maintenance import Keeper
+        from ..routing.maintenance import MaintenanceDriver
+
+        settings = Settings(ends_in=self.max_client_timeout)
+        driver = MaintenanceDriver(self.port, self.log, self.peers, self.discovery, settings)
+        if plan:
+            self.port.run(monotonic(), self.submit_plan, driver, plan)
+        return driver
+
+    def create_listener(self) -> Listener:
+        """The socket that accepts clients, created last.
+
+        What connects before requests can be served waits in the system, and its time begins when it is read.
+        With the socket listening while the operators' files were read, requests were answered up to 0.5 s
+        after their deadline.
+        """
+        host, port = self.start.listen
+        try:
+            return Listener(self.start.listen)
+        except OSError as error:
+            raise StartError(f"can't listen at {host}:{port}: {error.strerror}") from None
 
-        keeper = Keeper(self.port, self.log, self.peers, self.discovery, Settings(ends_in=self.longest))
-        if given:
-            self.port.run(monotonic(), self.given, keeper, given)
-        return keeper
+    # called by the parts
 
-    def given(self, keeper, plan) -> None:
-        """Hand a plan of work to its driver; one that is refused is told in the log."""
-        refused = keeper.give(plan)
-        if refused:
-            self.port.todo.append((lambda: self.log.error("plan not taken", why=refused),))
+    def submit_plan(self, driver: MaintenanceDriver, plan: Plan) -> None:
+        """Submit a maintenance plan, and log where it is rejected. Called under the lock."""
+        rejection = driver.submit_plan(plan)
+        if rejection:
+            self.port.defer(lambda: self.log.error("plan rejected", why=rejection))
 
-    def fault(self, met: BaseException) -> None:
-        """What nobody expected: it is told with its trace, and the program goes on."""
-        self.log.error("fault", exc_info=met)
+    def log_internal_error(self, error: BaseException) -> None:
+        """Log an error that nothing handled, with its trace. Called by any thread."""
+        self.log.error("internal error", exc_info=error)
 
-    def woken(self, seconds: float) -> None:
-        """This process stood still for so long."""
-        self.log.warning("was stopped", seconds=round(seconds, 2))
+    def log_suspension(self, seconds: float) -> None:
+        """Log that this process was suspended. Called by any thread."""
+        self.log.warning("process was suspended", seconds=round(seconds, 2))
+
+    # running
 
     def run(self) -> None:
-        """Serve until SIGTERM or SIGINT, then answer what was taken; SIGHUP has the start file read again."""
+        """Serve until SIGTERM or SIGINT, then answer what was accepted. SIGHUP reloads the start file."""
         use_small_stacks()
-        gc.freeze()  # what stands now stands to the end
-        gc.set_threshold(GARBAGE)
+        gc.freeze()  # what exists now exists to the end
+        gc.set_threshold(GARBAGE_THRESHOLD)
+        self.start_parts()
+        self.log.info("serving")
+        while signal.sigwait(SIGNALS) == signal.SIGHUP:
+            self.reload()
+        self.shut_down(monotonic())
+
+    def start_parts(self) -> None:
+        """Start the threads and the periodic work of all parts."""
         port = self.port
-        port.run(monotonic(), port.servers.retire)
+        port.run(monotonic(), self.upstreams.retire_idle)
         port.run(monotonic(), self.clients.close_stale_connections)
         start_thread("timers", port.run_timers)
-        if port.counter:
-            port.run(monotonic(), port.counter.move, self.start.counter)
-            port.run(monotonic(), port.counter.beat)
-        if self.recovering:
-            port.run(monotonic(), self.recovering.start)
-        port.run(monotonic(), self.discovery.move, self.start.discovery)
+        if self.counter and self.start.counter:
+            port.run(monotonic(), self.counter.set_address, self.start.counter)
+            port.run(monotonic(), self.counter.send_heartbeats)
+        if self.recovery:
+            port.run(monotonic(), self.recovery.start)
+        port.run(monotonic(), self.discovery.set_address, self.start.discovery)
         if self.peers:
             self.peers.start()
-        if self.keeper:
-            self.port.watch = self.keeper.count
-            self.port.run(monotonic(), self.keeper.start)
+        if self.maintenance:
+            port.on_request_finished = self.maintenance.on_request_finished
+            port.run(monotonic(), self.maintenance.start)
         start_thread("accept", self.listener.accept_until_closed, self.clients.on_accepted)
-        self.log.info("serving")
-        while signal.sigwait(SIGNALS) == signal.SIGHUP:
-            self.reload()
-        self.stop(monotonic())
 
     def reload(self) -> None:
-        """Read the start file again: discovery and the counter move to where it says.
+        """Read the start file again: its addresses of discovery and the counter, its peers and its plan.
 
-        The rest holds from the next start on. One that can't be used changes nothing.
+        All else holds from the next start on. A file that cannot be used changes nothing.
         """
         try:
-            start = start_file.read(os.environ, again=True)
-            peers = start_file.peers(start) if self.peers and start.membership else None
-            plan = start_file.plan(start) if self.keeper else None
-        except StartError as refused:
-            return self.log.error("not reloaded", why=str(refused))
-        self.port.run(monotonic(), self.discovery.move, start.discovery)
-        if self.port.counter and start.counter:
-            self.port.run(monotonic(), self.port.counter.move, start.counter)
-        if peers:
-            self.port.run(monotonic(), self.peers.relist, peers)
-        if plan:
-            self.port.run(monotonic(), self.given, self.keeper, plan)
-        waits = start.gateway_settings != self.start.gateway_settings or start.listen != self.start.listen
+            start = start_file.read(os.environ, reload=True)
+            peers = None
+            if self.peers and start.membership_path:
+                peers = start_file.read_membership_file(start.membership_path)
+            plan = None
+            if self.maintenance and start.maintenance_path:
+                plan = start_file.read_plan_if_present(start.maintenance_path)
+        except StartError as error:
+            self.log.error("reload failed", why=str(error))
+            return
+        self.port.run(monotonic(), self.discovery.set_address, start.discovery)
+        if self.counter and start.counter:
+            self.port.run(monotonic(), self.counter.set_address, start.counter)
+        if self.peers and peers:
+            self.port.run(monotonic(), self.peers.update_peers, peers)
+        if self.maintenance and plan:
+            self.port.run(monotonic(), self.submit_plan, self.maintenance, plan)
+        needs_restart = (
+            start.gateway_settings != self.start.gateway_settings or start.listen != self.start.listen
+        )
         self.log.info(
             "reloaded",
             discovery="%s:%d" % start.discovery,
-            waits_for_a_start=waits,
+            restart_required=needs_restart,
             counter="%s:%d" % start.counter if start.counter else None,
         )
 
-    def stop(self, told_at: float) -> None:
-        """Drain and end; `told_at`: when the signal came (s, monotonic)."""
+    def shut_down(self, signalled_at: float) -> None:
+        """Drain and end; `signalled_at`: when the signal came (s, monotonic)."""
         self.log.info("stopping")
         if self.peers:
-            self.port.run(told_at, self.peers.leave)
-        answers_by = told_at + min(LONGEST, self.longest) + AFTER
-        self.port.run(told_at, self.clients.begin_shutdown)
-        sleep(ACCEPTS_ON)
-        self.listener.close(LINGER / 4)
+            self.port.run(signalled_at, self.peers.leave)
+        deadline = signalled_at + min(MAX_CLIENT_TIMEOUT, self.max_client_timeout) + DRAIN_GRACE
+        self.port.run(signalled_at, self.clients.begin_shutdown)
+        sleep(ACCEPT_TIME)
+        self.listener.close(limits.LINGER_TIME / 4)
         self.port.run(monotonic(), self.clients.drain)
-        while self.clients.connections and monotonic() < answers_by:
-            sleep(0.02)
+        while self.clients.connections and monotonic() < deadline:
+            sleep(DRAIN_POLL_INTERVAL)
         if self.clients.connections:
             self.port.run(monotonic(), self.clients.fail_open_requests)
-            sleep(0.1)
+            sleep(FLUSH_TIME)
         self.log.info("stopped", connections=len(self.clients.connections))
 
 
 def main() -> int:
-    """Serve until a signal ends the program; exit code 2 where it can't start."""
-    # Before the first thread; one that comes early waits its turn
+    """Serve until a signal ends the program; returns the exit code where it cannot start."""
+    # Before the first thread, so that all threads inherit it; a signal that comes early waits for `sigwait`
     signal.pthread_sigmask(signal.SIG_BLOCK, SIGNALS)
     try:
-        program = Program(start_file.read(os.environ))
-    except StartError as refused:
-        print(f"brookhub: {refused}", file=sys.stderr)
-        return 2
-    program.run()
-    os._exit(0)  # the threads that wait on sockets end with it
+        process = GatewayProcess(start_file.read(os.environ))
+    except StartError as error:
+        print(f"brookhub: {error}", file=sys.stderr)
+        return UNUSABLE_START_FILE
+    process.run()
+    os._exit(0)  # ends the threads that wait on sockets
--- a/brookhub/routing/client_connection.py
+++ b/brookhub/routing/client_connection.py
@@ -63,7 +63,7 @@
     def run(self) -> None:
         """Read the connection to its end. Runs in a thread of its own."""
         port, began, stream = self.clients.port, monotonic(), self.stream
-        reason = read_until_closed(stream.read, self.took, port.faults)
+        reason = read_until_closed(stream.read, self.took, port.report_error)
         stream.abort(stream.shutdown_reason or ("left" if reason == "closed" else reason))
         stream.close()
         port.run(monotonic(), self.left)
@@ -135,7 +135,7 @@
             self.clients.give_up(self)
             self.parting = True
             self.slot().complete(resp.encode_error(f"ERR {bad}"))
-            self.clients.port.todo.append((self.stream.shutdown_gracefully, bad.reason))
+            self.clients.port.defer(self.stream.shutdown_gracefully, bad.reason)
 
     def begin(self, wording: request_codec.ParsedRequest, waited: float) -> None:
         """Have a request decided; a fault costs this one, not those behind it on the connection."""
@@ -143,7 +143,7 @@
         try:
             self.clients.call(slot, wording, waited)
         except Exception as met:
-            self.clients.port.todo.append((self.clients.port.faults, met))
+            self.clients.port.defer(self.clients.port.report_error, met)
             slot.complete(request_codec.ENCODED_FAILURE)
 
     def slot(self) -> PendingResponse:
@@ -164,12 +164,12 @@
             if slot.said:  # the rest once that is written
                 slot.said[0], self.waits = memoryview(slot.said[0])[put:], True
                 if self.clients.holds_too_much(self):
-                    self.clients.port.todo.append((self.stream.abort, "slow-reader"))
+                    self.clients.port.defer(self.stream.abort, "slow-reader")
                 break
             self.slots.popleft()
             self.clients.held -= slot.size
             self.served += 1
-        self.clients.port.todo.append((self.stream.flush,))
+        self.clients.port.defer(self.stream.flush)
         if not self.slots:
             self.clients.settled(self)
 
--- a/brookhub/routing/clients.py
+++ b/brookhub/routing/clients.py
@@ -78,7 +78,7 @@
         if self.living >= self.limits.max_connections:
             oldest = self.to_leave()
             if not oldest or self.living >= self.limits.max_connections + self.limits.spare_connections:
-                self.port.todo.append((self.turn_away, client))
+                self.port.defer(self.turn_away, client)
                 return
             self.leave(oldest, "made-room")
         self.living += 1
@@ -89,7 +89,7 @@
             )  # it may have come up while nobody accepted
         client.idle_at = self.port.now
         self.connections[client] = self.mute[client] = None
-        self.port.todo.append((self.start, client))
+        self.port.defer(self.start, client)
 
     def to_leave(self) -> ClientConnection | None:
         """Whom to close for another.
@@ -119,7 +119,7 @@
         """Close it between two commands. What it now may ask crosses the end: it asks again elsewhere."""
         client.parting = True
         self.forget(client)
-        self.port.todo.append((client.stream.abort, reason))
+        self.port.defer(client.stream.abort, reason)
 
     def woken(self) -> None:
         """See whether this process was stopped for a while (a signal, a paused machine).
@@ -133,7 +133,7 @@
             self.woke_at, self.slept_for = self.port.now, late + self.limits.first_request_timeout / 8
             for client in list(self.connections):
                 client.waited = client.stream.oldest_unread_age(self.slept_for)
-            self.port.todo.append((self.port.log_woken, self.slept_for))
+            self.port.defer(self.port.log_suspension, self.slept_for)
 
     def close_stale_connections(self) -> None:
         """Close who connected and sent nothing whole, and who has been idle for long."""
@@ -224,10 +224,8 @@
     def part(self, client: ClientConnection) -> None:
         """End the sending between two API calls, and all once the client had time to hear of it."""
         client.parting = True
-        self.port.todo.append((client.stream.shutdown_gracefully, "restart"))
-        self.port.later(
-            self.limits.linger_time, lambda: self.port.todo.append((client.stream.abort, "restart"))
-        )
+        self.port.defer(client.stream.shutdown_gracefully, "restart")
+        self.port.later(self.limits.linger_time, lambda: self.port.defer(client.stream.abort, "restart"))
 
     def forget(self, client: ClientConnection) -> None:
         """A connection is no longer looked after."""
--- a/brookhub/routing/connections.py
+++ b/brookhub/routing/connections.py
@@ -50,7 +50,7 @@
             monotonic(),
             port.later,
             THREAD_PAUSE,
-            lambda: port.todo.append((start_thread_with_retry, port, name, work)),
+            lambda: port.defer(start_thread_with_retry, port, name, work),
         )
 
 
--- a/brookhub/routing/counter.py
+++ b/brookhub/routing/counter.py
@@ -1,7 +1,8 @@
-"""Connections to the counter: a few, with calls written one behind another, answered in their order."""
+"""Connections to the counter: a few, with calls written one behind another and answered in their order."""
 
 from __future__ import annotations
 
+import socket
 from collections import deque
 from functools import partial
 from time import monotonic
@@ -13,187 +14,238 @@
 from ..protocol.errors import MalformedError
 from ..transport.stream import Stream
 from .connections import Reconnector, read_until_closed, start_thread_with_retry
+from .port import SocketGatewayPort
 
+Address = tuple[str, int]
+Reply = bytes | bytearray | int | list[object] | None
+"""A value as `resp.RespReader` reads it."""
 
-class Count:
-    """One call to the counter. Who asked hears once; a later answer only keeps the order."""
 
-    __slots__ = ("told", "asked", "ends_at")
+class CounterCall:
+    """One call to the counter. Its callback is called once; a later answer only keeps the order."""
 
-    def __init__(self, told: CounterCallback | None, asked: float):
-        self.told, self.asked, self.ends_at = told, asked, 0
+    __slots__ = ("callback", "started_at", "end_offset")
 
-    def end(self, now: float, outcome: Outcome, total: float = 0.0) -> None:
-        """Tell how it ended, once."""
-        told, self.told = self.told, None
-        if told:
-            told(outcome, total, now - self.asked)
+    def __init__(self, callback: CounterCallback | None, started_at: float):
+        self.callback = callback  # None once it was called, and of a heartbeat
+        self.started_at = started_at
+        self.end_offset = 0  # bytes queued on the connection up to the end of this call
 
+    def finish(self, now: float, outcome: Outcome, total: float = 0.0) -> None:
+        """Call the callback, if it was not yet."""
+        callback = self.callback
+        self.callback = None
+        if callback:
+            callback(outcome, total, now - self.started_at)
 
-class CounterLink:
-    """One connection to the counter, and the thread that dials it, reads it and dials again."""
 
-    def __init__(self, counter: Counter, place: int, reconnector: Reconnector):
-        self.counter, self.place, self.reconnector = counter, place, reconnector
-        self.stream, self.waiting, self.heard_at = None, deque(), 0.0
+class CounterConnection:
+    """One connection to the counter, and the thread that dials it, reads it and dials again.
+
+    Its thread owns the socket. The event loop's lock guards all fields.
+    """
+
+    def __init__(self, client: CounterClient, index: int, reconnector: Reconnector):
+        self.client = client
+        self.port = client.port
+        self.index = index  # among the client's connections
+        self.reconnector = reconnector
+        self.stream: Stream | None = None  # None while it is not up
+        self.pending: deque[CounterCall] = deque()  # not yet answered, the oldest first
+        self.last_received_at = 0.0
 
     def run(self) -> None:
-        """Dial and serve until the link is left. Runs in a thread of its own."""
+        """Dial and serve until it is replaced. Runs in a thread of its own."""
         self.reconnector.run(self.serve)
 
-    def serve(self, sock) -> tuple[str, int]:
-        """Read a connection to its end; why it ended and how many answers it brought."""
-        port, reader, answers = self.counter.port, resp.RespReader(), 0
+    def serve(self, sock: socket.socket) -> tuple[str, int]:
+        """Read a connection to its end; returns why it ended and how many answers it brought."""
+        port = self.port
+        reader = resp.RespReader()
         stream = Stream(sock, resp.BUFFER_BYTES)
+        answers = 0
 
-        def took(at: float) -> None:
+        def on_readable(now: float) -> None:
             nonlocal answers
-            said = []
+            replies: list[Reply] = []
             try:
-                said.extend(reader.feed(stream.inbound))
-            finally:  # what could be read before bytes that can't is true
-                answers += len(said)
-                port.run(at, self.answered, stream, said)
-
-        port.run(monotonic(), self.up, stream)
-        stream.abort(read_until_closed(stream.read, took, port.faults))
-        port.run(monotonic(), self.down, stream)
+                replies.extend(reader.feed(stream.inbound))
+            finally:  # what came before malformed bytes is valid
+                answers += len(replies)
+                port.run(now, self.on_replies, stream, replies)
+
+        port.run(monotonic(), self.on_connected, stream)
+        stream.abort(read_until_closed(stream.read, on_readable, port.report_error))
+        port.run(monotonic(), self.on_disconnected, stream)
         stream.close()
-        return stream.close_reason, answers
+        return stream.close_reason or "", answers
 
-    # under the port's lock
+    # under the lock
 
-    def up(self, stream: Stream) -> None:
+    def on_connected(self, stream: Stream) -> None:
         """The connection is up and takes calls."""
-        self.stream, self.heard_at = stream, self.counter.port.now
+        self.stream = stream
+        self.last_received_at = self.port.now
         if self.reconnector.stopped.is_set():
-            stream_end(self.counter.port, stream, "moved")
+            self._close(stream, "address-changed")
         else:
-            self.counter.take_over(self)
+            self.client.activate(self)
 
-    def leave(self) -> None:
-        """Its place is taken.
+    def replace(self) -> None:
+        """Another connection takes its place: no more calls are sent, and it is not dialled again.
 
-        What is out on it is still heard, as long as the counter has anything to say.
+        Calls that were sent are still answered, but the counter is not waited for when it is silent.
         """
         self.reconnector.stopped.set()
-        self.settled()
+        self._close_if_drained()
         if self.stream:
-            self.counter.port.later(
-                self.counter.silent_after, partial(stream_end, self.counter.port, self.stream, "moved")
-            )
-
-    def settled(self) -> None:
-        """Leave the connection where another has taken its place and nothing is out on it any more."""
-        if self.reconnector.stopped.is_set() and self.stream and not self.waiting:
-            stream_end(self.counter.port, self.stream, "moved")
-
-    def down(self, stream: Stream) -> None:
-        """What was written whole may have been added, or may yet be; the rest was not."""
-        self.stream, waiting, self.waiting = None, self.waiting, deque()
-        for one in waiting:
-            whole = one.ends_at <= stream.bytes_maybe_written
-            one.end(self.counter.port.now, Outcome.TIMEOUT if whole else Outcome.CONNECT_FAILED)
-        coming = self.counter.coming[self.place]
-        if coming is not self:  # not dialled again: the counter is at another address
-            self.counter.take_over(coming)
-
-    def ask(self, one: Count, command: bytes) -> bool:
-        """Put a call behind those before it; False where the connection takes none."""
+            self.port.later(self.client.read_timeout, partial(self._close, self.stream, "address-changed"))
+
+    def on_disconnected(self, stream: Stream) -> None:
+        """The connection ended. A call that was written completely may have been executed."""
+        self.stream = None
+        pending = self.pending
+        self.pending = deque()
+        for call in pending:
+            fully_written = call.end_offset <= stream.bytes_maybe_written
+            call.finish(self.port.now, Outcome.TIMEOUT if fully_written else Outcome.CONNECT_FAILED)
+        newest = self.client.newest[self.index]
+        if newest is not None and newest is not self:  # this one is not dialled again
+            self.client.activate(newest)
+
+    def send(self, call: CounterCall, command: bytes) -> bool:
+        """Send a call behind those before it; False where the connection is not up or its buffer is full."""
         stream = self.stream
         if stream is None or stream.close_reason or not stream.enqueue(command):
             return False
-        one.ends_at = stream.bytes_queued
-        self.waiting.append(one)
-        self.counter.port.todo.append((stream.flush,))
+        call.end_offset = stream.bytes_queued
+        self.pending.append(call)
+        self.port.defer(stream.flush)
         return True
 
-    def answered(self, stream: Stream, said: list) -> None:
+    def on_replies(self, stream: Stream, replies: list[Reply]) -> None:
         """Answers came, in the order of the calls."""
-        self.heard_at = self.counter.port.now
-        for answer in said:
-            if not self.waiting or stream.close_reason:
-                return stream_end(self.counter.port, stream, "nonsense")
-            one = self.waiting.popleft()
-            if isinstance(answer, resp.SimpleString):
-                if one.told:
-                    stream_end(self.counter.port, stream, "nonsense")
-                    one.end(self.heard_at, Outcome.TIMEOUT)
-                continue
-            try:
-                total = counter_codec.decode_total(answer)
-            except MalformedError:
-                stream_end(self.counter.port, stream, "nonsense")
-                one.end(self.heard_at, Outcome.TIMEOUT)
-                continue
-            one.end(self.heard_at, Outcome.BUSY if total is None else Outcome.OK, total or 0.0)
-        self.settled()
-
-    def beat(self) -> None:
-        """Keep an idle connection open, and leave one that has gone silent."""
-        now, stream = self.counter.port.now, self.stream
+        self.last_received_at = self.port.now
+        for reply in replies:
+            if not self.pending or stream.close_reason:
+                self._close(stream, "protocol-error")
+                return
+            self._on_reply(stream, self.pending.popleft(), reply)
+        self._close_if_drained()
+
+    def send_heartbeat(self) -> None:
+        """Keep an idle connection open, and close one whose counter has fallen silent."""
+        now = self.port.now
+        stream = self.stream
         if stream is None or stream.close_reason:
             return
-        if self.waiting and now - max(self.heard_at, self.waiting[0].asked) > self.counter.silent_after:
-            stream_end(self.counter.port, stream, "silent")
-        elif not self.waiting:
-            self.ask(Count(None, now), counter_codec.PING)
+        if not self.pending:
+            self.send(CounterCall(None, now), counter_codec.PING)
+        elif now - max(self.last_received_at, self.pending[0].started_at) > self.client.read_timeout:
+            self._close(stream, "read-timeout")
+
+    def _on_reply(self, stream: Stream, call: CounterCall, reply: Reply) -> None:
+        """Finish a call with its answer."""
+        if isinstance(reply, resp.SimpleString):
+            if call.callback:  # the answer to a heartbeat, but the call was none
+                self._close(stream, "protocol-error")
+                call.finish(self.last_received_at, Outcome.TIMEOUT)
+            return
+        try:
+            total = counter_codec.decode_total(reply)
+        except MalformedError:
+            self._close(stream, "protocol-error")
+            call.finish(self.last_received_at, Outcome.TIMEOUT)
+            return
+        if total is None:
+            call.finish(self.last_received_at, Outcome.BUSY)
+        else:
+            call.finish(self.last_received_at, Outcome.OK, total)
+
+    def _close_if_drained(self) -> None:
+        """Close the connection where it was replaced and no call is pending on it."""
+        if self.reconnector.stopped.is_set() and self.stream and not self.pending:
+            self._close(self.stream, "address-changed")
 
+    def _close(self, stream: Stream, reason: str) -> None:
+        """Close a connection once the lock is free."""
+        self.port.defer(stream.abort, reason)
 
-def stream_end(port, stream: Stream, reason: str) -> None:
-    """End a connection once the lock is free."""
-    port.todo.append((stream.abort, reason))
 
+class CounterClient:
+    """The shared counter on sockets, behind a fixed number of connections. Implements `port.Counter`.
 
-class Counter:
-    """The counter as the decisions ask it: a few places, each of a connection that calls are written to."""
+    All methods are called under the event loop's lock, which guards all fields. Times in seconds.
+    """
 
     def __init__(
-        self, port, reconnector: Callable[[tuple], Reconnector], wait: float, links: int, silent_after: float
+        self,
+        port: SocketGatewayPort,
+        create_reconnector: Callable[[Address], Reconnector],
+        call_timeout: float,
+        connections: int,
+        read_timeout: float,
     ):
-        self.port, self.reconnector, self.wait, self.silent_after = port, reconnector, wait, silent_after
-        self.address, self.links, self.coming = None, [None] * links, [None] * links
-        self.asked: deque[Count] = deque()  # the oldest first, until answered or given up
-
-    def move(self, address: tuple[str, int]) -> None:
-        """Call there from now on. Until a connection to it is up, its place keeps the one that it has."""
+        """`read_timeout`: after which a counter that answers none of the pending calls is left."""
+        self.port = port
+        self.create_reconnector = create_reconnector
+        self.call_timeout = call_timeout
+        self.read_timeout = read_timeout
+        self.address: Address | None = None
+        # By index: the connection that takes calls, and the one at the newest address, which replaces it once
+        # it is up
+        self.active: list[CounterConnection | None] = [None] * connections
+        self.newest: list[CounterConnection | None] = [None] * connections
+        self.pending: deque[CounterCall] = deque()  # all that may time out, the oldest first
+
+    def set_address(self, address: Address) -> None:
+        """Call the counter at an address from now on. Connections are replaced once new ones are up."""
         if address == self.address:
             return
         self.address = address
-        for place, held in enumerate(self.coming):
-            if held and held is not self.links[place]:
-                held.leave()
-            link = self.coming[place] = CounterLink(self, place, self.reconnector(address))
-            if self.links[place] is None or self.links[place].stream is None:
-                self.take_over(link)
-            self.port.todo.append((start_thread_with_retry, self.port, "counter", link.run))
-
-    def take_over(self, link: CounterLink) -> None:
-        """A new link is up: calls go there from now on."""
-        held, self.links[link.place] = self.links[link.place], link
-        if held and held is not link:
-            held.leave()
-
-    def count(self, name: int, amount: float, lives: float, told: CounterCallback) -> None:
-        """A name keeps to one connection, so its totals come in the order of the calls."""
-        one = Count(told, self.port.now)
-        if self.links[name % len(self.links)].ask(one, counter_codec.encode_add(name, amount, lives)):
-            if not self.asked:
-                self.port.later(self.wait, self.give_up)
-            self.asked.append(one)
+        for index, previous in enumerate(self.newest):
+            active = self.active[index]
+            if previous and previous is not active:
+                previous.replace()
+            connection = CounterConnection(self, index, self.create_reconnector(address))
+            self.newest[index] = connection
+            if active is None or active.stream is None:
+                self.activate(connection)
+            self.port.defer(start_thread_with_retry, self.port, "counter", connection.run)
+
+    def activate(self, connection: CounterConnection) -> None:
+        """Send calls on a connection from now on."""
+        previous = self.active[connection.index]
+        self.active[connection.index] = connection
+        if previous and previous is not connection:
+            previous.replace()
+
+    def count(self, name: int, amount: float, lifetime: float, callback: CounterCallback) -> None:
+        """Add to a count (`port.Counter`).
+
+        A name keeps to one connection, so that its totals come in the order of the calls.
+        """
+        call = CounterCall(callback, self.port.now)
+        connection = self.active[name % len(self.active)]
+        if connection and connection.send(call, counter_codec.encode_add(name, amount, lifetime)):
+            if not self.pending:
+                self.port.later(self.call_timeout, self._expire_calls)
+            self.pending.append(call)
         else:
-            self.port.soon.append(lambda: one.end(self.port.now, Outcome.CONNECT_FAILED))
-
-    def give_up(self) -> None:
-        """End what has waited too long; all wait alike, so one timer, for the oldest, serves."""
-        now, asked = self.port.now, self.asked
-        while asked and (asked[0].told is None or asked[0].asked + self.wait <= now):
-            asked.popleft().end(now, Outcome.TIMEOUT)
-        if asked:
-            self.port.later(asked[0].asked + self.wait - now, self.give_up)
-
-    def beat(self) -> None:
-        """Look for calls whose wait is over, and for a silent counter."""
-        self.port.later(self.silent_after / 2, self.beat)
-        for link in self.links:
-            link.beat()
+            self.port.call_soon(lambda: call.finish(self.port.now, Outcome.CONNECT_FAILED))
+
+    def send_heartbeats(self) -> None:
+        """Check all connections. Repeats itself by a timer."""
+        self.port.later(self.read_timeout / 2, self.send_heartbeats)
+        for connection in self.active:
+            if connection:
+                connection.send_heartbeat()
+
+    def _expire_calls(self) -> None:
+        """Finish calls that waited too long. The timeout is the same for all, so one timer is enough."""
+        now = self.port.now
+        pending = self.pending
+        while pending and (pending[0].callback is None or pending[0].started_at + self.call_timeout <= now):
+            pending.popleft().finish(now, Outcome.TIMEOUT)
+        if pending:
+            self.port.later(pending[0].started_at + self.call_timeout - now, self._expire_calls)
--- a/brookhub/routing/maintenance.py
+++ b/brookhub/routing/maintenance.py
@@ -1,61 +1,109 @@
-"""Maintenance's driver.
+"""Maintenance on sockets: its messages go over membership, its events to the log.
 
-A plan from the operator's file, words over membership, servers held back, events in the log.
+What it needs to know of the traffic and the servers is read from the parts of the program.
 """
 
 from __future__ import annotations
 
+from collections import deque
+from dataclasses import dataclass
 from time import monotonic
 
 from ..maintenance import TOPIC, Machine, Maintenance, Plan, Settings, UnreadableError, pack, unpack
-
-TICK = 0.25  # s between looks: far below a lease
-LATELY = 10.0  # s over which served calls and their times are told
+from ..model import Request
+from .discovery import DiscoveryClient
+from .log import EventLogger
+from .peers import Peers
+from .port import SocketGatewayPort
+
+TICK_INTERVAL = 0.25  # s: far below a lease
+TRAFFIC_WINDOW = 10.0  # s over which served requests and their durations are reported
+
+
+@dataclass
+class SecondOfTraffic:
+    """The requests that ended in one second of the clock."""
+
+    second: int
+    requests: float = 0.0
+    served: float = 0.0
+    served_duration: float = 0.0  # s, of the served ones together
+
+
+class TrafficWindow:
+    """The requests that ended lately. Guarded by the event loop's lock."""
+
+    def __init__(self) -> None:
+        self._seconds: deque[SecondOfTraffic] = deque()  # the oldest first
+
+    def add(self, now: float, duration: float, served: bool) -> None:
+        """Count a request that ended after so many seconds."""
+        second = int(now)
+        if not self._seconds or self._seconds[-1].second != second:
+            while self._seconds and self._seconds[0].second <= second - TRAFFIC_WINDOW:
+                self._seconds.popleft()
+            self._seconds.append(SecondOfTraffic(second))
+        current = self._seconds[-1]
+        current.requests += 1
+        if served:
+            current.served += 1
+            current.served_duration += duration
+
+    def totals(self, now: float) -> tuple[float, float, float]:
+        """Requests, served ones, and seconds of the served ones together, over the window."""
+        recent = [entry for entry in self._seconds if entry.second > now - TRAFFIC_WINDOW]
+        return (
+            sum(entry.requests for entry in recent),
+            sum(entry.served for entry in recent),
+            sum(entry.served_duration for entry in recent),
+        )
 
 
-class Keeper:
-    """The maintenance of one limiter on sockets.
+class MaintenanceDriver:
+    """The maintenance of one limiter on sockets. Implements `maintenance.MaintenancePort`.
 
-    `peers`: routing.peers.Peers, whose membership carries the words; `discovery` tells of the servers. All
-    methods run under the port's lock. A maintenance.MaintenancePort.
+    All methods are called under the event loop's lock, which guards all fields.
     """
 
-    def __init__(self, port, log, peers, discovery, settings: Settings):
-        self.port, self.out, self.peers, self.discovery = port, log, peers, discovery
+    def __init__(
+        self,
+        port: SocketGatewayPort,
+        logger: EventLogger,
+        peers: Peers,
+        discovery: DiscoveryClient,
+        settings: Settings,
+    ):
+        """`peers`: whose membership carries the messages; `discovery`: which holds servers back."""
+        self.port = port
+        self.logger = logger
+        self.peers = peers
+        self.discovery = discovery
+        self.traffic = TrafficWindow()
         self.core = Maintenance(self, peers.core.name, settings)
-        self.seconds: list[
-            tuple[int, float, float, float]
-        ] = []  # a second's calls: asked, served, s they took
-        peers.on_topic[TOPIC] = self.heard
+        peers.payload_handlers[TOPIC] = self.on_payload
 
     def start(self) -> None:
-        """Begin to beat."""
+        """Begin the periodic work of the core. Repeats itself by a timer."""
         self.core.tick()
-        self.port.later(TICK, self.start)
+        self.port.later(TICK_INTERVAL, self.start)
 
-    def give(self, plan: Plan) -> str:
-        """Take a plan; why it is refused, else an empty text."""
+    def submit_plan(self, plan: Plan) -> str:
+        """Submit a plan; returns why it is rejected, else an empty text."""
         return self.core.give(plan)
 
-    def heard(self, peer: str, data: bytes) -> None:
-        """A peer's message came."""
+    def on_payload(self, peer: str, data: bytes) -> None:
+        """A peer's message came. One that is malformed is dropped."""
         try:
             message = unpack(data)
         except UnreadableError:
             return self.peers.drop("unreadable")
         self.core.received(peer, message)
 
-    def count(self, request, took: float, served: bool) -> None:
-        """One API call had its final answer."""
-        second = int(self.port.now)
-        if not self.seconds or self.seconds[-1][0] != second:
-            self.seconds = [one for one in self.seconds if one[0] > second - LATELY] + [
-                (second, 0.0, 0.0, 0.0)
-            ]
-        at, asked, well, spent = self.seconds[-1]
-        self.seconds[-1] = (at, asked + 1, well + served, spent + took * served)
+    def on_request_finished(self, request: Request, duration: float, served: bool) -> None:
+        """A request got its final answer after so many seconds (`port.RequestObserver`)."""
+        self.traffic.add(self.port.now, duration, served)
 
-    # the port of maintenance
+    # maintenance.MaintenancePort
 
     def now(self) -> float:
         """Seconds on this limiter's clock."""
@@ -81,37 +129,37 @@
             or machine.limiter == self.core.me
             or machine.limiter in self.peers.core.present
         )
-        return here and all(self.discovery.lists(name) for name in machine.servers)
+        return here and all(self.discovery.is_listed_ready(name) for name in machine.servers)
 
     def hold(self, names: tuple[str, ...]) -> None:
         """Send nothing to these servers, whatever the list says."""
         machines = [one for one in map(self.core.plan.machine, names) if one]
-        self.discovery.hold({server for one in machines for server in one.servers})
+        self.discovery.hold_back({server for one in machines for server in one.servers})
 
     def quiet(self, machine: Machine) -> bool:
-        """Whether nothing of this limiter is out at the machine's servers.
+        """Whether no attempt of this limiter is in flight at the machine's servers.
 
-        A limiter on it ends as planned (SIGTERM) when work begins: its clients' connections end between calls
-        then, and the others take its parts.
+        A limiter on it is shut down (SIGTERM) when work begins: its clients' connections end between requests
+        then, and the others take its shares.
         """
-        out = {one.server.id for one in self.port.servers.out}
-        return not any(self.discovery.ident(name) in out for name in machine.servers)
+        in_flight = {attempt.server.id for attempt in self.port.upstreams.in_flight}
+        return not any(self.discovery.server_id(name) in in_flight for name in machine.servers)
 
     def lately(self) -> tuple[float, float, float]:
-        """Requests, served ones, and seconds that the served ones took in all, over the last while."""
-        fresh = [one for one in self.seconds if one[0] > self.port.now - LATELY]
-        return tuple(sum(one[place] for one in fresh) for place in (1, 2, 3))
+        """Requests, served ones, and seconds of the served ones together, over the last while."""
+        return self.traffic.totals(self.port.now)
 
     def load(self) -> dict[str, float]:
-        """Tries out by zone name, as a picture of the load: all limiters take the leader's."""
-        found: dict[str, float] = {}
-        for one in self.port.servers.out:
-            zone = (
-                self.discovery.zones[one.server.zone] if one.server.zone < len(self.discovery.zones) else ""
-            )
-            found[zone] = found.get(zone, 0.0) + 1.0
-        return found
-
-    def log(self, event: str, **facts) -> None:
+        """Attempts in flight by zone name, as a measure of the load: all limiters use the leader's."""
+        zones = self.discovery.zones
+        load: dict[str, float] = {}
+        for attempt in self.port.upstreams.in_flight:
+            number = attempt.server.zone
+            zone = zones[number] if number < len(zones) else ""
+            load[zone] = load.get(zone, 0.0) + 1.0
+        return load
+
+    def log(self, event: str, **facts: object) -> None:
         """Log an event of the plan."""
-        self.port.todo.append((lambda: self.out.info(event, **{"what": "maintenance", **facts}),))
+        fields = {"what": "maintenance", **facts}
+        self.port.defer(lambda: self.logger.info(event, **fields))
--- a/brookhub/routing/port.py
+++ b/brookhub/routing/port.py
@@ -1,164 +1,209 @@
-"""The one lock around the decisions, the clock that they see, their timers, and what they want done."""
+"""The decisions' port on sockets: attempts, final answers and calls to the counter.
+
+The parts of the program around the decisions share one `SocketGatewayPort`: it is their event loop, and each
+finds its neighbours there. The protocols below say what the neighbours need of each other.
+"""
 
 from __future__ import annotations
 
-from collections import deque
-from heapq import heappop, heappush
-from threading import TIMEOUT_MAX, Lock
-from time import monotonic
-from typing import Callable
+from typing import Callable, Collection, Mapping, Protocol, cast
 
 from ..model import Attempt, Outcome, Request, Server
-from ..ports import CounterCallback
+from ..ports import CounterCallback, FleetCoordination
 from ..protocol import request_codec
+from ..protocol.request_codec import ServerResponse
+from .event_loop import ErrorReporter, EventLoop
+
+RequestObserver = Callable[[Request, float, bool], None]
+"""Told of each final answer: the request, the seconds it took, whether it is a server's answer."""
+
+
+NO_RESPONSE = ServerResponse(None)
+"""Of an attempt that ended without an answer."""
+
+
+class GatewayEvents(Protocol):
+    """The decisions (`policy.Gateway`), as far as they are told of events. Called under the lock."""
+
+    def on_request(self, request: Request, /) -> None:
+        """A client asks for something."""
+
+    def on_client_disconnected(self, request: Request, /) -> None:
+        """The client of an open request has left."""
+
+    def on_attempt_ended(
+        self,
+        attempt: Attempt,
+        duration: float,
+        final: bool,
+        charged: float,
+        used: float | None,
+        report: Mapping[str, float],
+        /,
+    ) -> None:
+        """An attempt ended after so many seconds.
+
+        `final`: whether its request has its answer; `charged`, `used`: units as reported by the server;
+        `report`: the server's load report, empty where it sent none.
+        """
+
+    def on_servers_updated(self, servers: list[Server], /) -> None:
+        """The server list changed in these servers."""
+
+    def on_membership_changed(self, live: int, rank: int, maybe_live: int, /) -> None:
+        """The fleet changed: live members, this one's rank among them, members not known to have left."""
+
+    def on_granted_share_changed(self, share: float, /) -> None:
+        """The counter may grant another share of each quota from now on."""
+
+    def use_coordination(self, coordination: FleetCoordination, /) -> None:
+        """Decide together with the other gateways of the fleet."""
+
+
+class Upstreams(Protocol):
+    """The connections to upstream servers (`upstreams.UpstreamConnections`). Called under the lock."""
+
+    @property
+    def in_flight(self) -> Collection[Attempt]:
+        """The attempts that are on a connection."""
+
+    def send(self, attempt: Attempt, deadline: float) -> None:
+        """Send an attempt; its connection has to be up by the deadline (s, monotonic)."""
+
+    def cancel(self, attempt: Attempt) -> None:
+        """Close the connection of an attempt, where it is on one."""
+
+    def update_address(self, server: Server, address: tuple[str, int]) -> None:
+        """Take in where a server is to be found, and its state."""
+
+    def close_idle(self, server: Server) -> None:
+        """Close the idle connections to a server."""
+
 
+class Counter(Protocol):
+    """The shared counter, or what stands between it and the decisions. Called under the lock."""
 
-class SocketPort:
-    """How the decisions act on sockets.
+    def count(self, name: int, amount: float, lifetime: float, callback: CounterCallback, /) -> None:
+        """Add to a named count that lives `lifetime` s from its first add; `callback` gets the total."""
 
-    Whatever happens is told to them by `run`, one thing at a time. Under its lock only memory is touched:
-    what has to be written, dialled, closed or logged goes to `todo`, which the same thread does after it.
+
+class CounterRecovery(Counter, Protocol):
+    """Recovery of lost counts (`recovery.Recovery`): takes the calls to the counter where it is in use."""
+
+    def fleet(self, limiters: int, /) -> None:
+        """The number of limiters not known to have left changed."""
+
+
+class PendingResponse(Protocol):
+    """Where the final answer of a client's request goes."""
+
+    def complete(self, *parts: bytes | bytearray) -> None:
+        """Send the final answer."""
+
+
+class EncodableRequest(Protocol):
+    """A request as its client sent it (`request_codec.ParsedRequest`)."""
+
+    def encode_for_server(self, time_left: float, /) -> bytes:
+        """The command that asks a server, with the seconds left for its answer."""
+
+
+class ClientRequest(Protocol):
+    """What the requests of this port have beyond `model.Request`, as created by `clients`."""
+
+    parsed: EncodableRequest
+    response: PendingResponse
+
+
+class SocketGatewayPort(EventLoop):
+    """Implements `ports.GatewayPort` on sockets. All its methods are called under the lock.
+
+    The neighbours are set once, before the first event, by the program that creates them (`program.run`);
+    those without a default must be, but for `counter` where the settings have none.
     """
 
+    gateway: GatewayEvents
+    upstreams: Upstreams
+    counter: Counter
+
     def __init__(
         self,
-        faults: Callable[[BaseException], None],
-        grain: float,
-        log_woken: Callable[[float], None] = lambda seconds: None,
+        report_error: ErrorReporter,
+        timer_resolution: float,
+        log_suspension: Callable[[float], None] = lambda seconds: None,
     ):
-        self.log_woken = log_woken
-        self.now, self.lock, self.faults = monotonic(), Lock(), faults
-        self.alarms, self.order, self.grain = [], 0, grain
-        # Held while nobody rings; when the timers look next by themselves
-        self.bell, self.looks_at = (
-            Lock(),
-            0.0,
-        )
-        self.todo, self.soon = [], deque()
-        # Told of each final answer: s it took, proxied or not
-        self.watch: Callable[[Request, float, bool], None] | None = None
-        self.recovery = None  # stands before the counter where the operator's file has it
-        self.gateway = self.servers = self.counter = self.discovery = None  # set where the program is wired
-
-    def run(self, at: float, event: Callable[..., None], *args) -> None:
-        """Run an event under the lock, at a moment (s, monotonic), and carry out what it asks for."""
-        with self.lock:
-            self.tell(at, event, *args)
-            todo, self.todo = self.todo, []
-        self.carry_out(todo)
-
-    def tell(self, at: float, event: Callable[..., None], *args) -> None:
-        """Run an event under the lock; a fault in it is reported and costs itself alone."""
-        if at > self.now:
-            self.now = at
-        try:
-            event(*args)
-            while self.soon:
-                self.soon.popleft()()
-        except Exception as met:  # a fault costs the one thing that met it, not the program
-            self.todo.append((self.faults, met))
-
-    def carry_out(self, todo: list[tuple]) -> None:
-        """Do what waits until the lock is free."""
-        for act, *args in todo:
-            try:
-                act(*args)
-            except Exception as met:
-                self.faults(met)
-
-    def run_timers(self) -> None:
-        """A thread of its own.
-
-        Calls back what is due, and looks again no sooner than after a grain of time.
-        """
-        alarms = self.alarms
-        self.bell.acquire()
-        while True:
-            with self.lock:
-                self.bell.acquire(blocking=False)  # it may have been rung just as the wait was over
-                now = monotonic()
-                while alarms and alarms[0][0] <= now:
-                    self.tell(now, heappop(alarms)[2])
-                    now = monotonic()
-                todo, self.todo = self.todo, []
-                self.looks_at = max(alarms[0][0], now + self.grain) if alarms else float("inf")
-                wait = min(self.looks_at - now, TIMEOUT_MAX)
-            self.carry_out(todo)
-            self.bell.acquire(timeout=wait)
-
-    # the port
-
-    def later(self, seconds: float, callback: Callable[[], None]) -> None:
-        """Call back after so many seconds, under the lock."""
-        at = self.now + max(0.0, seconds)
-        self.order += 1
-        heappush(self.alarms, (at, self.order, callback))
-        if at < self.looks_at - self.grain:
-            self.looks_at = 0.0  # rung once is enough
-            self.bell.release()
+        """`log_suspension`: called without the lock with the seconds for which this process was suspended."""
+        super().__init__(report_error, timer_resolution)
+        self.log_suspension = log_suspension
+        self.recovery: CounterRecovery | None = None
+        self.on_request_finished: RequestObserver | None = None
+
+    # ports.GatewayPort
 
     def start_attempt(self, request: Request, server: Server, timeout: float) -> Attempt:
-        """Begin an attempt (ports.GatewayPort)."""
-        one = Attempt(request, server, len(request.attempts), self.now)
-        request.attempts.append(one)
-        left = request.deadline - self.now
-        left = min(timeout, left) if timeout > 0 else left
-        self.servers.send(one, self.now + left)
-        self.later(left, lambda: self.give_up(one, Outcome.TIMEOUT))
-        return one
+        """Send a request to a server (`ports.AttemptPort`)."""
+        attempt = Attempt(request, server, len(request.attempts), self.now)
+        request.attempts.append(attempt)
+        time_left = request.deadline - self.now
+        if timeout > 0:
+            time_left = min(timeout, time_left)
+        self.upstreams.send(attempt, self.now + time_left)
+        self.later(time_left, lambda: self._time_out(attempt))
+        return attempt
 
     def cancel_attempt(self, attempt: Attempt) -> None:
-        """Give an attempt up (ports.GatewayPort)."""
+        """Stop waiting for an attempt (`ports.AttemptPort`)."""
         if attempt.outcome is None:
-            self.servers.abandon(attempt)
-            self.soon.append(lambda: self.end_try(attempt, Outcome.CANCELLED))
+            self.upstreams.cancel(attempt)
+            self.call_soon(lambda: self.end_attempt(attempt, Outcome.CANCELLED))
 
     def reject_request(self, request: Request, retry_after: float) -> None:
-        """Refuse a request (ports.GatewayPort)."""
-        request.response.complete(request_codec.encode_rejected(retry_after))
-        self.watched(request, False)
+        """Reject a request (`ports.AnswerPort`)."""
+        self._answer(request, request_codec.encode_rejected(retry_after))
 
     def fail_request(self, request: Request) -> None:
-        """Tell that a request failed (ports.GatewayPort)."""
-        request.response.complete(request_codec.ENCODED_FAILURE)
-        self.watched(request, False)
-
-    def watched(self, request: Request, proxied: bool) -> None:
-        """Tell who counts answers of this one."""
-        if self.watch:
-            self.watch(request, self.now - (request.deadline - request.route.client_timeout), proxied)
+        """Answer that a request failed (`ports.AnswerPort`)."""
+        self._answer(request, request_codec.ENCODED_FAILURE)
 
     def add_to_counter(self, name: int, amount: float, lifetime: float, callback: CounterCallback) -> None:
-        """Add to a count (ports.GatewayPort)."""
+        """Add to a count (`ports.CounterPort`)."""
         (self.recovery or self.counter).count(name, amount, lifetime, callback)
 
     def watch_servers(self, on: bool) -> None:
-        """Discovery is watched all along and asked again by itself."""
+        """Do nothing (`ports.ServerListPort`): discovery is watched all the time."""
 
-    # how tries end
+    # ends of attempts
 
-    def give_up(self, one: Attempt, outcome: Outcome) -> None:
-        """End an attempt from this side."""
-        if one.outcome is None:
-            self.servers.abandon(one)
-            self.end_try(one, outcome)
+    def end_attempt(self, attempt: Attempt, outcome: Outcome, response: ServerResponse = NO_RESPONSE) -> None:
+        """End an attempt once, answer its request where it was served, and report the end to the decisions.
 
-    def end_try(
-        self,
-        one: Attempt,
-        outcome: Outcome,
-        value: bytes | None = None,
-        charged: float = 0.0,
-        used: float | None = None,
-        report: dict | None = None,
-    ) -> None:
-        """An attempt ended: tell the decisions."""
-        if one.outcome is not None:
+        `response` has a value where the outcome is OK.
+        """
+        if attempt.outcome is not None:
             return
-        one.outcome = outcome
-        final = one.request.pending is None
-        if outcome is Outcome.OK and not final:
-            one.request.response.complete(*request_codec.encode_served(value))
-            self.watched(one.request, True)
-            final = True
-        self.gateway.on_attempt_ended(one, self.now - one.sent_at, final, charged, used, report or {})
+        attempt.outcome = outcome
+        request = attempt.request
+        final = request.pending is None
+        charged_units = 0.0
+        if outcome is Outcome.OK:
+            charged_units = response.charged_units
+            if not final and response.value is not None:
+                self._answer(request, *request_codec.encode_served(response.value), served=True)
+                final = True
+        duration = self.now - attempt.sent_at
+        self.gateway.on_attempt_ended(
+            attempt, duration, final, charged_units, response.used_units, response.load_report
+        )
+
+    def _time_out(self, attempt: Attempt) -> None:
+        """End an attempt that has no answer in time."""
+        if attempt.outcome is None:
+            self.upstreams.cancel(attempt)
+            self.end_attempt(attempt, Outcome.TIMEOUT)
+
+    def _answer(self, request: Request, *parts: bytes | bytearray, served: bool = False) -> None:
+        """Give a request its final answer."""
+        cast(ClientRequest, request).response.complete(*parts)
+        if self.on_request_finished:
+            started_at = request.deadline - request.route.client_timeout
+            self.on_request_finished(request, self.now - started_at, served)
--- a/brookhub/routing/recovery.py
+++ b/brookhub/routing/recovery.py
@@ -73,7 +73,7 @@
 
     def log(self, event: str, **facts) -> None:
         """Log an event of the recovery."""
-        self.port.todo.append((lambda: self.out.info(event, **{"what": "recovery", **facts}),))
+        self.port.defer(lambda: self.out.info(event, **{"what": "recovery", **facts}))
 
     # the ledger's file
 
@@ -110,13 +110,13 @@
         self.port.later(WRITE, self.flush)
         if self.unwritten:
             data, self.unwritten = b"".join(self.unwritten), []
-            self.port.todo.append((self.write, data))
+            self.port.defer(self.write, data)
 
     def renew(self) -> None:
         """The whole ledger in a new file, in place of the old."""
         self.port.later(SNAPSHOT, self.renew)
         self.unwritten = []
-        self.port.todo.append((self.replace, snapshot(self.core.ledger, self.now(), time())))
+        self.port.defer(self.replace, snapshot(self.core.ledger, self.now(), time()))
 
     # outside the lock, by one thread at a time: the timers'
 
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -262,13 +262,13 @@
     def ended(self):
         """The reasons logged so far, each with the peer that it was about."""
         lines = [json.loads(line) for line in self.log_path.read_text().splitlines() if line.startswith("{")]
-        return [(line["peer"], line["reason"]) for line in lines if line["event"] == "connection ended"]
+        return [(line["peer"], line["reason"]) for line in lines if line["event"] == "connection closed"]
 
     def faults(self):
         return [
             line
             for line in self.log_path.read_text().splitlines()
-            if '"fault"' in line or "Traceback" in line
+            if any(mark in line for mark in ('"internal error"', '"internal-error"', "Traceback"))
         ]
 
     def descriptors(self):
@@ -351,7 +351,7 @@
     if failed:
         raise failed[0]
     assert not outcome.result.broken, outcome.result.first_break
-    assert not [line for one in lab.limiters for line in one.lines() if line["event"] == "fault"]
+    assert not [line for one in lab.limiters for line in one.lines() if line["event"] == "internal error"]
     return outcome
 
 
--- a/tests/test_choices_processes.py
+++ b/tests/test_choices_processes.py
@@ -36,7 +36,7 @@
     """Whether each limiter leaves the bad server alone, by its last word on it (a loaded machine may add others)."""
     held = set()
     for one in lab.limiters:
-        told = [line for line in one.lines() if line["event"] == "servers left alone"]
+        told = [line for line in one.lines() if line["event"] == "upstreams ejected"]
         held.add(bool(told) and IDENT in told[-1]["servers"])
     return held == {True}
 
@@ -83,7 +83,7 @@
             line
             for one in lab.limiters
             for line in one.lines()
-            if line["event"] == "servers left alone" and line["servers"]
+            if line["event"] == "upstreams ejected" and line["servers"]
         ]
         assert len(told) <= 2, told  # 2: what is usual is known after the first
 
--- a/tests/test_endings.py
+++ b/tests/test_endings.py
@@ -24,7 +24,7 @@
 from brookhub.protocol.json_documents import JsonObjectReader
 from brookhub.routing import connections
 from brookhub.routing.connections import Reconnector
-from brookhub.routing.port import SocketPort
+from brookhub.routing.port import SocketGatewayPort
 from brookhub.transport import threads
 from brookhub.transport.ring_buffer import RingBuffer
 from brookhub.transport.sockets import Listener
@@ -166,7 +166,7 @@
 
 def test_a_watch_whose_thread_the_system_refused_is_begun_again(monkeypatch):
     # Before: the thread was asked for once, and a list never heard of was never heard of.
-    port, begun, refused = SocketPort(print, 0.001), threading.Event(), [True, True]
+    port, begun, refused = SocketGatewayPort(print, 0.001), threading.Event(), [True, True]
     threads.start_thread("timers", port.run_timers)
     monkeypatch.setattr(connections, "THREAD_PAUSE", 0.02)
     monkeypatch.setattr(
@@ -306,7 +306,7 @@
     program = started(servers=[late, good])
     with Client(program) as client:
         assert [client.ask(api_call(n, "once")) for n in range(8)] == [b"ok"] * 8
-    assert ("server", "unconnected") in program.ended()
+    assert ("server", "connect-failed") in program.ended()
     assert late.open(1.5) == b"" and len(good.asked) == len({words[2] for words in good.asked}) == 8
 
 
@@ -357,7 +357,7 @@
         for number in range(1, 21):
             assert client.ask(api_call(number)) == b"%016x" % number
             time.sleep(0.004)
-    assert ("server", "nonsense") in program.ended()
+    assert ("server", "protocol-error") in program.ended()
 
 
 def test_a_further_attempt_tells_its_server_only_the_time_that_is_left(started):
--- a/tests/test_fleet_processes.py
+++ b/tests/test_fleet_processes.py
@@ -73,7 +73,7 @@
         assert until(all_hold(lab, 5), 5), present(lab)
         own = [line for line in lab.limiters[1].lines() if line["event"] == "fleet"]
         assert not any("dead" in text for line in own for text in line["absent"]), own
-        assert any(line["event"] == "was stopped" for line in lab.limiters[1].lines())
+        assert any(line["event"] == "process was suspended" for line in lab.limiters[1].lines())
 
     outcome = lab(script, 30.0)
     # Its calls were lost while it stood still; the judge excuses no late answer
@@ -228,7 +228,9 @@
     program = Program(tmp_path, start={"membership": str(path)} if named else {}, settings={"limits": limits})
     try:
         assert len(udp_sockets(program.process.pid)) == opens
-        refused = [line for line in program.log_path.read_text().splitlines() if "membership refused" in line]
+        refused = [
+            line for line in program.log_path.read_text().splitlines() if "membership disabled" in line
+        ]
         assert len(refused) == (named and not opens)
         assert ("brookhub/membership" in Path(f"/proc/{program.process.pid}/maps").read_text()) is False
         # Nor is it imported
@@ -237,7 +239,7 @@
         program.close()
 
 
-@pytest.mark.parametrize("reader", ["peers", "recovery"])
+@pytest.mark.parametrize("reader", ["read_membership_file", "read_recovery_file"])
 def test_nobody_is_let_in_before_the_operator_s_files_are_read(tmp_path, monkeypatch, reader):
     """What connects earlier waits in the system, its calls' time not begun.
 
@@ -249,9 +251,9 @@
         port = probe.getsockname()[1]
     met, config = [], tmp_path / "config.json"
 
-    def read(start):
+    def read(path):
         with socket.socket() as client:
-            met.append(client.connect_ex(start.listen))
+            met.append(client.connect_ex(("127.0.0.1", port)))
         raise start_file.StartError("enough seen")
 
     monkeypatch.setattr(start_file, reader, read)
@@ -261,13 +263,13 @@
                 "listen": f"127.0.0.1:{port}",
                 "discovery": "127.0.0.1:9",
                 "counter": "127.0.0.1:9",
-                "membership" if reader == "peers" else "recovery": "some.toml",
+                "membership" if reader == "read_membership_file" else "recovery": "some.toml",
                 "settings": {**SETTINGS, "limits": {"max_attempts": 3, "peer_messages": True}},
             }
         )
     )
     with pytest.raises(start_file.StartError, match="enough seen"):
-        run.Program(start_file.read({"NODE_CONFIG": str(config)}))
+        run.GatewayProcess(start_file.read({"NODE_CONFIG": str(config)}))
     assert met == [errno.ECONNREFUSED]
 
 
--- a/tests/test_golden_keys.py
+++ b/tests/test_golden_keys.py
@@ -90,7 +90,7 @@
 
 
 def test_a_plan_with_every_key_is_read_value_by_value() -> None:
-    plan = json.loads(msgspec.json.encode(start_file.plan_from_file(GOLDEN / "plan.toml")))
+    plan = json.loads(msgspec.json.encode(start_file.read_plan(GOLDEN / "plan.toml")))
     machines = [["rack-a1", "a", 8.0, ["s-0", "s-3"], ""], ["rack-b1", "b", 4.0, ["s-1"], "n3"]]
     limits = [2, 3, 0.25, 0.9, 0.4, 1800.0, 45.0, 20.0, 2.5]
     assert plan == [3, machines, ["n0", "n1", "n2"], *limits, ["n1", "n2", "n3"], 1]
@@ -145,13 +145,20 @@
 
 def loaded(told: dict[str, Any]) -> list[Any]:
     """All that is read from a start file, by position."""
-    start = start_file.Start(told, {}, False)
+    start = start_file.parse(told, {}, False)
     settings = dataclasses.astuple(read_gateway_settings(told["settings"]))
-    known = start.known and [
-        (start.known.version, start.known.whole),
-        *([getattr(host, name) for name in type(host).__slots__] for host in start.known.hosts),
+    known = start.initial_server_list and [
+        (start.initial_server_list.version, start.initial_server_list.is_complete),
+        *(
+            [getattr(host, name) for name in type(host).__slots__]
+            for host in start.initial_server_list.servers
+        ),
+    ]
+    others = [
+        value
+        for name, value in vars(start).items()
+        if name not in ("gateway_settings", "initial_server_list")
     ]
-    others = [value for name, value in vars(start).items() if name not in ("gateway_settings", "known")]
     return [settings, known, load_columns(told), *others]
 
 
@@ -194,7 +201,7 @@
 
 def test_the_start_file_is_asked_for_the_golden_keys_and_no_others() -> None:
     asked: set[str] = set()
-    start_file.Start(RecordingDict(sample(), asked), {}, False)
+    start_file.parse(RecordingDict(sample(), asked), {}, False)
     load_columns({"settings": RecordingDict(sample()["settings"], asked, "settings.")})
     assert sorted(asked) == KEYS["start file and settings"]
 
--- a/tests/test_maintenance_processes.py
+++ b/tests/test_maintenance_processes.py
@@ -197,7 +197,7 @@
             path.write_text(plan() + "typo = 1\n")
             os.kill(program.process.pid, signal.SIGHUP)
             # One line, and the old plan goes on
-            assert until(lambda: "not reloaded" in program.log_path.read_text(), 3)
+            assert until(lambda: "reload failed" in program.log_path.read_text(), 3)
         assert not program.faults()
     finally:
         program.close()
--- a/tests/test_processes.py
+++ b/tests/test_processes.py
@@ -121,7 +121,7 @@
         outcome = lab.play()
         outcome.seen = lab.seen
         pids = [one.process.pid for one in lab.limiters]
-        faults = [line for one in lab.limiters for line in one.lines() if line["event"] == "fault"]
+        faults = [line for one in lab.limiters for line in one.lines() if line["event"] == "internal error"]
     assert not faults, faults[0]
     assert all(not os.path.exists(f"/proc/{pid}") for pid in pids)  # all that it started has ended
     return outcome
--- a/tests/test_program.py
+++ b/tests/test_program.py
@@ -110,7 +110,7 @@
     program = started(servers=[gone, there])
     with Client(program) as client:
         assert [client.ask(api_call(n, "once")) for n in range(12)] == [b"ok"] * 12
-    assert until(lambda: ("server", "unconnected") in program.ended())
+    assert until(lambda: ("server", "connect-failed") in program.ended())
 
 
 def test_a_connection_closed_while_idle_is_not_used_again(started):
@@ -157,7 +157,7 @@
     )
     with Client(program) as client:
         assert client.ask(api_call(1)) == b"ok"
-    assert until(lambda: ("server", "idle") in program.ended()) and not program.servers[0].open
+    assert until(lambda: ("server", "idle-timeout") in program.ended()) and not program.servers[0].open
 
 
 def test_a_silent_server_costs_each_call_its_time_and_no_more(started):
@@ -167,7 +167,7 @@
         assert client.ask(api_call(1, patience=500)) == b"-ERR failed"
         assert 0.45 < time.monotonic() - began < 1.5
     assert until(lambda: not program.servers[0].open)  # to give up a try is to close its connection
-    assert until(lambda: ("server", "abandoned") in program.ended())
+    assert until(lambda: ("server", "cancelled") in program.ended())
 
 
 def test_a_client_that_closes_has_left_and_its_try_is_abandoned(started):
--- a/tests/test_routing.py
+++ b/tests/test_routing.py
@@ -21,15 +21,15 @@
     discovery as discovery_module,
 )
 from brookhub.routing import (
-    servers as servers_module,
+    upstreams as upstreams_module,
 )
 from brookhub.routing.client_connection import ClientConnection
 from brookhub.routing.clients import ClientLimits, Clients
 from brookhub.routing.connections import Reconnector
-from brookhub.routing.counter import Counter
-from brookhub.routing.discovery import Discovery
-from brookhub.routing.port import SocketPort
-from brookhub.routing.servers import Servers
+from brookhub.routing.counter import CounterClient
+from brookhub.routing.discovery import DiscoveryClient
+from brookhub.routing.port import SocketGatewayPort
+from brookhub.routing.upstreams import UpstreamConnections, UpstreamSettings
 from brookhub.site import Plan, Route
 from brookhub.transport.ring_buffer import RingBuffer
 from brookhub.transport.sockets import Listener
@@ -95,18 +95,28 @@
         self.lists.append([(server.id, server.state) for server in servers])
 
 
+UPSTREAM_SETTINGS = UpstreamSettings(
+    connect_timeout=0.25,
+    idle_timeout=5.0,
+    settle_time=0.003,
+    max_connections=3,
+    max_value_bytes=300_000,
+    max_partial_bytes=500_000,
+)
+
+
 @pytest.fixture
 def port(monkeypatch):
     """A port whose events run at once; connections to servers are dialled when the test says so."""
     faults, dialled = [], []
     monkeypatch.setattr(
-        servers_module, "start_thread", lambda name, work: dialled.append(work.__self__) or True
+        upstreams_module, "start_thread", lambda name, work: dialled.append(work.__self__) or True
     )
     for module in (counter_module, discovery_module):
         monkeypatch.setattr(module, "start_thread_with_retry", lambda port, name, work: None)
-    made = SocketPort(faults.append, 0.0)
+    made = SocketGatewayPort(faults.append, 0.0)
     made.gateway, made.dialled = Decisions(), dialled
-    made.servers = Servers(made, lambda *_: None, 0.25, 5.0, 0.003, 3, 300_000, 500_000)
+    made.upstreams = UpstreamConnections(made, lambda *_: None, UPSTREAM_SETTINGS)
     made.start = made.now
     yield made
     assert faults == []
@@ -132,10 +142,8 @@
 def advance(port, seconds):
     """Run the timers that are due in that time, as the thread of the timers would."""
     end = port.now + seconds
-    while port.alarms and min(port.alarms)[0] <= end:
-        due = min(port.alarms)
-        port.alarms.remove(due)
-        port.run(due[0], due[2])
+    while (due_at := port.timers.next_due_at()) <= end:
+        port.run(due_at, port.timers.pop())
     port.now = end
 
 
@@ -155,13 +163,13 @@
 
 def server(port, ident=1):
     made = Server(ident)
-    port.servers.listed(made, ("127.0.0.1", ident))
+    port.upstreams.update_address(made, ("127.0.0.1", ident))
     return made
 
 
 def come_up(port, link):
     link.stream = Remembering()
-    at(port, port.servers.connected, link)
+    at(port, port.upstreams.on_connected, link)
     return link.stream
 
 
@@ -170,7 +178,7 @@
 
 def hear(port, link, data):
     link.stream.coming = data
-    at(port, port.servers.heard, link)
+    at(port, port.upstreams.on_readable, link)
 
 
 def tries(port, *whats):
@@ -202,11 +210,11 @@
     early, late = port.dialled
     come_up(port, late)
     early.stream = Remembering()
-    at(port, port.servers.connected, early)
+    at(port, port.upstreams.on_connected, early)
     early.stream.bytes_maybe_written = 3
     early.stream.abort("reset")  # sealed, as the thread that reads it does first
     for link in (early, late):
-        at(port, port.servers.broke, link)
+        at(port, port.upstreams.on_disconnected, link)
     assert outcomes(port) == [Outcome.CONNECT_FAILED, Outcome.RESET]
 
 
@@ -231,7 +239,7 @@
     advance(port, 0.01)
     stream.coming = more if late else b""  # here, and its thread has not yet come to it
     tries(port, (second, where))
-    assert stream.close_reason == "nonsense" and len(port.dialled) == 2 and len(stream.said) == 1
+    assert stream.close_reason == "protocol-error" and len(port.dialled) == 2 and len(stream.said) == 1
 
 
 def test_a_connection_rests_a_moment_after_its_answer(port):
@@ -271,10 +279,10 @@
             hear(port, link, piece)
         assert (
             outcomes(port)[-1] is Outcome.ERROR
-            and stream.close_reason in ("nonsense", "oversized")
+            and stream.close_reason in ("protocol-error", "oversized")
             and one.said == []
         )
-        assert len(stream.inbound) <= resp.BUFFER_BYTES and link not in port.servers.idle
+        assert len(stream.inbound) <= resp.BUFFER_BYTES and link not in port.upstreams.idle
 
 
 def test_a_try_given_up_closes_its_connection_before_the_next_is_written(port):
@@ -285,9 +293,9 @@
 
     def move():
         port.cancel_attempt(first)
-        port.soon.append(lambda: port.start_attempt(one, other, 0.0))
+        port.call_soon(lambda: port.start_attempt(one, other, 0.0))
 
-    port.servers.start = lambda link: order.append("dialled")
+    port.upstreams.start = lambda link: order.append("dialled")
     at(port, move)
     assert order == ["closed", "dialled"] and outcomes(port) == [Outcome.CANCELLED]
     hear(port, port.dialled[0], VALUE)
@@ -299,7 +307,7 @@
     tries(port, (one, where))
     stream = come_up(port, port.dialled[0])
     advance(port, 1.0)
-    assert outcomes(port) == [Outcome.TIMEOUT] and stream.close_reason == "abandoned"
+    assert outcomes(port) == [Outcome.TIMEOUT] and stream.close_reason == "cancelled"
 
 
 def test_connections_are_bounded_and_the_longest_idle_makes_room(port):
@@ -311,15 +319,15 @@
     for link in port.dialled:
         hear(port, link, VALUE)
     tries(port, (call(port), other))
-    assert streams[0].close_reason == "made-room" and len(port.dialled) == 4
+    assert streams[0].close_reason == "evicted" and len(port.dialled) == 4
     advance(port, 0.0)
-    at(port, port.servers.retire, after=6.0)
-    assert streams[1].close_reason == streams[2].close_reason == "idle" and not port.servers.idle
+    at(port, port.upstreams.retire_idle, after=6.0)
+    assert streams[1].close_reason == streams[2].close_reason == "idle-timeout" and not port.upstreams.idle
 
 
 def test_tries_keep_the_rules_through_a_random_run(port):
     chance, where, open_calls, all_calls = random.Random(4), [server(port, n) for n in range(4)], [], []
-    port.servers.most_links = 1500
+    port.upstreams.settings = replace(UPSTREAM_SETTINGS, max_connections=1500)
     for _ in range(1500):
         step = chance.randrange(7)
         if step < 2 and len(open_calls) < 6:
@@ -331,11 +339,11 @@
         elif step == 2 and port.dialled:
             link = port.dialled.pop(chance.choice([0, -1, -1]))
             if chance.random() < 0.2:
-                at(port, port.servers.broke, link)
+                at(port, port.upstreams.on_disconnected, link)
             else:
                 come_up(port, link)
-        elif step == 3 and port.servers.out:
-            link = chance.choice(list(port.servers.out.values()))
+        elif step == 3 and port.upstreams.in_flight:
+            link = chance.choice(list(port.upstreams.in_flight.values()))
             if link.stream:
                 hear(
                     port,
@@ -344,28 +352,30 @@
                         [VALUE, b"-BUSY\r\n", b"-ERR failed\r\n", b"$-1\r\n", b"?\r\n", VALUE[:9], VALUE * 2]
                     ),
                 )
-        elif step == 4 and port.servers.out:
-            one, link = chance.choice(list(port.servers.out.items()))
+        elif step == 4 and port.upstreams.in_flight:
+            one, link = chance.choice(list(port.upstreams.in_flight.items()))
             if link.stream:
                 link.stream.abort("reset")
-                at(port, port.servers.broke, link)
+                at(port, port.upstreams.on_disconnected, link)
             else:
                 at(port, port.cancel_attempt, one)
         elif step == 5:
             one = chance.choice(where)
             one.state = chance.choice([ServerState.READY, ServerState.DRAINING])
-            port.servers.listed(one, ("127.0.0.1", 1))
+            port.upstreams.update_address(one, ("127.0.0.1", 1))
         advance(port, chance.choice([0.0, 0.01, 0.1]))
-        for link in [link for link in port.servers.idle if chance.random() < 0.05]:
-            at(port, port.servers.broke, link)
+        for link in [link for link in port.upstreams.idle if chance.random() < 0.05]:
+            at(port, port.upstreams.on_disconnected, link)
         open_calls = [one for one in open_calls if one.pending and port.now < one.deadline]
         # Each try ends once, no connection carries two, what is free carries none, an answer goes out once.
         ended = [one for one, _, _ in port.gateway.ends]
         assert len(ended) == len(set(map(id, ended)))
-        assert all(link.one is one and one.outcome is None for one, link in port.servers.out.items())
-        assert all(link.one is None and not link.ended for link in port.servers.idle)
+        assert all(
+            link.attempt is one and one.outcome is None for one, link in port.upstreams.in_flight.items()
+        )
+        assert all(link.attempt is None and not link.close_reason for link in port.upstreams.idle)
         assert all(len(one.said) <= 1 for one in all_calls)
-        assert all(link in link.pool.idle for link in port.servers.idle)
+        assert all(link in link.pool.idle for link in port.upstreams.idle)
     assert len(port.gateway.ends) > 100 and set(outcomes(port)) >= set(Outcome) - {
         Outcome.CANCELLED,
         Outcome.DEFERRED,
@@ -373,7 +383,7 @@
 
 
 def test_a_fault_costs_its_call_an_error_and_those_behind_it_nothing(port):
-    heard, port.faults = [], lambda met: heard.append(str(met))
+    heard, port.report_error = [], lambda met: heard.append(str(met))
     routes, plans = [Route("look", 1.0, 2.0)], [Plan("wide")]
     settings = replace(DEFAULT_SETTINGS, routes=tuple(routes), plans=tuple(plans), gateways=1)
     clients = Clients(port, lambda *_: None, settings, lambda: True, replace(LIMITS, max_connections=9))
@@ -432,10 +442,10 @@
 
 
 def counter_of(port, links=2):
-    made = Counter(port, reconnector, 0.08, links, 1.0)
-    at(port, made.move, ("127.0.0.1", 1))
-    for link in made.coming:
-        at(port, link.up, Remembering())
+    made = CounterClient(port, reconnector, 0.08, links, 1.0)
+    at(port, made.set_address, ("127.0.0.1", 1))
+    for link in made.newest:
+        at(port, link.on_connected, Remembering())
     return made
 
 
@@ -455,24 +465,24 @@
 def test_counts_are_told_once_in_order_whatever_comes_late(port):
     counter = counter_of(port)
     first, second = ask(port, counter), ask(port, counter)
-    link = counter.links[1]
-    at(port, link.answered, link.stream, [b"5"], after=0.01)
+    link = counter.active[1]
+    at(port, link.on_replies, link.stream, [b"5"], after=0.01)
     assert first == [(Outcome.OK, 5.0, 0.01)] and second == []
     advance(port, 0.1)
     assert second == [(Outcome.TIMEOUT, 0.0, 0.08)]
     third = ask(port, counter)
-    at(port, link.answered, link.stream, [b"6", resp.ErrorReply(b"BUSY")])
+    at(port, link.on_replies, link.stream, [b"6", resp.ErrorReply(b"BUSY")])
     assert len(second) == 1 and [outcome for outcome, *_ in third] == [Outcome.BUSY]
 
 
 def test_an_add_is_in_doubt_only_if_its_last_byte_may_have_been_written(port):
     counter = counter_of(port, 1)
-    stream = counter.links[0].stream
+    stream = counter.active[0].stream
     written = ask(port, counter)
     stream.flush = lambda: None
     unwritten = ask(port, counter)
     stream.abort("reset")
-    at(port, counter.links[0].down, stream)
+    at(port, counter.active[0].on_disconnected, stream)
     assert written[0][0] is Outcome.TIMEOUT and unwritten[0][0] is Outcome.CONNECT_FAILED
     assert ask(port, counter)[0][0] is Outcome.CONNECT_FAILED  # none is up: nothing is added
     advance(port, 1.0)
@@ -481,47 +491,47 @@
 
 def test_a_counter_that_is_slow_is_kept_and_a_silent_one_left(port):
     counter = counter_of(port, 1)
-    link = counter.links[0]
+    link = counter.active[0]
     stream = link.stream
     for _ in range(8):  # late answers are a word
         ask(port, counter)
-        at(port, link.answered, stream, [b"1"], after=0.4)
-        at(port, link.beat)
+        at(port, link.on_replies, stream, [b"1"], after=0.4)
+        at(port, link.send_heartbeat)
     assert stream.close_reason is None
     ask(port, counter)
-    at(port, link.beat, after=0.9)
+    at(port, link.send_heartbeat, after=0.9)
     assert stream.close_reason is None
-    at(port, link.beat, after=0.2)
-    assert stream.close_reason == "silent"
+    at(port, link.send_heartbeat, after=0.2)
+    assert stream.close_reason == "read-timeout"
 
 
 def test_an_idle_counter_connection_is_kept_open_and_nonsense_ends_it(port):
     counter = counter_of(port, 1)
-    link = counter.links[0]
-    at(port, link.beat)
+    link = counter.active[0]
+    at(port, link.send_heartbeat)
     assert link.stream.said == [b"*1\r\n$4\r\nPING\r\n"]
-    at(port, link.answered, link.stream, [resp.SimpleString(b"PONG")])
-    assert link.stream.close_reason is None and not link.waiting
+    at(port, link.on_replies, link.stream, [resp.SimpleString(b"PONG")])
+    assert link.stream.close_reason is None and not link.pending
     doubt = ask(port, counter)
-    at(port, link.answered, link.stream, [b"many"])
-    assert doubt[0][0] is Outcome.TIMEOUT and link.stream.close_reason == "nonsense"
+    at(port, link.on_replies, link.stream, [b"many"])
+    assert doubt[0][0] is Outcome.TIMEOUT and link.stream.close_reason == "protocol-error"
 
 
 def test_a_moved_counter_answers_what_is_out_and_gets_what_is_new_once_it_is_up(port):
     counter = counter_of(port, 1)
-    old, out = counter.links[0], ask(port, counter)
-    at(port, counter.move, ("127.0.0.1", 2))
-    new, before = counter.coming[0], ask(port, counter)
+    old, out = counter.active[0], ask(port, counter)
+    at(port, counter.set_address, ("127.0.0.1", 2))
+    new, before = counter.newest[0], ask(port, counter)
     stream = old.stream
     assert len(stream.said) == 2 and not old.reconnector.stopped.is_set()  # none is up at the new address yet
-    at(port, new.up, Remembering())
+    at(port, new.on_connected, Remembering())
     after = ask(port, counter)
     assert len(stream.said) == 2 and len(new.stream.said) == 1 and stream.close_reason is None
-    at(port, old.answered, stream, [b"1", b"2"])
-    at(port, new.answered, new.stream, [b"3"])
+    at(port, old.on_replies, stream, [b"1", b"2"])
+    at(port, new.on_replies, new.stream, [b"3"])
     assert [heard[0][1] for heard in (out, before, after)] == [1.0, 2.0, 3.0]
     assert (
-        stream.close_reason == "moved"
+        stream.close_reason == "address-changed"
         and old.reconnector.stopped.is_set()
         and not new.reconnector.stopped.is_set()
     )
@@ -529,56 +539,56 @@
 
 def test_a_counter_that_moves_again_or_dies_while_it_moves_is_left_for_the_newest(port):
     counter = counter_of(port, 1)
-    old = counter.links[0]
-    at(port, counter.move, ("127.0.0.1", 2))
-    second = counter.coming[0]
-    at(port, counter.move, ("127.0.0.1", 3))
-    newest = counter.coming[0]
-    assert second.reconnector.stopped.is_set() and counter.links[0] is old
-    at(port, second.up, Remembering())  # its dial came up too late
-    assert second.stream.close_reason == "moved" and counter.links[0] is old
+    old = counter.active[0]
+    at(port, counter.set_address, ("127.0.0.1", 2))
+    second = counter.newest[0]
+    at(port, counter.set_address, ("127.0.0.1", 3))
+    newest = counter.newest[0]
+    assert second.reconnector.stopped.is_set() and counter.active[0] is old
+    at(port, second.on_connected, Remembering())  # its dial came up too late
+    assert second.stream.close_reason == "address-changed" and counter.active[0] is old
     lost = ask(port, counter)
-    at(port, old.down, old.stream)
-    assert counter.links[0] is newest and old.reconnector.stopped.is_set() and lost[0][0] is Outcome.TIMEOUT
-    at(port, counter.move, ("127.0.0.1", 3))
-    assert counter.coming[0] is newest  # nothing new was said
-    at(port, newest.up, Remembering())
+    at(port, old.on_disconnected, old.stream)
+    assert counter.active[0] is newest and old.reconnector.stopped.is_set() and lost[0][0] is Outcome.TIMEOUT
+    at(port, counter.set_address, ("127.0.0.1", 3))
+    assert counter.newest[0] is newest  # nothing new was said
+    at(port, newest.on_connected, Remembering())
     silent = ask(port, counter)
-    at(port, counter.move, ("127.0.0.1", 4))
-    at(port, counter.coming[0].up, Remembering())
+    at(port, counter.set_address, ("127.0.0.1", 4))
+    at(port, counter.newest[0].on_connected, Remembering())
     stream = newest.stream
     advance(port, 1.1)
     assert (
-        stream.close_reason == "moved" and silent[0][0] is Outcome.TIMEOUT
+        stream.close_reason == "address-changed" and silent[0][0] is Outcome.TIMEOUT
     )  # a silent one is not kept for ever
 
 
 def test_a_moved_watch_is_asked_anew_and_the_old_one_is_not_heard_any_more(port):
-    watch = Discovery(port, reconnector, ["a", "b"], [], 0.0, 4.5)
-    at(port, watch.move, ("127.0.0.1", 1))
-    old, stream = watch.watch, Remembering()
-    at(port, old.up, stream)
-    at(port, old.heard, news(50, True, ("x", "Ready", 0)))
-    at(port, watch.move, ("127.0.0.1", 1))
-    assert watch.watch is old and stream.close_reason is None
-    at(port, watch.move, ("127.0.0.1", 2))
-    assert stream.close_reason == "moved" and old.reconnector.stopped.is_set()
-    at(port, old.heard, news(51, True))
-    assert watch.fit() and len(port.gateway.lists) == 1
+    discovery = DiscoveryClient(port, reconnector, ["a", "b"], [], 0.0, 4.5)
+    at(port, discovery.set_address, ("127.0.0.1", 1))
+    old, stream = discovery.watch, Remembering()
+    at(port, old.on_connected, stream)
+    at(port, old.on_update, update(50, True, ("x", "Ready", 0)))
+    at(port, discovery.set_address, ("127.0.0.1", 1))
+    assert discovery.watch is old and stream.close_reason is None
+    at(port, discovery.set_address, ("127.0.0.1", 2))
+    assert stream.close_reason == "address-changed" and old.reconnector.stopped.is_set()
+    at(port, old.on_update, update(51, True))
+    assert discovery.has_had_server() and len(port.gateway.lists) == 1
     fresh = Remembering()
-    at(port, watch.watch.up, fresh)
+    at(port, discovery.watch.on_connected, fresh)
     assert b"index=0 " in fresh.said[0]
-    at(port, watch.watch.heard, news(3, False, ("x", "Terminating", 0)))  # a count of its own
+    at(port, discovery.watch.on_update, update(3, False, ("x", "Terminating", 0)))  # a count of its own
     assert port.gateway.lists[-1][0][1] is ServerState.DRAINING
 
 
 def test_a_full_ring_adds_nothing(port):
     counter = counter_of(port, 1)
-    counter.links[0].stream.full = True
+    counter.active[0].stream.full = True
     assert ask(port, counter)[0][0] is Outcome.CONNECT_FAILED
 
 
-def news(seq, whole, *items):
+def update(seq, whole, *items):
     return server_list.ServerListUpdate(
         {
             "seq": seq,
@@ -592,66 +602,81 @@
 
 
 def test_lists_and_changes_reach_the_decisions_in_their_order_and_once(port):
-    watch = Discovery(port, reconnector, ["a", "b"], [], 1000.0, 4.5)
-    port.servers.leave = lambda server: None
-    assert not watch.fit()
-    at(port, watch.heard, news(5, True, ("x", "Ready", 0), ("y", "Ready", 1500000)))
-    x, y = watch.roster.servers.values()
-    assert watch.fit() and (x.zone, x.started_at, y.started_at) == (1, 0.0, 500.0)
-    at(port, watch.heard, news(6, False, ("x", "Terminating", 0)))
-    at(port, watch.heard, news(6, False, ("x", "Ready", 0)))  # told again after the watch was opened anew
-    assert x.state is ServerState.DRAINING and len(port.gateway.lists) == 2 and watch.version == 6
-    at(port, watch.heard, news(9, True, ("x", "Terminating", 0)))
-    assert y.state is ServerState.GONE and watch.fit()
+    discovery = DiscoveryClient(port, reconnector, ["a", "b"], [], 1000.0, 4.5)
+    port.upstreams.close_idle = lambda server: None
+    assert not discovery.has_had_server()
+    at(port, discovery.on_update, update(5, True, ("x", "Ready", 0), ("y", "Ready", 1500000)))
+    x, y = discovery.registry.servers.values()
+    assert discovery.has_had_server() and (x.zone, x.started_at, y.started_at) == (1, 0.0, 500.0)
+    at(port, discovery.on_update, update(6, False, ("x", "Terminating", 0)))
+    at(
+        port, discovery.on_update, update(6, False, ("x", "Ready", 0))
+    )  # told again after the watch was opened anew
+    assert x.state is ServerState.DRAINING and len(port.gateway.lists) == 2 and discovery.version == 6
+    at(port, discovery.on_update, update(9, True, ("x", "Terminating", 0)))
+    assert y.state is ServerState.GONE and discovery.has_had_server()
 
 
 def test_servers_held_back_for_work_drain_here_whatever_the_list_says_and_are_used_again_as_it_says(port):
-    watch = Discovery(port, reconnector, ["a", "b"], [], 0.0, 4.5)
-    port.servers.leave = lambda server: None
-    at(port, watch.heard, news(5, True, ("x", "Ready", 0), ("y", "Ready", 0)))
-    x, y = (watch.roster.servers[watch.ident(name)] for name in "xy")
-    at(port, watch.hold, {"x"})
+    discovery = DiscoveryClient(port, reconnector, ["a", "b"], [], 0.0, 4.5)
+    port.upstreams.close_idle = lambda server: None
+    at(port, discovery.on_update, update(5, True, ("x", "Ready", 0), ("y", "Ready", 0)))
+    x, y = (discovery.registry.servers[discovery.server_id(name)] for name in "xy")
+    at(port, discovery.hold_back, {"x"})
     assert (x.state, y.state) == (ServerState.DRAINING, ServerState.READY) and port.gateway.lists[-1] == [
         (x.id, ServerState.DRAINING)
     ]
-    assert watch.lists("x")  # as discovery has it
-    at(port, watch.heard, news(6, False, ("x", "Ready", 0)))  # told again: it is held back all the same
+    assert discovery.is_listed_ready("x")  # as discovery has it
+    at(
+        port, discovery.on_update, update(6, False, ("x", "Ready", 0))
+    )  # told again: it is held back all the same
     assert x.state is ServerState.DRAINING
-    at(port, watch.heard, news(7, False, ("x", "Terminating", 0)))
-    assert not watch.lists("x") and watch.lists("y") and not watch.lists("z")
-    at(port, watch.hold, set())
+    at(port, discovery.on_update, update(7, False, ("x", "Terminating", 0)))
+    assert (
+        not discovery.is_listed_ready("x")
+        and discovery.is_listed_ready("y")
+        and not discovery.is_listed_ready("z")
+    )
+    at(port, discovery.hold_back, set())
     assert x.state is ServerState.DRAINING  # now it is the list that says so
-    at(port, watch.heard, news(8, False, ("x", "Ready", 9000)))
+    at(port, discovery.on_update, update(8, False, ("x", "Ready", 9000)))
     assert x.state is ServerState.READY and x.started_at == 9.0
-    at(port, watch.hold, {"x"})
-    at(port, watch.hold, {"y"})
+    at(port, discovery.hold_back, {"x"})
+    at(port, discovery.hold_back, {"y"})
     assert (x.state, y.state) == (ServerState.READY, ServerState.DRAINING)
 
 
 def test_a_server_that_takes_over_an_address_inherits_nothing_and_nothing_is_kept_of_what_is_gone(port):
-    watch = Discovery(port, reconnector, ["a", "b"], [], 0.0, 4.5)
-    at(port, watch.heard, news(1, True, ("old", "Ready", 0)))
-    (old,) = watch.roster.servers.values()
+    discovery = DiscoveryClient(port, reconnector, ["a", "b"], [], 0.0, 4.5)
+    at(port, discovery.on_update, update(1, True, ("old", "Ready", 0)))
+    (old,) = discovery.registry.servers.values()
     tries(port, (call(port), old))
     stream = come_up(port, port.dialled[0])
     hear(port, port.dialled[0], VALUE)
-    at(port, watch.heard, news(2, False, ("new", "Ready", 5000)))  # at the address that the old one had
-    (new,) = watch.roster.servers.values()
-    assert new is not old and old.state is ServerState.GONE and stream.close_reason == "unlisted"
+    at(
+        port, discovery.on_update, update(2, False, ("new", "Ready", 5000))
+    )  # at the address that the old one had
+    (new,) = discovery.registry.servers.values()
+    assert new is not old and old.state is ServerState.GONE and stream.close_reason == "server-draining"
     assert port.gateway.lists[-1] == [(new.id, ServerState.READY), (old.id, ServerState.GONE)]
     # Late news of the old one takes nothing away
-    at(port, watch.heard, news(3, False, ("old", "Terminating", 0)))
-    at(port, watch.heard, news(4, False, ("old", "Gone", 0)))
-    assert new.state is ServerState.READY and list(watch.roster.servers.values()) == [new]
+    at(port, discovery.on_update, update(3, False, ("old", "Terminating", 0)))
+    at(port, discovery.on_update, update(4, False, ("old", "Gone", 0)))
+    assert new.state is ServerState.READY and list(discovery.registry.servers.values()) == [new]
     for n in range(200):
-        at(port, watch.heard, news(5 + 2 * n, False, (f"s-{n}", "Ready", 6000 + n)))
-        at(port, watch.heard, news(6 + 2 * n, n % 2 == 0, (f"s-{n}", "Gone", 6000 + n)))
-    assert not watch.roster.servers and not port.servers.pools and not watch.places and not watch.where
+        at(port, discovery.on_update, update(5 + 2 * n, False, (f"s-{n}", "Ready", 6000 + n)))
+        at(port, discovery.on_update, update(6 + 2 * n, n % 2 == 0, (f"s-{n}", "Gone", 6000 + n)))
+    assert (
+        not discovery.registry.servers
+        and not port.upstreams.pools
+        and not discovery.addresses._servers
+        and not discovery.addresses._by_server
+    )
 
 
 def test_timers_run_in_order_close_to_their_time_and_survive_a_fault():
     faults, heard = [], []
-    port = SocketPort(faults.append, 0.001)
+    port = SocketGatewayPort(faults.append, 0.001)
     threading.Thread(target=port.run_timers, daemon=True).start()
     chance = random.Random(2)
 
@@ -712,10 +737,10 @@
     # (700 of 740).
     from random import Random
 
-    from brookhub.program.run import list_pauses
+    from brookhub.program.limits import discovery_backoff
 
     settings = replace(DEFAULT_SETTINGS, polls_server_list=True, gateways=40, server_list_max_age=10.0)
-    first, longest = list_pauses(settings)
+    first, longest = discovery_backoff(settings)
     served, _waits, capacity, wait = [], [], 1 / 0.15, 2.0
     chances, again = [Random(index).random for index in range(40)], []
     due, free_at = [(0.0, index, first) for index in range(40)], 0.0
@@ -730,9 +755,11 @@
             due.append((at + wait + pause * (0.5 + chances[index]()), index, pause))
             again.append(at)
     assert len(served) == 40 and max(served) < 15.0 and len(again) < 60
-    assert list_pauses(replace(settings, gateways=3))[0] < 0.5
-    assert list_pauses(replace(settings, gateways=1000))[0] * 1.5 < 10.0, "asked again in the time to ask in"
-    assert list_pauses(replace(settings, polls_server_list=False)) == (0.05, 1.0)
+    assert discovery_backoff(replace(settings, gateways=3))[0] < 0.5
+    assert discovery_backoff(replace(settings, gateways=1000))[0] * 1.5 < 10.0, (
+        "asked again in the time to ask in"
+    )
+    assert discovery_backoff(replace(settings, polls_server_list=False)) == (0.05, 1.0)
 
 
 def test_pauses_between_two_dials_differ_by_chance_and_heed_who_turned_away():
--- a/tests/test_sites.py
+++ b/tests/test_sites.py
@@ -11,7 +11,7 @@
 from brookhub.cli import main
 from brookhub.config import SiteFile, load
 from brookhub.model import Outcome
-from brookhub.program.start_file import Start
+from brookhub.program.start_file import parse
 from brookhub.site import Idempotency
 from helpers import World
 
@@ -26,7 +26,7 @@
         "counter": "127.0.0.1:6400",
         "settings": load(path, SiteFile).settings(gateways),
     }
-    return Start(told, {}, again=False)
+    return parse(told, {}, reload=False)
 
 
 @pytest.mark.parametrize("path", PATHS, ids=lambda path: path.stem)
