--- a/tests/test_program.py
+++ b/tests/test_program.py
@@ -528,7 +528,7 @@
                 one.close()
         (tmp_path / "config.json").write_text("{")
         program.process.send_signal(signal.SIGHUP)
-        assert until(lambda: "not reloaded" in program.log_path.read_text())
+        assert until(lambda: "reload failed" in program.log_path.read_text())
         asked = program.counter.asked
         assert until(lambda: program.counter.asked > asked + 5)
     finally:
@@ -537,7 +537,7 @@
             one.join()
     assert len(answers) > 50 and all(answer != b"-ERR failed" for answer in answers)
     assert (
-        program.log_path.read_text().count('"not reloaded"') == 1
+        program.log_path.read_text().count('"reload failed"') == 1
         and program.log_path.read_text().count('"reloaded"') == 3
     )
     assert (
