--- a/tests/test_program.py
+++ b/tests/test_program.py
@@ -27,7 +27,7 @@
 )
 
 
-def test_serves_and_passes_words_and_values_unchanged(started):
+def test_requests_and_values_are_forwarded_unchanged(started):
     program = started()
     body = bytes(range(256)) * 256
     with Client(program) as client:
@@ -70,7 +70,7 @@
     assert sum(own[:6]) >= 2 and answers[6] == b"+PONG" and answers[7].startswith(b"-ERR")
 
 
-def test_use_beyond_the_quota_is_refused_with_a_time_to_come_back(started):
+def test_requests_beyond_the_quota_are_rejected_with_a_retry_after(started):
     program = started()
     with Client(program) as client:
         answers = [client.ask(api_call(n, plan="narrow")) for n in range(6)]
@@ -94,7 +94,7 @@
         (b"$2\r\nok\r\n", "once", b"-ERR failed", 1),
     ],
 )
-def test_what_became_of_a_try_decides_whether_there_is_another(started, how, route, wanted, tries):
+def test_outcome_of_an_attempt_decides_whether_it_is_retried(started, how, route, wanted, tries):
     bad, good = FakeServer([how]), FakeServer()
     program, answers = started(servers=[bad, good]), []
     with Client(program) as client:
@@ -104,7 +104,7 @@
     assert answers[-1] == wanted and [met, *(words[2] for words in good.asked)].count(met) == tries
 
 
-def test_a_refused_dial_proves_that_nothing_ran(started):
+def test_attempt_whose_connection_is_refused_is_retried(started):
     gone, there = FakeServer(), FakeServer()
     gone.close()
     program = started(servers=[gone, there])
@@ -113,7 +113,7 @@
     assert until(lambda: ("server", "connect-failed") in program.ended())
 
 
-def test_a_connection_closed_while_idle_is_not_used_again(started):
+def test_upstream_connection_closed_while_idle_is_not_reused(started):
     program = started()
     with Client(program) as client:
         assert client.ask(api_call(1, "once")) == b"ok"
@@ -124,7 +124,7 @@
     assert program.servers[0].dialled == 2
 
 
-def test_a_connection_that_breaks_in_the_moment_of_use_may_have_run_its_call(started):
+def test_request_written_completely_to_a_breaking_connection_is_not_retried(started):
     program = started(servers=[FakeServer([0.001, "close", 0.001])])
     with Client(program) as client:
         assert client.ask(api_call(1, "once")) == b"%016x" % 1
@@ -135,7 +135,7 @@
     assert program.servers[0].dialled == 1
 
 
-def test_a_command_may_come_byte_by_byte(started):
+def test_command_received_byte_by_byte_is_served(started):
     with Client(started()) as client:
         for at in range(len(api_call(1))):
             client.sock.sendall(api_call(1)[at : at + 1])
@@ -143,7 +143,7 @@
         assert read_value(client.lines) == b"ok"
 
 
-def test_idle_connections_are_left_before_the_server_does(started):
+def test_idle_upstream_connections_are_closed_before_the_server_closes_them(started):
     program = started(
         settings={
             "limits": {
@@ -160,7 +160,7 @@
     assert until(lambda: ("server", "idle-timeout") in program.ended()) and not program.servers[0].open
 
 
-def test_a_silent_server_costs_each_call_its_time_and_no_more(started):
+def test_request_to_an_unresponsive_server_fails_at_its_deadline(started):
     program = started(servers=[FakeServer(["silent"] * 99)])
     began = time.monotonic()
     with Client(program) as client:
@@ -170,7 +170,7 @@
     assert until(lambda: ("server", "cancelled") in program.ended())
 
 
-def test_a_client_that_closes_has_left_and_its_try_is_abandoned(started):
+def test_attempt_is_cancelled_when_its_client_disconnects(started):
     program = started(servers=[FakeServer(["silent"])])
     with Client(program) as client:
         client.sock.sendall(api_call(1))
@@ -189,9 +189,7 @@
         (b"\0" * 2000, "malformed"),
     ],
 )
-def test_malformed_and_oversized_commands_end_their_connection_at_once_and_what_was_taken_has_its_answer(
-    started, data, reason
-):
+def test_malformed_command_closes_the_connection_after_pending_answers(started, data, reason):
     program = started()
     with Client(program) as client:
         client.sock.sendall(api_call(1) + data + api_call(2))
@@ -202,7 +200,7 @@
     assert len(program.servers[0].asked) <= 1
 
 
-def test_commands_that_ask_for_nothing_get_an_error_and_the_connection_stays(started):
+def test_invalid_command_gets_an_error_and_keeps_the_connection(started):
     with Client(started()) as client:
         for data in (
             command(b"FLUSHALL"),
@@ -238,7 +236,7 @@
         "",
     ],
 )
-def test_what_is_out_of_range_is_never_served_or_counted_also_under_a_usual_customer_s_name(started, fields):
+def test_request_with_a_field_out_of_range_is_neither_served_nor_counted(started, fields):
     program = started()
     with Client(program) as client:
         words = [b"CALL.GET", b"%016x" % 7, b"%016x" % 1, f"c=look,t=narrow,d=900,{fields}".encode()]
@@ -262,7 +260,7 @@
         [b"call.get", b"%016x" % 7, b"%016x" % 1],
     ],
 )
-def test_who_asks_and_under_which_id_is_read_strictly(started, words):
+def test_customer_and_request_id_are_validated(started, words):
     with Client(started()) as client:
         assert client.ask(command(*words, b"c=look,t=wide,d=900,units=1,spread=1,first=0")).startswith(
             b"-ERR "
@@ -278,7 +276,7 @@
         ).startswith(b"-ERR ")
 
 
-def test_an_id_in_use_by_another_does_not_touch_that_call(started):
+def test_duplicate_request_id_does_not_affect_the_open_request(started):
     program = started(servers=[FakeServer([0.4, 0.01])])
     with Client(program) as usual, Client(program) as other:
         usual.sock.sendall(api_call(1))
@@ -288,7 +286,7 @@
         assert other.ask(api_call(1)) == b"%016x" % 1  # it is free again
 
 
-def test_silent_and_half_said_connections_are_closed_in_time_and_idle_ones_after_a_while(started):
+def test_clients_without_a_complete_request_and_idle_clients_are_disconnected(started):
     program = started()
     with Client(program) as silent, Client(program) as half, Client(program) as once:
         began = time.monotonic()
@@ -303,7 +301,7 @@
     )
 
 
-def test_a_value_of_sixty_megabytes_and_a_line_without_end_are_refused_at_once_and_not_read(started):
+def test_huge_value_and_endless_line_are_rejected_without_being_read(started):
     program = started()
     before = program.status("VmRSS")
     for data in (
@@ -322,7 +320,7 @@
     assert program.status("VmRSS") < before + 2000
 
 
-def test_no_bytes_of_a_client_crash_it_or_leak(started):
+def test_random_client_bytes_neither_crash_nor_leak(started):
     program, chance = started(), random.Random(3)
     before = program.descriptors()
     for _ in range(120):
@@ -339,7 +337,7 @@
 
 
 @pytest.mark.parametrize("mode", ["busy", "silent", "nonsense", "close"])
-def test_calls_are_decided_whatever_the_counter_does(started, mode):
+def test_requests_are_decided_whatever_the_counter_does(started, mode):
     program = started()
     program.counter.mode = mode
     with Client(program) as client:
@@ -358,7 +356,7 @@
         )
 
 
-def test_servers_follow_the_watch_through_changes_silence_nonsense_and_breaks(started):
+def test_server_list_follows_discovery_through_changes_silence_errors_and_disconnects(started):
     one, two = FakeServer(), FakeServer()
     program = started(servers=[one])
     told = program.discovery
@@ -388,13 +386,13 @@
         two.close()
 
 
-def test_without_a_known_list_it_is_fit_once_discovery_has_told(started):
+def test_gateway_without_an_initial_list_is_ready_after_the_first_update(started):
     program = started(start={"known": None})
     with Client(program) as client:
         assert client.ask(api_call(1)) == b"ok"
 
 
-def test_a_storm_of_connections_slow_readers_and_a_silent_server_leaves_nothing_behind(started):
+def test_connection_storm_with_slow_readers_and_an_unresponsive_server_leaks_nothing(started):
     big = b"*3\r\n$60000\r\n%b\r\n$-1\r\n$-1\r\n" % (b"x" * 60000)
     program = started(
         servers=[FakeServer([big] * 400), FakeServer(["silent"] * 20)],
@@ -423,7 +421,7 @@
     assert until(lambda: program.descriptors() <= before + 8 and program.status("Threads") < 20, 15)
 
 
-def test_values_larger_than_a_ring_are_passed_on_whole_also_to_slow_readers_and_too_large_ones_are_not(
+def test_values_larger_than_the_ring_buffer_are_forwarded_up_to_the_limit(
     started,
 ):
     sizes, data = [17_000, 40_000, 65_536, 65_537, 70_000, 400_000, 2_900_000], os.urandom(2_900_000)
@@ -443,7 +441,7 @@
     assert until(lambda: ("server", "oversized") in program.ended()) and program.status("VmHWM") < 60_000
 
 
-def test_a_client_that_reads_nothing_is_cut_off_and_holds_nothing(started):
+def test_client_that_does_not_read_is_disconnected(started):
     big = b"*3\r\n$60000\r\n%b\r\n$-1\r\n$-1\r\n" % (b"x" * 60000)
     program = started(servers=[FakeServer([big] * 9999)])
     with Client(program) as client, contextlib.suppress(OSError):
@@ -457,7 +455,7 @@
     assert program.status("VmHWM") < 60_000
 
 
-def test_a_thousand_idle_connections_fit(started):
+def test_seven_hundred_idle_connections_fit(started):
     program = started()
     held = [program.dial() for _ in range(700)]
     with Client(program) as client:
@@ -467,7 +465,7 @@
         sock.close()
 
 
-def test_sigterm_answers_what_was_taken_and_closes_only_between_calls(started):
+def test_sigterm_answers_open_requests_and_closes_between_requests(started):
     program = started(servers=[FakeServer([0.9, 0.01])])
     with Client(program) as waiting, Client(program) as idle:
         idle.ask(command(b"PING"))
@@ -491,7 +489,7 @@
     )
 
 
-def test_sigterm_ends_in_time_with_an_answer_though_a_server_is_silent(started):
+def test_sigterm_ends_in_time_with_an_unresponsive_server(started):
     program = started(servers=[FakeServer(["silent"] * 9)])
     with Client(program) as client:
         client.sock.sendall(api_call(1, patience=60000))
@@ -502,7 +500,7 @@
     assert program.process.wait(5) == 0 and time.monotonic() - told_at < 2.7
 
 
-def test_sighup_moves_discovery_and_counter_under_load_and_a_broken_file_changes_nothing(started, tmp_path):
+def test_sighup_changes_addresses_under_load_and_an_invalid_file_changes_nothing(started, tmp_path):
     program = started(servers=[FakeServer([0.002] * 999)])
     told, answers, stop = json.loads((tmp_path / "config.json").read_text()), [], threading.Event()
     before = program.descriptors()
@@ -547,7 +545,7 @@
     assert program.process.wait(5) == 0
 
 
-def test_a_kill_and_a_start_from_nothing(started, tmp_path):
+def test_gateway_serves_after_a_kill_and_a_restart(started, tmp_path):
     program = started()
     with Client(program) as client:
         assert client.ask(api_call(1)) == b"ok"
@@ -564,7 +562,7 @@
         assert client.ask(api_call(2)) == b"ok"
 
 
-def test_many_clients_at_once_each_get_their_own_answers(started):
+def test_concurrent_clients_each_get_their_own_answers(started):
     program, wrong, served = (
         started(servers=[FakeServer([0.001] * 500), FakeServer([0.01] * 500)]),
         [],
@@ -617,7 +615,7 @@
         ),
     ],
 )
-def test_a_broken_start_file_is_told_in_one_plain_line(tmp_path, text, said):
+def test_unusable_start_file_is_reported_in_one_line(tmp_path, text, said):
     environment = {name: value for name, value in os.environ.items() if not name.startswith("NODE_")}
     if text is not None:
         environment["NODE_CONFIG"] = str(tmp_path / "start.json")
@@ -630,7 +628,7 @@
     assert done.returncode == 2 and len(lines) == 1 and said in lines[0] and done.stdout == ""
 
 
-def test_the_stand_in_for_discovery_speaks_as_discovery_does():
+def test_fake_discovery_answers_a_watch():
     told = FakeDiscovery([])
     with (
         socket.create_connection(("127.0.0.1", int(told.address.split(":")[1]))) as sock,
--- a/tests/test_routing.py
+++ b/tests/test_routing.py
@@ -37,8 +37,8 @@
 from helpers import DEFAULT_SETTINGS
 
 
-class Remembering:
-    """In a stream's place: what was put, how much of it is written, and whether it was ended."""
+class RecordingStream:
+    """Stands in for a stream: records what was queued, how much of it is written, and why it was closed."""
 
     def __init__(self):
         self.said, self.bytes_queued, self.bytes_maybe_written, self.close_reason, self.full, self.inbound = (
@@ -82,8 +82,8 @@
         return self.inbound.append(data)
 
 
-class Decisions:
-    """In the module's place: remembers what it was told."""
+class RecordingGateway:
+    """Stands in for the decisions: records the events."""
 
     def __init__(self):
         self.ends, self.lists = [], []
@@ -114,11 +114,11 @@
     )
     for module in (counter_module, discovery_module):
         monkeypatch.setattr(module, "start_thread_with_retry", lambda port, name, work: None)
-    made = SocketGatewayPort(faults.append, 0.0)
-    made.gateway, made.dialled = Decisions(), dialled
-    made.upstreams = UpstreamConnections(made, lambda *_: None, UPSTREAM_SETTINGS)
-    made.start = made.now
-    yield made
+    created = SocketGatewayPort(faults.append, 0.0)
+    created.gateway, created.dialled = RecordingGateway(), dialled
+    created.upstreams = UpstreamConnections(created, lambda *_: None, UPSTREAM_SETTINGS)
+    created.start = created.now
+    yield created
     assert faults == []
 
 
@@ -135,7 +135,7 @@
 )
 
 
-def at(port, event, *args, after=0.0):
+def run_event(port, event, *args, after=0.0):
     port.run(port.now + after, event, *args)
 
 
@@ -147,43 +147,43 @@
     port.now = end
 
 
-def words_of(ident, fields=b"c=look,t=wide,d=2000,units=1,spread=1,first=0"):
+def command_words(ident, fields=b"c=look,t=wide,d=2000,units=1,spread=1,first=0"):
     return [b"CALL.GET", b"%016x" % 7, b"%016x" % ident, fields]
 
 
-def call(port, patience=2.0):
-    words = words_of(1)
-    made = Request(1, Customer(7, Plan("wide")), Route("look", 1.0, 2.0), port.now + patience)
-    made.parsed, made.pending, made.said = request_codec.ParsedRequest(words), object(), []
-    made.response = SimpleNamespace(
-        complete=lambda *said: (made.said.append(b"".join(said)), setattr(made, "pending", None))
+def make_request(port, patience=2.0):
+    words = command_words(1)
+    created = Request(1, Customer(7, Plan("wide")), Route("look", 1.0, 2.0), port.now + patience)
+    created.parsed, created.pending, created.said = request_codec.ParsedRequest(words), object(), []
+    created.response = SimpleNamespace(
+        complete=lambda *said: (created.said.append(b"".join(said)), setattr(created, "pending", None))
     )
-    return made
+    return created
 
 
-def server(port, ident=1):
-    made = Server(ident)
-    port.upstreams.update_address(made, ("127.0.0.1", ident))
-    return made
+def make_server(port, ident=1):
+    created = Server(ident)
+    port.upstreams.update_address(created, ("127.0.0.1", ident))
+    return created
 
 
-def come_up(port, link):
-    link.stream = Remembering()
-    at(port, port.upstreams.on_connected, link)
-    return link.stream
+def connect(port, connection):
+    connection.stream = RecordingStream()
+    run_event(port, port.upstreams.on_connected, connection)
+    return connection.stream
 
 
 VALUE = b"*3\r\n$1\r\nv\r\n$-1\r\n$-1\r\n"
 
 
-def hear(port, link, data):
-    link.stream.coming = data
-    at(port, port.upstreams.on_readable, link)
+def receive(port, connection, data):
+    connection.stream.coming = data
+    run_event(port, port.upstreams.on_readable, connection)
 
 
-def tries(port, *whats):
+def start_attempts(port, *requests):
     sent = []
-    at(port, lambda: sent.extend(port.start_attempt(one, where, 0.0) for one, where in whats))
+    run_event(port, lambda: sent.extend(port.start_attempt(one, where, 0.0) for one, where in requests))
     return sent
 
 
@@ -191,66 +191,66 @@
     return [outcome for _, outcome, _ in port.gateway.ends]
 
 
-def test_a_try_goes_out_with_the_time_left_and_its_connection_serves_the_next(port):
-    where, first, second = server(port), call(port), call(port)
-    (one,) = tries(port, (first, where))
+def test_attempt_carries_its_time_left_and_its_connection_is_reused(port):
+    where, first, second = make_server(port), make_request(port), make_request(port)
+    (one,) = start_attempts(port, (first, where))
     port.now += 0.5
-    stream = come_up(port, port.dialled[0])
+    stream = connect(port, port.dialled[0])
     assert b"d=1500" in stream.said[0] and stream.may_be_fully_written()
-    hear(port, port.dialled[0], VALUE)
+    receive(port, port.dialled[0], VALUE)
     assert first.said == [b"$1\r\nv\r\n"] and port.gateway.ends == [(one, Outcome.OK, True)]
     advance(port, 0.01)
-    tries(port, (second, where))
+    start_attempts(port, (second, where))
     assert len(port.dialled) == 1 and len(stream.said) == 2
 
 
-def test_what_was_not_written_whole_never_ran_and_the_rest_may_have(port):
-    where = server(port)
-    tries(port, (call(port), where), (call(port), where))
+def test_partly_written_request_was_not_executed_and_a_written_one_may_have_been(port):
+    where = make_server(port)
+    start_attempts(port, (make_request(port), where), (make_request(port), where))
     early, late = port.dialled
-    come_up(port, late)
-    early.stream = Remembering()
-    at(port, port.upstreams.on_connected, early)
+    connect(port, late)
+    early.stream = RecordingStream()
+    run_event(port, port.upstreams.on_connected, early)
     early.stream.bytes_maybe_written = 3
     early.stream.abort("reset")  # sealed, as the thread that reads it does first
-    for link in (early, late):
-        at(port, port.upstreams.on_disconnected, link)
+    for connection in (early, late):
+        run_event(port, port.upstreams.on_disconnected, connection)
     assert outcomes(port) == [Outcome.CONNECT_FAILED, Outcome.RESET]
 
 
-def test_a_try_dialled_while_its_call_ended_or_its_server_drained_is_never_written(port):
-    where, ended, drained = server(port), call(port), call(port)
-    tries(port, (ended, where), (drained, where))
+def test_attempt_is_not_sent_when_its_request_ended_or_its_server_drained_meanwhile(port):
+    where, ended, drained = make_server(port), make_request(port), make_request(port)
+    start_attempts(port, (ended, where), (drained, where))
     ended.pending = None
-    first = come_up(port, port.dialled[0])
+    first = connect(port, port.dialled[0])
     where.state = ServerState.DRAINING
-    second = come_up(port, port.dialled[1])
+    second = connect(port, port.dialled[1])
     assert outcomes(port) == [Outcome.NOT_SENT] * 2 and first.said == second.said == []
 
 
 @pytest.mark.parametrize("more", [VALUE, b"\r\n", b"noise", b"-ERR", b"+"])
 @pytest.mark.parametrize("late", [False, True])
-def test_more_than_an_answer_never_reaches_the_next_try(port, more, late):
-    where, first, second = server(port), call(port), call(port)
-    tries(port, (first, where))
-    link, stream = port.dialled[0], come_up(port, port.dialled[0])
-    hear(port, link, VALUE if late else VALUE + more)
+def test_bytes_behind_an_answer_never_reach_the_next_attempt(port, more, late):
+    where, first, second = make_server(port), make_request(port), make_request(port)
+    start_attempts(port, (first, where))
+    connection, stream = port.dialled[0], connect(port, port.dialled[0])
+    receive(port, connection, VALUE if late else VALUE + more)
     assert outcomes(port) == [Outcome.OK] and first.said == [b"$1\r\nv\r\n"]
     advance(port, 0.01)
     stream.coming = more if late else b""  # here, and its thread has not yet come to it
-    tries(port, (second, where))
+    start_attempts(port, (second, where))
     assert stream.close_reason == "protocol-error" and len(port.dialled) == 2 and len(stream.said) == 1
 
 
-def test_a_connection_rests_a_moment_after_its_answer(port):
-    where = server(port)
-    tries(port, (call(port), where))
-    stream = come_up(port, port.dialled[0])
-    hear(port, port.dialled[0], VALUE)
-    tries(port, (call(port), where))
+def test_connection_is_not_reused_before_its_settle_time(port):
+    where = make_server(port)
+    start_attempts(port, (make_request(port), where))
+    stream = connect(port, port.dialled[0])
+    receive(port, port.dialled[0], VALUE)
+    start_attempts(port, (make_request(port), where))
     assert len(port.dialled) == 2 and stream.close_reason is None
     advance(port, 0.01)
-    tries(port, (call(port), where))
+    start_attempts(port, (make_request(port), where))
     assert len(port.dialled) == 2 and len(stream.said) == 2
 
 
@@ -268,127 +268,130 @@
         b"$1\r\nv\r\n",
     ],
 )
-def test_a_spoilt_answer_is_a_failed_try_that_may_have_run_and_ends_its_connection(port, spoilt):
-    where = server(port)
+def test_malformed_answer_fails_its_attempt_and_closes_its_connection(port, spoilt):
+    where = make_server(port)
     for pieces in ([spoilt], [spoilt[at : at + 1] for at in range(len(spoilt))]):
-        one = call(port)
-        tries(port, (one, where))
-        link = port.dialled[-1]
-        stream = come_up(port, link)
+        one = make_request(port)
+        start_attempts(port, (one, where))
+        connection = port.dialled[-1]
+        stream = connect(port, connection)
         for piece in pieces:
-            hear(port, link, piece)
+            receive(port, connection, piece)
         assert (
             outcomes(port)[-1] is Outcome.ERROR
             and stream.close_reason in ("protocol-error", "oversized")
             and one.said == []
         )
-        assert len(stream.inbound) <= resp.BUFFER_BYTES and link not in port.upstreams.idle
+        assert len(stream.inbound) <= resp.BUFFER_BYTES and connection not in port.upstreams.idle
 
 
-def test_a_try_given_up_closes_its_connection_before_the_next_is_written(port):
-    where, other, one = server(port), server(port, 2), call(port)
-    (first,) = tries(port, (one, where))
-    stream, order = come_up(port, port.dialled[0]), []
+def test_cancelled_attempt_closes_its_connection_before_the_next_is_dialled(port):
+    where, other, one = make_server(port), make_server(port, 2), make_request(port)
+    (first,) = start_attempts(port, (one, where))
+    stream, order = connect(port, port.dialled[0]), []
     stream.abort = lambda reason: order.append("closed")
 
     def move():
         port.cancel_attempt(first)
         port.call_soon(lambda: port.start_attempt(one, other, 0.0))
 
-    port.upstreams.start = lambda link: order.append("dialled")
-    at(port, move)
+    port.upstreams.start = lambda connection: order.append("dialled")
+    run_event(port, move)
     assert order == ["closed", "dialled"] and outcomes(port) == [Outcome.CANCELLED]
-    hear(port, port.dialled[0], VALUE)
+    receive(port, port.dialled[0], VALUE)
     assert one.said == [] and len(port.gateway.ends) == 1
 
 
-def test_no_answer_in_time_ends_a_try_once(port):
-    where, one = server(port), call(port, patience=0.5)
-    tries(port, (one, where))
-    stream = come_up(port, port.dialled[0])
+def test_attempt_without_an_answer_times_out_once(port):
+    where, one = make_server(port), make_request(port, patience=0.5)
+    start_attempts(port, (one, where))
+    stream = connect(port, port.dialled[0])
     advance(port, 1.0)
     assert outcomes(port) == [Outcome.TIMEOUT] and stream.close_reason == "cancelled"
 
 
-def test_connections_are_bounded_and_the_longest_idle_makes_room(port):
-    where, other = server(port), server(port, 2)
-    tries(port, *[(call(port), where)] * 3)
-    streams = [come_up(port, link) for link in port.dialled]
-    tries(port, (call(port), other))
+def test_connections_are_limited_and_the_longest_idle_is_evicted(port):
+    where, other = make_server(port), make_server(port, 2)
+    start_attempts(port, *[(make_request(port), where)] * 3)
+    streams = [connect(port, connection) for connection in port.dialled]
+    start_attempts(port, (make_request(port), other))
     assert outcomes(port) == [Outcome.CONNECT_FAILED]  # none is free: nothing ran
-    for link in port.dialled:
-        hear(port, link, VALUE)
-    tries(port, (call(port), other))
+    for connection in port.dialled:
+        receive(port, connection, VALUE)
+    start_attempts(port, (make_request(port), other))
     assert streams[0].close_reason == "evicted" and len(port.dialled) == 4
     advance(port, 0.0)
-    at(port, port.upstreams.retire_idle, after=6.0)
+    run_event(port, port.upstreams.retire_idle, after=6.0)
     assert streams[1].close_reason == streams[2].close_reason == "idle-timeout" and not port.upstreams.idle
 
 
-def test_tries_keep_the_rules_through_a_random_run(port):
-    chance, where, open_calls, all_calls = random.Random(4), [server(port, n) for n in range(4)], [], []
+def test_attempts_keep_their_invariants_in_a_random_run(port):
+    chance, where, open_calls, all_calls = random.Random(4), [make_server(port, n) for n in range(4)], [], []
     port.upstreams.settings = replace(UPSTREAM_SETTINGS, max_connections=1500)
     for _ in range(1500):
         step = chance.randrange(7)
         if step < 2 and len(open_calls) < 6:
-            open_calls.append(call(port, chance.choice([0.2, 2.0])))
+            open_calls.append(make_request(port, chance.choice([0.2, 2.0])))
             all_calls.append(open_calls[-1])
             ready = [one for one in where if one.state is ServerState.READY]
             if ready:
-                tries(port, (open_calls[-1], chance.choice(ready)))
+                start_attempts(port, (open_calls[-1], chance.choice(ready)))
         elif step == 2 and port.dialled:
-            link = port.dialled.pop(chance.choice([0, -1, -1]))
+            connection = port.dialled.pop(chance.choice([0, -1, -1]))
             if chance.random() < 0.2:
-                at(port, port.upstreams.on_disconnected, link)
+                run_event(port, port.upstreams.on_disconnected, connection)
             else:
-                come_up(port, link)
+                connect(port, connection)
         elif step == 3 and port.upstreams.in_flight:
-            link = chance.choice(list(port.upstreams.in_flight.values()))
-            if link.stream:
-                hear(
+            connection = chance.choice(list(port.upstreams.in_flight.values()))
+            if connection.stream:
+                receive(
                     port,
-                    link,
+                    connection,
                     chance.choice(
                         [VALUE, b"-BUSY\r\n", b"-ERR failed\r\n", b"$-1\r\n", b"?\r\n", VALUE[:9], VALUE * 2]
                     ),
                 )
         elif step == 4 and port.upstreams.in_flight:
-            one, link = chance.choice(list(port.upstreams.in_flight.items()))
-            if link.stream:
-                link.stream.abort("reset")
-                at(port, port.upstreams.on_disconnected, link)
+            one, connection = chance.choice(list(port.upstreams.in_flight.items()))
+            if connection.stream:
+                connection.stream.abort("reset")
+                run_event(port, port.upstreams.on_disconnected, connection)
             else:
-                at(port, port.cancel_attempt, one)
+                run_event(port, port.cancel_attempt, one)
         elif step == 5:
             one = chance.choice(where)
             one.state = chance.choice([ServerState.READY, ServerState.DRAINING])
             port.upstreams.update_address(one, ("127.0.0.1", 1))
         advance(port, chance.choice([0.0, 0.01, 0.1]))
-        for link in [link for link in port.upstreams.idle if chance.random() < 0.05]:
-            at(port, port.upstreams.on_disconnected, link)
+        for connection in [connection for connection in port.upstreams.idle if chance.random() < 0.05]:
+            run_event(port, port.upstreams.on_disconnected, connection)
         open_calls = [one for one in open_calls if one.pending and port.now < one.deadline]
         # Each try ends once, no connection carries two, what is free carries none, an answer goes out once.
         ended = [one for one, _, _ in port.gateway.ends]
         assert len(ended) == len(set(map(id, ended)))
         assert all(
-            link.attempt is one and one.outcome is None for one, link in port.upstreams.in_flight.items()
+            connection.attempt is one and one.outcome is None
+            for one, connection in port.upstreams.in_flight.items()
+        )
+        assert all(
+            connection.attempt is None and not connection.close_reason for connection in port.upstreams.idle
         )
-        assert all(link.attempt is None and not link.close_reason for link in port.upstreams.idle)
         assert all(len(one.said) <= 1 for one in all_calls)
-        assert all(link in link.pool.idle for link in port.upstreams.idle)
+        assert all(connection in connection.pool.idle for connection in port.upstreams.idle)
     assert len(port.gateway.ends) > 100 and set(outcomes(port)) >= set(Outcome) - {
         Outcome.CANCELLED,
         Outcome.DEFERRED,
     }  # noted: counts alone
 
 
-def test_a_fault_costs_its_call_an_error_and_those_behind_it_nothing(port):
+def test_internal_error_fails_its_request_and_not_those_behind_it(port):
     heard, port.report_error = [], lambda met: heard.append(str(met))
     routes, plans = [Route("look", 1.0, 2.0)], [Plan("wide")]
     settings = replace(DEFAULT_SETTINGS, routes=tuple(routes), plans=tuple(plans), gateways=1)
     clients = Clients(port, lambda *_: None, settings, lambda: True, replace(LIMITS, max_connections=9))
     client = ClientConnection(clients, None)
-    client.stream = Remembering()
+    client.stream = RecordingStream()
 
     def arrived(one):
         if one.id == 1:
@@ -396,8 +399,8 @@
         port.reject_request(one, 0.0)
 
     port.gateway.on_request = arrived
-    words = [words_of(n) for n in range(3)]
-    at(port, client.take, [request_codec.ParsedRequest(one) for one in words], None)
+    words = [command_words(n) for n in range(3)]
+    run_event(port, client.take, [request_codec.ParsedRequest(one) for one in words], None)
     assert client.stream.said == [b"-BUSY\r\n", b"-ERR failed\r\n", b"-BUSY\r\n"]
     assert heard == ["no such room"] and clients.open_calls == clients.asked == 0 and client in clients.idle
 
@@ -413,45 +416,45 @@
 
     def met(asked):
         client = ClientConnection(clients, None)
-        client.stream = Remembering()
+        client.stream = RecordingStream()
         client.stream.has_unread_bytes = lambda: bool(client.stream.coming)
-        at(port, clients.welcome, client)
+        run_event(port, clients.welcome, client)
         if asked:
-            at(port, client.take, [resp.PONG], None)
+            run_event(port, client.take, [resp.PONG], None)
         return client
 
     first, second, third = met(True), met(True), met(True)
     first.stream.coming = b"*4"  # its thread has not come to it yet
     met(False)
     assert [one.stream.close_reason for one in (first, second, third)] == [None, "made-room", None]
-    at(port, clients.begin_shutdown)
+    run_event(port, clients.begin_shutdown)
     late = met(False)
     assert (
         third.stream.close_reason is None and late.stream.close_reason is None
-    )  # the one that said nothing made room
+    )  # the one that said nothing was evicted
     unread = met(False)
     unread.stream.coming = b"*4"
     advance(port, 3.0)  # past the time in which something whole is to come
-    at(port, clients.close_stale_connections)
+    run_event(port, clients.close_stale_connections)
     assert unread.stream.close_reason is None
-    at(port, clients.drain)
+    run_event(port, clients.drain)
     assert third.stream.close_reason == "restart" and first.stream.close_reason is None
     first.stream.coming = b""
-    at(port, first.take, [resp.PONG], None)
+    run_event(port, first.take, [resp.PONG], None)
     assert first.stream.close_reason == "restart" and first.stream.said[-1] == resp.PONG
 
 
-def counter_of(port, links=2):
-    made = CounterClient(port, reconnector, 0.08, links, 1.0)
-    at(port, made.set_address, ("127.0.0.1", 1))
-    for link in made.newest:
-        at(port, link.on_connected, Remembering())
-    return made
+def connected_counter(port, connections=2):
+    created = CounterClient(port, reconnector, 0.08, connections, 1.0)
+    run_event(port, created.set_address, ("127.0.0.1", 1))
+    for connection in created.newest:
+        run_event(port, connection.on_connected, RecordingStream())
+    return created
 
 
-def ask(port, counter, name=1):
+def count(port, counter, name=1):
     heard = []
-    at(
+    run_event(
         port,
         counter.count,
         name,
@@ -462,73 +465,73 @@
     return heard
 
 
-def test_counts_are_told_once_in_order_whatever_comes_late(port):
-    counter = counter_of(port)
-    first, second = ask(port, counter), ask(port, counter)
-    link = counter.active[1]
-    at(port, link.on_replies, link.stream, [b"5"], after=0.01)
+def test_counter_calls_finish_once_and_in_order_despite_late_answers(port):
+    counter = connected_counter(port)
+    first, second = count(port, counter), count(port, counter)
+    connection = counter.active[1]
+    run_event(port, connection.on_replies, connection.stream, [b"5"], after=0.01)
     assert first == [(Outcome.OK, 5.0, 0.01)] and second == []
     advance(port, 0.1)
     assert second == [(Outcome.TIMEOUT, 0.0, 0.08)]
-    third = ask(port, counter)
-    at(port, link.on_replies, link.stream, [b"6", resp.ErrorReply(b"BUSY")])
+    third = count(port, counter)
+    run_event(port, connection.on_replies, connection.stream, [b"6", resp.ErrorReply(b"BUSY")])
     assert len(second) == 1 and [outcome for outcome, *_ in third] == [Outcome.BUSY]
 
 
-def test_an_add_is_in_doubt_only_if_its_last_byte_may_have_been_written(port):
-    counter = counter_of(port, 1)
+def test_counter_call_is_in_doubt_only_if_fully_written(port):
+    counter = connected_counter(port, 1)
     stream = counter.active[0].stream
-    written = ask(port, counter)
+    written = count(port, counter)
     stream.flush = lambda: None
-    unwritten = ask(port, counter)
+    unwritten = count(port, counter)
     stream.abort("reset")
-    at(port, counter.active[0].on_disconnected, stream)
+    run_event(port, counter.active[0].on_disconnected, stream)
     assert written[0][0] is Outcome.TIMEOUT and unwritten[0][0] is Outcome.CONNECT_FAILED
-    assert ask(port, counter)[0][0] is Outcome.CONNECT_FAILED  # none is up: nothing is added
+    assert count(port, counter)[0][0] is Outcome.CONNECT_FAILED  # none is up: nothing is added
     advance(port, 1.0)
     assert len(written) == len(unwritten) == 1
 
 
-def test_a_counter_that_is_slow_is_kept_and_a_silent_one_left(port):
-    counter = counter_of(port, 1)
-    link = counter.active[0]
-    stream = link.stream
+def test_slow_counter_connection_is_kept_and_an_unresponsive_one_closed(port):
+    counter = connected_counter(port, 1)
+    connection = counter.active[0]
+    stream = connection.stream
     for _ in range(8):  # late answers are a word
-        ask(port, counter)
-        at(port, link.on_replies, stream, [b"1"], after=0.4)
-        at(port, link.send_heartbeat)
+        count(port, counter)
+        run_event(port, connection.on_replies, stream, [b"1"], after=0.4)
+        run_event(port, connection.send_heartbeat)
     assert stream.close_reason is None
-    ask(port, counter)
-    at(port, link.send_heartbeat, after=0.9)
+    count(port, counter)
+    run_event(port, connection.send_heartbeat, after=0.9)
     assert stream.close_reason is None
-    at(port, link.send_heartbeat, after=0.2)
+    run_event(port, connection.send_heartbeat, after=0.2)
     assert stream.close_reason == "read-timeout"
 
 
-def test_an_idle_counter_connection_is_kept_open_and_nonsense_ends_it(port):
-    counter = counter_of(port, 1)
-    link = counter.active[0]
-    at(port, link.send_heartbeat)
-    assert link.stream.said == [b"*1\r\n$4\r\nPING\r\n"]
-    at(port, link.on_replies, link.stream, [resp.SimpleString(b"PONG")])
-    assert link.stream.close_reason is None and not link.pending
-    doubt = ask(port, counter)
-    at(port, link.on_replies, link.stream, [b"many"])
-    assert doubt[0][0] is Outcome.TIMEOUT and link.stream.close_reason == "protocol-error"
+def test_idle_counter_connection_gets_heartbeats_and_a_malformed_answer_closes_it(port):
+    counter = connected_counter(port, 1)
+    connection = counter.active[0]
+    run_event(port, connection.send_heartbeat)
+    assert connection.stream.said == [b"*1\r\n$4\r\nPING\r\n"]
+    run_event(port, connection.on_replies, connection.stream, [resp.SimpleString(b"PONG")])
+    assert connection.stream.close_reason is None and not connection.pending
+    doubt = count(port, counter)
+    run_event(port, connection.on_replies, connection.stream, [b"many"])
+    assert doubt[0][0] is Outcome.TIMEOUT and connection.stream.close_reason == "protocol-error"
 
 
-def test_a_moved_counter_answers_what_is_out_and_gets_what_is_new_once_it_is_up(port):
-    counter = counter_of(port, 1)
-    old, out = counter.active[0], ask(port, counter)
-    at(port, counter.set_address, ("127.0.0.1", 2))
-    new, before = counter.newest[0], ask(port, counter)
+def test_replaced_counter_connection_answers_pending_calls(port):
+    counter = connected_counter(port, 1)
+    old, out = counter.active[0], count(port, counter)
+    run_event(port, counter.set_address, ("127.0.0.1", 2))
+    new, before = counter.newest[0], count(port, counter)
     stream = old.stream
     assert len(stream.said) == 2 and not old.reconnector.stopped.is_set()  # none is up at the new address yet
-    at(port, new.on_connected, Remembering())
-    after = ask(port, counter)
+    run_event(port, new.on_connected, RecordingStream())
+    after = count(port, counter)
     assert len(stream.said) == 2 and len(new.stream.said) == 1 and stream.close_reason is None
-    at(port, old.on_replies, stream, [b"1", b"2"])
-    at(port, new.on_replies, new.stream, [b"3"])
+    run_event(port, old.on_replies, stream, [b"1", b"2"])
+    run_event(port, new.on_replies, new.stream, [b"3"])
     assert [heard[0][1] for heard in (out, before, after)] == [1.0, 2.0, 3.0]
     assert (
         stream.close_reason == "address-changed"
@@ -537,25 +540,25 @@
     )
 
 
-def test_a_counter_that_moves_again_or_dies_while_it_moves_is_left_for_the_newest(port):
-    counter = counter_of(port, 1)
+def test_newest_counter_connection_takes_over_after_further_address_changes_and_disconnects(port):
+    counter = connected_counter(port, 1)
     old = counter.active[0]
-    at(port, counter.set_address, ("127.0.0.1", 2))
+    run_event(port, counter.set_address, ("127.0.0.1", 2))
     second = counter.newest[0]
-    at(port, counter.set_address, ("127.0.0.1", 3))
+    run_event(port, counter.set_address, ("127.0.0.1", 3))
     newest = counter.newest[0]
     assert second.reconnector.stopped.is_set() and counter.active[0] is old
-    at(port, second.on_connected, Remembering())  # its dial came up too late
+    run_event(port, second.on_connected, RecordingStream())  # its dial came up too late
     assert second.stream.close_reason == "address-changed" and counter.active[0] is old
-    lost = ask(port, counter)
-    at(port, old.on_disconnected, old.stream)
+    lost = count(port, counter)
+    run_event(port, old.on_disconnected, old.stream)
     assert counter.active[0] is newest and old.reconnector.stopped.is_set() and lost[0][0] is Outcome.TIMEOUT
-    at(port, counter.set_address, ("127.0.0.1", 3))
+    run_event(port, counter.set_address, ("127.0.0.1", 3))
     assert counter.newest[0] is newest  # nothing new was said
-    at(port, newest.on_connected, Remembering())
-    silent = ask(port, counter)
-    at(port, counter.set_address, ("127.0.0.1", 4))
-    at(port, counter.newest[0].on_connected, Remembering())
+    run_event(port, newest.on_connected, RecordingStream())
+    silent = count(port, counter)
+    run_event(port, counter.set_address, ("127.0.0.1", 4))
+    run_event(port, counter.newest[0].on_connected, RecordingStream())
     stream = newest.stream
     advance(port, 1.1)
     assert (
@@ -563,29 +566,31 @@
     )  # a silent one is not kept for ever
 
 
-def test_a_moved_watch_is_asked_anew_and_the_old_one_is_not_heard_any_more(port):
+def test_watch_at_a_new_address_starts_anew_and_the_old_one_is_ignored(port):
     discovery = DiscoveryClient(port, reconnector, ["a", "b"], [], 0.0, 4.5)
-    at(port, discovery.set_address, ("127.0.0.1", 1))
-    old, stream = discovery.watch, Remembering()
-    at(port, old.on_connected, stream)
-    at(port, old.on_update, update(50, True, ("x", "Ready", 0)))
-    at(port, discovery.set_address, ("127.0.0.1", 1))
+    run_event(port, discovery.set_address, ("127.0.0.1", 1))
+    old, stream = discovery.watch, RecordingStream()
+    run_event(port, old.on_connected, stream)
+    run_event(port, old.on_update, update(50, True, ("x", "Ready", 0)))
+    run_event(port, discovery.set_address, ("127.0.0.1", 1))
     assert discovery.watch is old and stream.close_reason is None
-    at(port, discovery.set_address, ("127.0.0.1", 2))
+    run_event(port, discovery.set_address, ("127.0.0.1", 2))
     assert stream.close_reason == "address-changed" and old.reconnector.stopped.is_set()
-    at(port, old.on_update, update(51, True))
+    run_event(port, old.on_update, update(51, True))
     assert discovery.has_had_server() and len(port.gateway.lists) == 1
-    fresh = Remembering()
-    at(port, discovery.watch.on_connected, fresh)
+    fresh = RecordingStream()
+    run_event(port, discovery.watch.on_connected, fresh)
     assert b"index=0 " in fresh.said[0]
-    at(port, discovery.watch.on_update, update(3, False, ("x", "Terminating", 0)))  # a count of its own
+    run_event(
+        port, discovery.watch.on_update, update(3, False, ("x", "Terminating", 0))
+    )  # a count of its own
     assert port.gateway.lists[-1][0][1] is ServerState.DRAINING
 
 
-def test_a_full_ring_adds_nothing(port):
-    counter = counter_of(port, 1)
+def test_counter_call_fails_when_the_buffer_is_full(port):
+    counter = connected_counter(port, 1)
     counter.active[0].stream.full = True
-    assert ask(port, counter)[0][0] is Outcome.CONNECT_FAILED
+    assert count(port, counter)[0][0] is Outcome.CONNECT_FAILED
 
 
 def update(seq, whole, *items):
@@ -601,71 +606,71 @@
     )
 
 
-def test_lists_and_changes_reach_the_decisions_in_their_order_and_once(port):
+def test_server_list_updates_reach_the_decisions_in_order_and_once(port):
     discovery = DiscoveryClient(port, reconnector, ["a", "b"], [], 1000.0, 4.5)
     port.upstreams.close_idle = lambda server: None
     assert not discovery.has_had_server()
-    at(port, discovery.on_update, update(5, True, ("x", "Ready", 0), ("y", "Ready", 1500000)))
+    run_event(port, discovery.on_update, update(5, True, ("x", "Ready", 0), ("y", "Ready", 1500000)))
     x, y = discovery.registry.servers.values()
     assert discovery.has_had_server() and (x.zone, x.started_at, y.started_at) == (1, 0.0, 500.0)
-    at(port, discovery.on_update, update(6, False, ("x", "Terminating", 0)))
-    at(
+    run_event(port, discovery.on_update, update(6, False, ("x", "Terminating", 0)))
+    run_event(
         port, discovery.on_update, update(6, False, ("x", "Ready", 0))
     )  # told again after the watch was opened anew
     assert x.state is ServerState.DRAINING and len(port.gateway.lists) == 2 and discovery.version == 6
-    at(port, discovery.on_update, update(9, True, ("x", "Terminating", 0)))
+    run_event(port, discovery.on_update, update(9, True, ("x", "Terminating", 0)))
     assert y.state is ServerState.GONE and discovery.has_had_server()
 
 
-def test_servers_held_back_for_work_drain_here_whatever_the_list_says_and_are_used_again_as_it_says(port):
+def test_servers_held_back_are_treated_as_draining_until_released(port):
     discovery = DiscoveryClient(port, reconnector, ["a", "b"], [], 0.0, 4.5)
     port.upstreams.close_idle = lambda server: None
-    at(port, discovery.on_update, update(5, True, ("x", "Ready", 0), ("y", "Ready", 0)))
+    run_event(port, discovery.on_update, update(5, True, ("x", "Ready", 0), ("y", "Ready", 0)))
     x, y = (discovery.registry.servers[discovery.server_id(name)] for name in "xy")
-    at(port, discovery.hold_back, {"x"})
+    run_event(port, discovery.hold_back, {"x"})
     assert (x.state, y.state) == (ServerState.DRAINING, ServerState.READY) and port.gateway.lists[-1] == [
         (x.id, ServerState.DRAINING)
     ]
     assert discovery.is_listed_ready("x")  # as discovery has it
-    at(
+    run_event(
         port, discovery.on_update, update(6, False, ("x", "Ready", 0))
     )  # told again: it is held back all the same
     assert x.state is ServerState.DRAINING
-    at(port, discovery.on_update, update(7, False, ("x", "Terminating", 0)))
+    run_event(port, discovery.on_update, update(7, False, ("x", "Terminating", 0)))
     assert (
         not discovery.is_listed_ready("x")
         and discovery.is_listed_ready("y")
         and not discovery.is_listed_ready("z")
     )
-    at(port, discovery.hold_back, set())
+    run_event(port, discovery.hold_back, set())
     assert x.state is ServerState.DRAINING  # now it is the list that says so
-    at(port, discovery.on_update, update(8, False, ("x", "Ready", 9000)))
+    run_event(port, discovery.on_update, update(8, False, ("x", "Ready", 9000)))
     assert x.state is ServerState.READY and x.started_at == 9.0
-    at(port, discovery.hold_back, {"x"})
-    at(port, discovery.hold_back, {"y"})
+    run_event(port, discovery.hold_back, {"x"})
+    run_event(port, discovery.hold_back, {"y"})
     assert (x.state, y.state) == (ServerState.READY, ServerState.DRAINING)
 
 
-def test_a_server_that_takes_over_an_address_inherits_nothing_and_nothing_is_kept_of_what_is_gone(port):
+def test_server_at_a_reused_address_inherits_nothing_and_gone_servers_leave_no_state(port):
     discovery = DiscoveryClient(port, reconnector, ["a", "b"], [], 0.0, 4.5)
-    at(port, discovery.on_update, update(1, True, ("old", "Ready", 0)))
+    run_event(port, discovery.on_update, update(1, True, ("old", "Ready", 0)))
     (old,) = discovery.registry.servers.values()
-    tries(port, (call(port), old))
-    stream = come_up(port, port.dialled[0])
-    hear(port, port.dialled[0], VALUE)
-    at(
+    start_attempts(port, (make_request(port), old))
+    stream = connect(port, port.dialled[0])
+    receive(port, port.dialled[0], VALUE)
+    run_event(
         port, discovery.on_update, update(2, False, ("new", "Ready", 5000))
     )  # at the address that the old one had
     (new,) = discovery.registry.servers.values()
     assert new is not old and old.state is ServerState.GONE and stream.close_reason == "server-draining"
     assert port.gateway.lists[-1] == [(new.id, ServerState.READY), (old.id, ServerState.GONE)]
     # Late news of the old one takes nothing away
-    at(port, discovery.on_update, update(3, False, ("old", "Terminating", 0)))
-    at(port, discovery.on_update, update(4, False, ("old", "Gone", 0)))
+    run_event(port, discovery.on_update, update(3, False, ("old", "Terminating", 0)))
+    run_event(port, discovery.on_update, update(4, False, ("old", "Gone", 0)))
     assert new.state is ServerState.READY and list(discovery.registry.servers.values()) == [new]
     for n in range(200):
-        at(port, discovery.on_update, update(5 + 2 * n, False, (f"s-{n}", "Ready", 6000 + n)))
-        at(port, discovery.on_update, update(6 + 2 * n, n % 2 == 0, (f"s-{n}", "Gone", 6000 + n)))
+        run_event(port, discovery.on_update, update(5 + 2 * n, False, (f"s-{n}", "Ready", 6000 + n)))
+        run_event(port, discovery.on_update, update(6 + 2 * n, n % 2 == 0, (f"s-{n}", "Gone", 6000 + n)))
     assert (
         not discovery.registry.servers
         and not port.upstreams.pools
@@ -674,7 +679,7 @@
     )
 
 
-def test_timers_run_in_order_close_to_their_time_and_survive_a_fault():
+def test_timers_run_in_order_and_on_time_despite_errors():
     faults, heard = [], []
     port = SocketGatewayPort(faults.append, 0.001)
     threading.Thread(target=port.run_timers, daemon=True).start()
@@ -731,7 +736,7 @@
     assert stream.enqueue(b"") and not stream.may_be_fully_written()
 
 
-def test_gateways_that_lose_discovery_together_do_not_come_back_together():
+def test_gateways_that_lose_discovery_together_redial_apart():
     # Guards: 28 restarted gateways asked for lists at the same instants, once a second for good; discovery,
     # which answers some seven calls a second in turn, had a line of its full 2 s and turned all of them away
     # (700 of 740).
