--- a/brookhub/program/__init__.py
+++ b/brookhub/program/__init__.py
@@ -1,1 +1,1 @@
-"""The program: its start file, its wiring, its log and its end."""
+"""The gateway process: its start file, the limits of its parts, its log, its start and its shutdown."""
--- a/brookhub/routing/__init__.py
+++ b/brookhub/routing/__init__.py
@@ -1,1 +1,4 @@
-"""The port on sockets: who is connected, what is out to whom, and when. What to do is for `policy` to say."""
+"""The decisions' adapter on sockets: connections to clients, upstream servers, the counter, discovery and peers.
+
+`port` and `event_loop` tie them together. What to do with a request is decided in `policy`.
+"""
