--- a/brookhub/experiments/together.py
+++ b/brookhub/experiments/together.py
@@ -248,7 +248,7 @@
             (seat.index, view.server.id)
             for seat in fleet.seats
             if seat.alive
-            for view in seat.gateway.upstreams.subset
+            for view in seat.gateway.subset.members
         }
 
     def script(fleet: Fleet) -> None:
--- a/brookhub/policy/accounts.py
+++ b/brookhub/policy/accounts.py
@@ -1,45 +1,92 @@
-"""A customer's parts of quota and ceiling, among the gateways that hold these together."""
+"""A customer's shares of quota and ceiling, among the gateways that hold these together."""
 
-from ..model import Account
+from __future__ import annotations
+
+from ..model import Account, Customer
+from ..site import GatewaySettings, Plan
 from ..structures import TokenBucket
-from .constants import OVERFLOW_USED, UNHEARD
+from .constants import OVERFLOW_USED_SHARE, OWN_CEILING_SHARE, UNCONFIRMED_SHARE_FACTOR
+
 
+def open_account(
+    customer: Customer,
+    holders: int,
+    settings: GatewaySettings,
+    now: float,
+    launched_at: float,
+    granted_share: float,
+) -> Account:
+    """A new record of a customer whose quota so many gateways hold.
 
-def open_account(customer, gateways, settings, now, launched, granted):
-    plan, counted = customer.plan, settings.counter_timeout > 0
-    # A launch may be a restart: what an earlier life spent is unknown, so the own shares are empty then.
-    since = now if plan.burst / gateways < settings.max_request_units else launched
-    quota = TokenBucket(plan.rate, plan.burst, plan.burst, now, OVERFLOW_USED)
-    own = [TokenBucket(0.0, 0.0, 0.0, at) for at in (since, since, launched)]
-    account = Account(customer, plan, settings.max_request_units, counted, granted, now, quota, *own)
-    divide(account, gateways)
+    A launch may be a restart: what the process before it used is unknown, so the own shares are empty then
+    and fill from `launched_at` (s) on.
+    """
+    plan = customer.plan
+    own_share_is_thin = plan.burst / holders < settings.max_request_units
+    filled_since = now if own_share_is_thin else launched_at
+    account = Account(
+        customer=customer,
+        plan=plan,
+        max_request_units=settings.max_request_units,
+        has_counter=settings.counter_timeout > 0,
+        granted_share=granted_share,
+        last_active_at=now,
+        quota=TokenBucket(plan.rate, plan.burst, plan.burst, now, OVERFLOW_USED_SHARE),
+        own_share=TokenBucket(0.0, 0.0, 0.0, filled_since),
+        unconfirmed=TokenBucket(0.0, 0.0, 0.0, filled_since),
+        ceiling=TokenBucket(0.0, 0.0, 0.0, launched_at),
+    )
+    divide(account, holders)
     account.credit = account.max_credit
     return account
 
 
-def divide(account, gateways):  # where so many hold the quota; what they hold stays, if it fits
-    plan, largest, nth, account.holders = account.plan, account.max_request_units, 1.0 / gateways, gateways
-    # Where an Nth is less than one request, one may pass unasked if the counter can't be asked.
-    account.max_credit = largest if plan.burst * nth < largest else 0.0
-    account.unconfirmed_share = (
-        nth if account.max_credit or not account.granted_share else min(1.0, UNHEARD * nth)
-    )
-    # Where an Nth of a ceiling is thin it goes by the window's count, which numbers each unit: the nth
-    # may go n / joint_rate after the window's start, so no span holds more than a burst over what came in.
-    # Half stays with own parts while they hold a request.
-    own = 0.5 if plan.ceiling_burst * nth / 2 >= largest else 0.0
-    most = min(plan.ceiling_rate, plan.ceiling_burst * plan.rate / plan.burst) if plan.rate else 0.0
-    joint = account.has_counter and account.max_credit
-    account.shared_ceiling_rate = (1 - own) * (account.granted_share * most) if joint else 0.0
-    ceiling_part = nth * (own if account.shared_ceiling_rate else 1.0)
+def divide(account: Account, holders: int) -> None:
+    """Set the account's shares for so many gateways; what its buckets hold stays, as far as it fits."""
+    plan = account.plan
+    largest = account.max_request_units
+    share = 1.0 / holders
+    account.holders = holders
+    # Where a share is less than one request, one may pass on credit if the counter can't be asked.
+    account.max_credit = largest if plan.burst * share < largest else 0.0
+    account.unconfirmed_share = _unconfirmed_share(account, share)
+    own_ceiling_share = _own_ceiling_share(plan, share, largest)
+    account.shared_ceiling_rate = _shared_ceiling_rate(account, own_ceiling_share)
+    ceiling_share = share * (own_ceiling_share if account.shared_ceiling_rate else 1.0)
     account.quota.resize(
-        plan.rate * (account.granted_share or nth), plan.burst * (account.granted_share or 1)
+        plan.rate * (account.granted_share or share), plan.burst * (account.granted_share or 1)
     )
-    account.own_share.resize(plan.rate * nth, max(plan.burst * nth, largest))
+    account.own_share.resize(plan.rate * share, max(plan.burst * share, largest))
     account.unconfirmed.resize(
         plan.rate * account.unconfirmed_share, max(plan.burst * account.unconfirmed_share, largest)
     )
-    account.ceiling.resize(plan.ceiling_rate * ceiling_part, plan.ceiling_burst * ceiling_part)
+    account.ceiling.resize(plan.ceiling_rate * ceiling_share, plan.ceiling_burst * ceiling_share)
     account.full_refill_time = max(
-        one.wait_for_full() for one in (account.quota, account.own_share, account.ceiling)
+        bucket.wait_for_full() for bucket in (account.quota, account.own_share, account.ceiling)
     )
+
+
+def _unconfirmed_share(account: Account, share: float) -> float:
+    """The share of the quota that is admitted without the counter's answer."""
+    if account.max_credit or not account.granted_share:
+        return share
+    return min(1.0, UNCONFIRMED_SHARE_FACTOR * share)
+
+
+def _own_ceiling_share(plan: Plan, share: float, largest: float) -> float:
+    """The part of this gateway's ceiling that stays its own: half, as long as that holds a request."""
+    own_burst = plan.ceiling_burst * share * OWN_CEILING_SHARE
+    return OWN_CEILING_SHARE if own_burst >= largest else 0.0
+
+
+def _shared_ceiling_rate(account: Account, own_ceiling_share: float) -> float:
+    """Units a second of the ceiling that go by the window's total; 0 where shares are not thin.
+
+    The total numbers each unit: the n-th may pass n / rate after the window's start, so no span of time holds
+    more than a burst over what came in.
+    """
+    plan = account.plan
+    if not (account.has_counter and account.max_credit):
+        return 0.0
+    max_rate = min(plan.ceiling_rate, plan.ceiling_burst * plan.rate / plan.burst) if plan.rate else 0.0
+    return (1 - own_ceiling_share) * (account.granted_share * max_rate)
--- /dev/null
+++ b/brookhub/policy/ceiling.py
@@ -0,0 +1,45 @@
+"""The hard ceiling of a plan, kept jointly by all gateways that hold it."""
+
+from __future__ import annotations
+
+from ..model import Answer, PendingRequest
+from ..ports import Clock
+from .answers import CompletionStep
+from .dispatcher import Dispatcher
+
+
+class CeilingFilter:
+    """Holds this gateway's share of a customer's hard ceiling: requests wait for it, or are rejected."""
+
+    def __init__(self, port: Clock, dispatcher: Dispatcher, completion: CompletionStep) -> None:
+        """`completion`: the end of a request that is rejected here."""
+        self.port = port
+        self.dispatcher = dispatcher
+        self.completion = completion
+
+    def admit(self, pending: PendingRequest) -> None:
+        """Pass a request on once the ceiling has room for it; reject it where that is too late."""
+        now = self.port.now
+        wait = self._wait(pending, now)
+        pending.retry_after = wait
+        if not wait:
+            passes_by_total = pending.ceiling_turn_at <= now
+            pending.ceiling_units = 0.0 if passes_by_total else pending.request.units
+            pending.account.ceiling.level -= pending.ceiling_units
+            self.dispatcher.enqueue(pending)
+        elif pending.loan or now + wait > pending.target_at:
+            self.completion.finish(pending, Answer.REJECTED)
+        else:
+            self.port.later(wait, lambda: self._admit_unless_done(pending))
+
+    def _admit_unless_done(self, pending: PendingRequest) -> None:
+        if not pending.done:
+            self.admit(pending)
+
+    def _wait(self, pending: PendingRequest, now: float) -> float:
+        """Seconds until the ceiling has room: by the own share or by the request's place in the total."""
+        account = pending.account
+        if account.plan.ceiling_rate <= 0:
+            return 0.0
+        own_wait = account.ceiling.wait(now, pending.request.units)
+        return min(own_wait, max(0.0, pending.ceiling_turn_at - now))
--- /dev/null
+++ b/brookhub/policy/counter_windows.py
@@ -0,0 +1,48 @@
+"""The windows in which a customer's units are counted, out of step among customers."""
+
+from __future__ import annotations
+
+from math import floor, inf
+
+from ..model import Account
+from ..ports import Clock
+from .constants import BACKGROUND_RESERVE, GOLDEN_RATIO, TIMER_MARGIN_S
+from .counter_reports import CounterReporter
+from .quota_estimate import QuotaEstimator
+
+
+def phase(account: Account) -> float:
+    """The share of a window by which a customer's windows are ahead: customers are out of step."""
+    return account.customer.id * GOLDEN_RATIO % 1.0
+
+
+class CounterWindows:
+    """Moves accounts on to the present counter window."""
+
+    def __init__(self, port: Clock, reporter: CounterReporter, estimator: QuotaEstimator) -> None:
+        self.port = port
+        self.reporter = reporter
+        self.estimator = estimator
+
+    def advance(self, account: Account) -> None:
+        """Begin the present window if a new one is due; how the last one ended is read from the counter."""
+        now = self.port.now
+        length = account.window_length
+        position = now / length + phase(account)
+        number = floor(position)
+        if number == account.window:
+            return
+        quota = account.quota
+        window_began_at = now - position % 1.0 * length
+        quota.read(max(quota.at, window_began_at))
+        if number - 1 == account.window and self.reporter.may_call(BACKGROUND_RESERVE):
+            self.reporter.report(account)
+        self.estimator.unreported.add(now, account.unreported_units)
+        account.window = number
+        account.window_total = 0.0
+        account.unreported_units = 0.0
+        account.window_used = inf
+        quota.overflow = 0.0
+        if now - account.last_active_at < length:
+            time_left = (number + 1 - position) * length
+            self.port.later(time_left + TIMER_MARGIN_S, lambda: self.advance(account))
--- a/brookhub/policy/gateway.py
+++ b/brookhub/policy/gateway.py
@@ -1,106 +1,163 @@
-"""The chain of stages, and what a gateway is told."""
+"""The decisions of one gateway process: the filters that a request passes, and the events that arrive."""
 
-from itertools import islice
+from __future__ import annotations
 
-from ..model import PendingRequest
-from ..pipeline import link
+from typing import Iterable
+
+from ..model import Attempt, PendingRequest, Request, Server
+from ..ports import FleetCoordination, GatewayPort
+from ..site import GatewaySettings
 from ..structures import RandomGenerator
-from .accounts import divide, open_account
-from .admission import Intake, Quota
-from .capacity import Ceiling, Loans
-from .constants import FORGET, IDLE, LENDERS, LOOKED_AT
-from .queue import Queue
-from .upstreams import Upstreams
+from .account_table import AccountTable
+from .answers import Responder
+from .attempt_statistics import AttemptStatistics
+from .ceiling import CeilingFilter
+from .concurrency_limit import ConcurrencyLimit
+from .constants import SERVER_LIST_RETRIES
+from .counter_reports import CounterReporter
+from .counter_windows import CounterWindows
+from .dispatcher import Dispatcher
+from .fleet_size import FleetSize
+from .intake import IntakeFilter
+from .loans import LoanBook, LoanFilter
+from .plan_limits import PlanLimits
+from .quota import QuotaFilter, QuotaLedger
+from .quota_estimate import QuotaEstimator
+from .request_queue import RequestQueue
+from .retries import RetryPolicy
+from .server_selection import ServerSelector
+from .slow_start import SlowStart
+from .subset import ServerSubset
+from .upstreams import AttemptOptions, Upstreams
 
 
 class Gateway:
-    """The decisions of one gateway process. Only to be used by one thread at a time."""
-
-    def __init__(self, port, seed, settings):
-        random, horizon = (
-            RandomGenerator(seed),
-            max((route.latency_target for route in settings.routes), default=1.0),
+    """Takes the events of the world and lets the filters decide. Only to be used by one thread at a time.
+
+    All times are seconds on the port's clock.
+    """
+
+    def __init__(self, port: GatewayPort, seed: int, settings: GatewaySettings) -> None:
+        """Build the filters. `seed`: of all chance in the decisions."""
+        self.port = port
+        self.settings = settings
+        self.random = RandomGenerator(seed)
+        self.horizon = max((route.latency_target for route in settings.routes), default=1.0)
+        self.fleet_size = FleetSize(settings.gateways, settings.gateways, settings.gateways)
+        self.accounts = AccountTable(port, settings, self.fleet_size, self.horizon)
+        self.statistics = AttemptStatistics(port)
+        self.limit = ConcurrencyLimit(port, self.fleet_size, self.statistics)
+        self.subset = ServerSubset(
+            port,
+            self.random,
+            settings,
+            self.fleet_size,
+            SlowStart(port, settings, self.statistics),
+            self.limit,
         )
-        self.port, self.launched, self.settings, self.accounts = port, port.now, settings, {}  # by last use
-        self.gateways = self.sure_gateways = settings.gateways
-        queue, self.quota = Queue(port), Quota(port, random, settings)
-        self.upstreams = Upstreams(port, random, queue, settings, horizon)
-        self.intake = Intake(port, queue, settings.max_retry_after)
-        loans = Loans(port, queue, self.accounts, horizon)
-        link([self.intake, self.quota, loans, Ceiling(port), queue, self.upstreams])
-        self.on_servers_updated = self.upstreams.listed
+        self._build_completion()
+        self._build_filters()
         if settings.polls_server_list:
             port.watch_servers(True)
 
-    def touch(self, account):  # a request or an attempt's end makes it active, which freezes new loans on it
-        account.last_active_at = self.port.now
-        self.accounts.pop(account, None)
-        self.accounts[account] = None
-        kept = FORGET if len(self.accounts) <= LENDERS else IDLE * self.upstreams.horizon  # crowds come once
-        for one in list(islice(self.accounts, LOOKED_AT)):
-            forgotten = self.port.now - one.last_active_at > max(kept, one.full_refill_time)
-            if forgotten and not one.lent_units and not one.in_flight:
-                one.customer.account = self.accounts.pop(one)  # None: its buckets are full by now
-
-    def holders(self, told):  # gateways that hold a quota: of the whole fleet's, those not known to have left
-        return self.sure_gateways if told == self.gateways else told
-
-    def redivide(self, credit=1.0):
-        for account in self.accounts:
-            account.refill(self.port.now)
-            account.granted_share = self.quota.granted
-            divide(account, self.holders(account.announced_holders))
-            account.credit = min(account.credit * credit, account.max_credit)
-
-    def on_membership_changed(
-        self, live, rank, sure
-    ):  # gateways there; this one's place; those not surely gone
-        self.sure_gateways = self.upstreams.sure_gateways = sure  # in a split both sides are there
-        self.upstreams.gateways = live
-        self.redivide()
-        self.upstreams.draw()
-
-    def on_granted_share_changed(
-        self, part
-    ):  # of each quota that is granted by the count seen from here; 0: none tells
-        self.quota.granted = part
-        self.redivide(part > 0)
-
-    def use_coordination(self, choices):  # what the fleet chooses together of its servers (choices.Shared)
-        self.upstreams.choices = choices
-        choices.on_servers_updated({view.server.id: view.server for view in self.upstreams.servers})
-
-    def on_request(self, request):
-        now, customer, granted = self.port.now, request.customer, self.quota.granted
-        if customer.account not in self.accounts:
-            holders = self.holders(request.quota_holders)
-            customer.account = open_account(customer, holders, self.settings, now, self.launched, granted)
-            customer.account.announced_holders = request.quota_holders
-        self.touch(customer.account)
-        soft = customer.plan.excess_value > customer.plan.excess_cost
-        self.intake.take(
-            PendingRequest(
-                request, customer.account, min(now + request.route.latency_target, request.deadline), soft
-            )
-        )
-
-    def on_response_started(self, one, took):  # it is the client's from here on; no time is up for it
-        if one.request.pending:
-            one.request.pending.response_started = True
-
-    def on_attempt_ended(self, one, took, final, charged, used, report):
-        pending = one.request.pending
-        if pending:
-            self.touch(pending.account)
-            trued_up = self.settings.reports_actual_units and charged and pending.counted_units
-            self.quota.spend(pending, charged - pending.counted_units if trued_up else 0.0)
-        self.upstreams.attempt_ended(one, took, final)
-
-    def on_client_disconnected(self, request):
+    def _build_completion(self) -> None:
+        """The steps that a request's end passes: limits, loans, quota, answer."""
+        port = self.port
+        self.estimator = QuotaEstimator(port, self.settings.max_request_units)
+        self.reporter = CounterReporter(port, self.random, self.settings, self.estimator)
+        self.responder = Responder(port, self.settings.max_retry_after)
+        self.ledger = QuotaLedger(port, self.reporter, self.responder)
+        self.loan_book = LoanBook(port, self.accounts, self.horizon, self.ledger)
+        self.limits = PlanLimits(self.loan_book)
+
+    def _build_filters(self) -> None:
+        """The filters that a request passes, built from the last to the first."""
+        port = self.port
+        queue = RequestQueue()
+        selector = ServerSelector(port, self.random, self.settings.zone, self.subset)
+        retries = RetryPolicy(port, self.random, self.settings.max_attempts, self.subset)
+        options = AttemptOptions(self.settings.can_cancel, loan_timeout=self.horizon)
+        self.upstreams = Upstreams(port, selector, retries, queue, self.limits, options)
+        self.dispatcher = Dispatcher(port, queue, selector, self.upstreams, self.limits)
+        ceiling = CeilingFilter(port, self.dispatcher, self.loan_book)
+        self.loans = LoanFilter(self.loan_book, queue, selector, self.limits, ceiling, self.ledger)
+        windows = CounterWindows(port, self.reporter, self.estimator)
+        quota = QuotaFilter(port, self.random, self.ledger, windows, self.loans)
+        self.intake = IntakeFilter(port, self.dispatcher, self.upstreams, self.responder, quota)
+
+    # requests and attempts
+
+    def on_request(self, request: Request) -> None:
+        """A client's request arrived."""
+        account = self.accounts.open(request)
+        self.accounts.mark_active(account)
+        target_at = min(self.port.now + request.route.latency_target, request.deadline)
+        self.intake.accept(PendingRequest(request, account, target_at, account.plan.is_soft))
+
+    def on_client_disconnected(self, request: Request) -> None:
+        """The client of a request left: nothing more is sent for it."""
         if request.pending:
-            self.upstreams.give_up(request.pending, left=True)
-
-    def on_server_list_failed(self):
-        self.port.later(self.settings.server_list_max_age / 10, lambda: self.port.watch_servers(True))
-
-    on_probe_ended = on_peer_message = lambda self, *heard: None  # unused: gateways talk by the counter
+            self.upstreams.give_up(request.pending, client_left=True)
+
+    def on_response_started(self, attempt: Attempt, took: float) -> None:
+        """A server's answer began, so many seconds after its attempt."""
+        if attempt.request.pending:
+            attempt.request.pending.response_started = True
+
+    def on_attempt_ended(
+        self,
+        attempt: Attempt,
+        took: float,
+        answered: bool,
+        charged_units: float,
+        used: float | None,
+        report: dict[str, float],
+    ) -> None:
+        """An attempt ended after so many seconds; its outcome is set.
+
+        `answered`: it brought its request's final answer; `charged_units`: what the server says the request
+        used, 0 where it says nothing. The server's own `used` capacity and load `report` decide nothing.
+        """
+        pending = attempt.request.pending
+        if pending:
+            self.accounts.mark_active(pending.account)
+            corrects_units = self.settings.reports_actual_units and charged_units and pending.counted_units
+            self.ledger.spend(pending, charged_units - pending.counted_units if corrects_units else 0.0)
+        self.upstreams.attempt_ended(attempt, took, answered)
+        self.dispatcher.dispatch()
+
+    # the fleet
+
+    def on_servers_updated(self, servers: Iterable[Server]) -> None:
+        """The server list, or changes of it, arrived."""
+        self.subset.update(servers)
+        self.dispatcher.dispatch()
+
+    def on_server_list_failed(self) -> None:
+        """Asking for the server list failed: ask again soon."""
+        retry_in = self.settings.server_list_max_age / SERVER_LIST_RETRIES
+        self.port.later(retry_in, lambda: self.port.watch_servers(True))
+
+    def on_membership_changed(self, live: int, rank: int, possible: int) -> None:
+        """Membership changed: gateways that are there, this one's rank, those that have not surely left.
+
+        Quotas are divided among the possible ones: in a network partition both sides are there.
+        """
+        self.fleet_size.live = live
+        self.fleet_size.possible = possible
+        self.accounts.divide_again()
+        self.subset.refresh()
+
+    def on_granted_share_changed(self, granted_share: float) -> None:
+        """Recovery tells which share of each quota the counter seen from here may grant; 0: none."""
+        self.accounts.set_granted_share(granted_share)
+
+    def use_coordination(self, coordination: FleetCoordination) -> None:
+        """Ask the fleet for ejections, probes and subsets from now on."""
+        self.subset.use_coordination(coordination)
+
+    def on_probe_ended(self, *result: object) -> None:
+        """Nothing to do: the decisions send no probes."""
+
+    def on_peer_message(self, *message: object) -> None:
+        """Nothing to do: gateways learn of each other through the counter and by membership."""
--- /dev/null
+++ b/brookhub/policy/quota.py
@@ -0,0 +1,177 @@
+"""The counter rule: a customer's use of its quota, counted over all gateways.
+
+Each unit that is admitted is added to the customer's count for a window of burst over rate. Inside its own
+share a gateway adds in the background; beyond it, it asks the counter first and admits while the total leaves
+room. Source: DESIGN and PAPER of fair-share-ceiling (docs/design.md).
+"""
+
+from __future__ import annotations
+
+from math import inf
+
+from ..model import Account, Answer, Outcome, PendingRequest
+from ..ports import Clock
+from ..structures import RandomGenerator
+from .answers import CompletionStep
+from .constants import (
+    BACKGROUND_RESERVE,
+    MAX_EXHAUSTED_S,
+    SOFT_PLAN_RESERVE,
+    TIMER_MARGIN_S,
+    TOTAL_FRESH_FOR_S,
+)
+from .counter_reports import CounterReporter
+from .counter_windows import CounterWindows, phase
+from .loans import LoanFilter
+
+
+class QuotaLedger:
+    """Takes requests' units out of their customers' quotas, and gives back what was not used."""
+
+    def __init__(self, port: Clock, reporter: CounterReporter, previous: CompletionStep) -> None:
+        self.port = port
+        self.reporter = reporter
+        self.previous = previous
+
+    def spend(self, pending: PendingRequest, units: float, report: bool = True) -> None:
+        """Take units out of the quota; below 0 gives back. `report`: add them to the count later."""
+        account = pending.account
+        pending.counted_units += units
+        account.take(self.port.now, units)
+        self.reporter.add_later(account, units if report else 0.0)
+
+    def finish(self, pending: PendingRequest, answer: Answer) -> None:
+        """Give back the units of a request that was not sent.
+
+        What was added in an earlier window is not taken off the present count: that would make room in it.
+        """
+        is_present = pending.window == pending.account.window
+        self.spend(pending, 0.0 if pending.sent else -pending.counted_units, is_present)
+        self.previous.finish(pending, answer)
+
+
+class QuotaFilter:
+    """Decides whether a request is inside its customer's quota."""
+
+    def __init__(
+        self,
+        port: Clock,
+        random: RandomGenerator,
+        ledger: QuotaLedger,
+        windows: CounterWindows,
+        loans: LoanFilter,
+    ) -> None:
+        self.port = port
+        self.random = random
+        self.ledger = ledger
+        self.reporter = ledger.reporter
+        self.windows = windows
+        self.loans = loans
+
+    def admit(self, pending: PendingRequest) -> None:
+        """Pass a request on as inside or beyond the quota, at once or when the counter has answered."""
+        account = pending.account
+        request = pending.request
+        now = self.port.now
+        if account.plan.rate <= 0:
+            self.loans.admit(pending)
+            return
+        self.windows.advance(account)
+        is_inside = self._is_inside_own_share(account, request.units)
+        is_exhausted = now < account.exhausted_until and (
+            request.is_retry or not self.reporter.may_call(BACKGROUND_RESERVE)
+        )
+        if is_exhausted or account.quota.read(now) < request.units:
+            self._admit_beyond_quota(pending)
+            return
+        rate = self.reporter.rate
+        rate.wanted.add(now, 0.0 if is_inside or pending.counter_deadline else 1.0)
+        # Where calls are scarce a client's retry, rejected just now, comes last, and soft plans before it.
+        reserve = BACKGROUND_RESERVE if request.is_retry else SOFT_PLAN_RESERVE * pending.may_borrow
+        asks = not is_inside and self.reporter.may_call(reserve)
+        pending.counter_deadline = pending.counter_deadline or now + self.reporter.timeout
+        turn_in = rate.wait(now, reserve)
+        if not (is_inside or asks) and now + turn_in < pending.counter_deadline:
+            # A burst of questions passes, and the counter's answer is worth the wait.
+            self.port.later(turn_in + TIMER_MARGIN_S, lambda: self._admit_unless_done(pending))
+            return
+        pending.window = account.window
+        self.ledger.spend(pending, request.units, report=not asks)
+        if is_inside:
+            self.loans.admit(pending)
+        elif asks:
+            self.reporter.ask(
+                account, request.units, lambda outcome: self._counter_answered(pending, outcome)
+            )
+        else:
+            self._decide(pending, Outcome.NOT_SENT)
+
+    def _admit_unless_done(self, pending: PendingRequest) -> None:
+        if not pending.done:
+            self.admit(pending)
+
+    def _is_inside_own_share(self, account: Account, units: float) -> bool:
+        """Whether the own share holds the units, by a fresh total, and the share of the ceiling as well."""
+        now = self.port.now
+        has_room = account.own_share.read(now) >= units
+        if not has_room or now - account.total_known_at >= TOTAL_FRESH_FOR_S:
+            return False
+        return not account.shared_ceiling_rate or account.ceiling.read(now) >= units
+
+    def _counter_answered(self, pending: PendingRequest, outcome: Outcome) -> None:
+        if not pending.done:
+            self._decide(pending, outcome)
+
+    def _decide(self, pending: PendingRequest, outcome: Outcome) -> None:
+        """Admit a request that was counted, or give its units back; `outcome`: of the counter's call."""
+        account = pending.account
+        is_confirmed = outcome is Outcome.OK
+        fits = account.quota.read(self.port.now) >= 0
+        if not is_confirmed:
+            fits = self._fits_unconfirmed(pending, fits)
+        elif not fits:
+            self._mark_exhausted(account, pending.request.units)
+        if not fits:
+            # A call that timed out may not have been added.
+            self.ledger.spend(pending, -pending.counted_units, report=outcome is not Outcome.TIMEOUT)
+            self._admit_beyond_quota(pending)
+            return
+        if is_confirmed and account.shared_ceiling_rate and pending.window == account.window:
+            self._set_ceiling_turn(pending, account)
+        self.loans.admit(pending)
+
+    def _fits_unconfirmed(self, pending: PendingRequest, fits: bool) -> bool:
+        """Whether this gateway may admit a request alone, by its unconfirmed share or its credit."""
+        account = pending.account
+        unconfirmed = account.unconfirmed
+        is_short = fits and unconfirmed.read(self.port.now) < 0 and not pending.request.is_retry
+        if is_short and account.credit >= pending.counted_units:
+            unconfirmed.level += pending.counted_units
+            account.credit = 0.0
+        return fits and unconfirmed.level >= 0
+
+    def _mark_exhausted(self, account: Account, units: float) -> None:
+        """The counter answered that there is no room: don't ask again for a while.
+
+        Until the own share of the rate has saved up half a request, all others will have used what comes.
+        """
+        wait = min(MAX_EXHAUSTED_S, units * account.holders / account.plan.rate / 2)
+        account.exhausted_until = self.port.now + wait * (0.5 + self.random.uniform())
+
+    def _set_ceiling_turn(self, pending: PendingRequest, account: Account) -> None:
+        """When a request's place in the window's total lets it pass the ceiling."""
+        length = account.window_length
+        turn_in = account.window_used / account.shared_ceiling_rate
+        assert pending.window is not None
+        window_starts_at = (pending.window - phase(account)) * length
+        pending.ceiling_turn_at = window_starts_at + turn_in if turn_in <= length else inf
+
+    def _admit_beyond_quota(self, pending: PendingRequest) -> None:
+        """Pass a request on that only a loan can cover."""
+        now = self.port.now
+        account = pending.account
+        pending.beyond_quota = True
+        pending.retry_after = max(
+            account.quota.wait(now, pending.request.units), account.exhausted_until - now
+        )
+        self.loans.admit(pending)
--- /dev/null
+++ b/brookhub/policy/repeat_safety.py
@@ -0,0 +1,38 @@
+"""Whether a request may be sent again after attempts that may have been executed."""
+
+from __future__ import annotations
+
+from ..model import Attempt, PendingRequest, Server
+from ..site import DeduplicationScope, Idempotency, Route
+from .constants import NEVER_RAN
+
+
+def attempts_that_may_have_run(pending: PendingRequest) -> list[Attempt]:
+    """The request's attempts that are not proven to have had no effect, the oldest first."""
+    return [attempt for attempt in pending.request.attempts if attempt.outcome not in NEVER_RAN]
+
+
+def may_repeat_at(server: Server, route: Route, ran: list[Attempt], now: float) -> bool:
+    """Whether a server may get a request whose attempts `ran` may have been executed.
+
+    A request with an idempotency key stays within its deduplication scope and window.
+    """
+    if not ran or route.idempotency is Idempotency.IDEMPOTENT:
+        return True
+    if route.idempotency is Idempotency.NON_IDEMPOTENT:
+        return False
+    first = ran[0]
+    if now >= first.sent_at + route.deduplication_window:
+        return False
+    if route.deduplication_scope is DeduplicationScope.ALL:
+        return True
+    if route.deduplication_scope is DeduplicationScope.ZONE:
+        return server.zone == first.server.zone
+    return server.cell == first.server.cell
+
+
+def is_safe_anywhere(route: Route) -> bool:
+    """Whether a client may repeat a request of this route at any gateway and server, whatever ran."""
+    if route.idempotency is Idempotency.IDEMPOTENT:
+        return True
+    return route.idempotency is Idempotency.KEYED and route.deduplication_scope is DeduplicationScope.ALL
--- /dev/null
+++ b/brookhub/policy/server_selection.py
@@ -0,0 +1,89 @@
+"""Which server gets a request: the one with room whose answer is expected soonest."""
+
+from __future__ import annotations
+
+from ..model import PendingRequest, Server, Upstream
+from ..ports import Clock
+from ..site import Idempotency
+from ..structures import RandomGenerator
+from .constants import (
+    CROSS_ZONE_FACTOR,
+    MEMORY_S,
+    MIN_SUCCESS_WEIGHT,
+    SAME_SERVER_FACTOR,
+    SELECTION_JITTER,
+)
+from .outlier_detection import expected_latency, has_room
+from .repeat_safety import attempts_that_may_have_run, may_repeat_at
+from .subset import ServerSubset
+
+
+class ServerSelector:
+    """Chooses among the servers of the subset."""
+
+    def __init__(
+        self,
+        port: Clock,
+        random: RandomGenerator,
+        zone: int,
+        subset: ServerSubset,
+    ) -> None:
+        """`zone`: of this gateway; servers of other zones cost more."""
+        self.port = port
+        self.random = random
+        self.zone = zone
+        self.subset = subset
+        self.mean_latency = subset.statistics.mean_latency
+        self.slow_start = subset.slow_start
+        self.limit = subset.limit
+
+    def choose(self, pending: PendingRequest) -> Upstream | None:
+        """The server that a request should be sent to now, None where no usable one has room."""
+        now = self.port.now
+        subset = self.subset
+        typical_latency = self.mean_latency()
+        route = pending.request.route
+        ran = attempts_that_may_have_run(pending)
+        tried = [attempt.server for attempt in pending.request.attempts]
+        # A probing attempt at an ejected server is made for all gateways, with a request that may run again.
+        may_be_probe = route.idempotency is Idempotency.IDEMPOTENT and not tried
+        subset.refresh_if_due()
+        if not self.limit.has_room():
+            return None
+        coordination = subset.coordination
+        best: Upstream | None = None
+        least_cost = 0.0
+        for upstream in subset.members:
+            server = upstream.server
+            is_probe = coordination.may_probe(server.id) and may_be_probe
+            if not has_room(upstream, now):
+                continue
+            if not is_probe and coordination.is_ejected(server.id):
+                continue
+            if not may_repeat_at(server, route, ran, now) or not self._admits_by_warmth(upstream):
+                continue
+            cost = self._cost(upstream, now, typical_latency, tried, is_probe)
+            if best is None or cost < least_cost:
+                best = upstream
+                least_cost = cost
+        return best
+
+    def _admits_by_warmth(self, upstream: Upstream) -> bool:
+        if self.slow_start.is_warm(upstream):
+            return True
+        subset = self.subset
+        return self.slow_start.admits(upstream, subset.warm_members, subset.competing_gateways)
+
+    def _cost(
+        self, upstream: Upstream, now: float, typical_latency: float, tried: list[Server], is_probe: bool
+    ) -> float:
+        """The time (s) until an answer, weighted by what speaks against the server; 0 for a probe."""
+        server = upstream.server
+        # A server that was not used for long gets a new chance, whatever its success rate.
+        unused_share = min(1.0, (now - upstream.last_result_at) / MEMORY_S)
+        success_weight = max(MIN_SUCCESS_WEIGHT, upstream.successes.rate, unused_share)
+        latency = expected_latency(upstream, now, typical_latency) / success_weight
+        repeat_factor = SAME_SERVER_FACTOR ** tried.count(server)
+        cost = (len(upstream.in_flight) + 1) * latency * repeat_factor * (not is_probe)
+        zone_factor = CROSS_ZONE_FACTOR if server.zone != self.zone else 1.0
+        return cost * (zone_factor * (1 + SELECTION_JITTER * self.random.uniform()))
--- /dev/null
+++ b/brookhub/policy/slow_start.py
@@ -0,0 +1,44 @@
+"""Slow start: a server that has just started gets work by its warmth."""
+
+from __future__ import annotations
+
+from ..model import Upstream
+from ..ports import Clock
+from ..site import GatewaySettings
+from .attempt_statistics import AttemptStatistics
+from .constants import MAX_SLOW_START_FACTOR, MIN_SLOW_START_LATENCY_S, SLOW_START_OVERLOAD_SHARE
+
+
+class SlowStart:
+    """Limits what warming servers get, so that all gateways together don't push one over."""
+
+    def __init__(self, port: Clock, settings: GatewaySettings, statistics: AttemptStatistics) -> None:
+        self.port = port
+        self.statistics = statistics
+        self.warm_up_time = settings.warm_up_time
+        self.cold_capacity = settings.cold_capacity
+        self.factor = min(MAX_SLOW_START_FACTOR, SLOW_START_OVERLOAD_SHARE * settings.overload_multiple)
+
+    def is_warm(self, upstream: Upstream) -> bool:
+        """Whether a server has its full capacity."""
+        started_at = upstream.server_started_at
+        return not started_at or self.port.now - started_at >= self.warm_up_time
+
+    def admits(self, upstream: Upstream, warm_servers: int, competing_gateways: float) -> bool:
+        """Whether a warming server may get an attempt now.
+
+        Its rate is its warmth times what each of the `warm_servers` is sent, or what one core bears, shared
+        with the `competing_gateways` that use it.
+        """
+        now = self.port.now
+        rate_of_warm_server = self.statistics.attempt_rate() / warm_servers if warm_servers else 0.0
+        latency = max(self.statistics.mean_latency(), MIN_SLOW_START_LATENCY_S)
+        rate_of_one_core = 1 / latency / competing_gateways
+        warm_rate = max(rate_of_warm_server, rate_of_one_core)
+        upstream.slow_start.change_rate(now, self._warmth(upstream) * self.factor * warm_rate)
+        return upstream.slow_start.level >= 1
+
+    def _warmth(self, upstream: Upstream) -> float:
+        """The share of its full capacity that a warming server has now."""
+        age = max(0.0, self.port.now - upstream.server_started_at)
+        return self.cold_capacity + (1 - self.cold_capacity) * age / self.warm_up_time
--- a/tests/test_emulator.py
+++ b/tests/test_emulator.py
@@ -90,12 +90,14 @@
     fleet.engine.at(
         10.5,
         lambda: told.append(
-            {(seat.gateway.upstreams.gateways, seat.gateway.sure_gateways) for seat in fleet.seats}
+            {(seat.gateway.fleet_size.live, seat.gateway.fleet_size.possible) for seat in fleet.seats}
         ),
     )
     fleet.run()
     assert told == [{(3, 6)}]  # each half of six sees three; both halves are still there
-    assert {(seat.gateway.upstreams.gateways, seat.gateway.sure_gateways) for seat in fleet.seats} == {(6, 6)}
+    assert {(seat.gateway.fleet_size.live, seat.gateway.fleet_size.possible) for seat in fleet.seats} == {
+        (6, 6)
+    }
 
 
 def test_a_seed_replayed_gives_the_same_trail_and_another_seed_does_not():
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -62,13 +62,13 @@
 
 def test_one_server_that_turns_away_does_not_narrow_what_all_others_get():
     world = World(servers=6, plans=[WIDE], max_attempts=5, counter_timeout=0.0, gateways=2)
-    payer, before = world.customer(), world.gateway.upstreams.concurrency_limit
+    payer, before = world.customer(), world.gateway.limit.value
     for _ in range(60):
         world.call(payer)
         world.run(0.05)
         for one in list(world.out):
             world.end(one, Outcome.BUSY if one.server.id < 3 else Outcome.OK)
-    assert world.gateway.upstreams.concurrency_limit >= before
+    assert world.gateway.limit.value >= before
 
 
 def test_cold_servers_that_answer_slowly_do_not_narrow_what_the_warm_get():
@@ -91,16 +91,16 @@
             world.run(0.05)
             for one in list(world.out):
                 world.end(one, Outcome.OK)
-        for view in world.gateway.upstreams.servers:
+        for view in world.gateway.subset.servers:
             view.server_started_at = world.now if cold else 0.0
-        before = world.gateway.upstreams.concurrency_limit
+        before = world.gateway.limit.value
         for _ in range(300):
             world.call(payer)
             world.run(0.05)
             for one in list(world.out):
                 if world.now - one.sent_at >= 0.8:
                     world.end(one, Outcome.OK)
-        return world.gateway.upstreams.concurrency_limit / before
+        return world.gateway.limit.value / before
 
     assert narrowed(cold=True) > 0.9 > narrowed(cold=False)
 
@@ -302,7 +302,7 @@
     }
     world.gateway.on_membership_changed(2, 0, 4)  # a split in halves: two are seen, none has left
     assert {name: (getattr(account, name).rate, getattr(account, name).depth) for name in before} == before
-    cold = world.gateway.upstreams.rivals
+    cold = world.gateway.subset.competing_gateways
     world.gateway.on_membership_changed(2, 0, 2)  # two have left for good
     after = {name: getattr(account, name) for name in before}
     assert (
@@ -310,7 +310,7 @@
         and after["unconfirmed"].rate == 40.0 * 0.75
         and after["ceiling"].rate == 24.0
     )
-    assert world.gateway.upstreams.rivals == cold / 2
+    assert world.gateway.subset.competing_gateways == cold / 2
     world.gateway.on_membership_changed(8, 0, 8)  # growth: what was there for fewer is cut at once
     assert account.own_share.level <= account.own_share.depth == 10.0 and account.ceiling.depth == 12.0
     assert account.unconfirmed.depth == 80.0 * 1.5 / 8
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -8,8 +8,7 @@
 import pytest
 
 from brookhub.model import Outcome, ServerState
-from brookhub.policy.capacity import Loans
-from brookhub.policy.constants import IDLE, UNHEARD
+from brookhub.policy.constants import IDLE_AFTER_HORIZONS, UNCONFIRMED_SHARE_FACTOR
 from brookhub.ports import IndependentCoordination
 from brookhub.site import DeduplicationScope, Idempotency, Plan, Route
 from helpers import World
@@ -30,7 +29,7 @@
 
 
 def loans_of(world):
-    return next(stage for stage in [world.gateway.intake.next.next] if isinstance(stage, Loans))
+    return world.gateway.loan_book
 
 
 @pytest.mark.parametrize("seed", range(25))
@@ -110,7 +109,7 @@
             assert account.in_flight == out
             if account.plan.max_concurrency:
                 assert out <= max(1, 4 // spread)
-        assert gateway.upstreams.in_flight == len(world.out)
+        assert gateway.limit.in_flight == len(world.out)
         for call in calls:
             if call.pending and call.pending.loan:
                 assert abs(sum(part for _, part in call.pending.loan) - call.units) < 1e-6
@@ -165,7 +164,9 @@
     world = World(plans=[Plan("hard", 8.0, 16.0), Plan("soft", 1.0, 2.0, excess_value=0.3)])
     lender, borrower = world.customer(1, 0), world.customer(2, 1)
     world.call(lender)
-    world.run(IDLE * 1.0 + 4.5)  # its call has timed out and it is idle for more than two horizons
+    world.run(
+        IDLE_AFTER_HORIZONS * 1.0 + 4.5
+    )  # its call has timed out and it is idle for more than two horizons
     calls = [world.call(borrower) for _ in range(4)]
     world.run(0.05)
     assert next(iter(world.gateway.accounts)).lent_units > 0
@@ -205,7 +206,9 @@
     assert world.answers[call] == ("errored", call.deadline)
 
 
-@pytest.mark.parametrize("gateways, most", [(1, 1.0), (2, UNHEARD / 2), (4, UNHEARD / 4)])
+@pytest.mark.parametrize(
+    "gateways, most", [(1, 1.0), (2, UNCONFIRMED_SHARE_FACTOR / 2), (4, UNCONFIRMED_SHARE_FACTOR / 4)]
+)
 def test_a_silent_counter_leaves_somewhat_more_than_the_own_share(gateways, most):
     world = World(servers=30, gateways=gateways)
     payer = world.customer()
@@ -332,8 +335,8 @@
 
 def test_asked_calls_leave_room_for_what_others_could_not_say():
     full, heard = (World(servers=30) for _ in range(2))
-    full.gateway.quota.unheard.add(full.now, 30.0)
-    full.gateway.quota.reported.add(full.now, 20.0)
+    full.gateway.estimator.unreported.add(full.now, 30.0)
+    full.gateway.estimator.reported.add(full.now, 20.0)
     for world in (full, heard):
         payer = world.customer()
         world.call(payer)
@@ -393,7 +396,7 @@
 def test_the_parts_of_many_gateways_cover_the_fleet_evenly():
     uses = [0] * 70
     for slot in range(100):
-        for view in World(servers=70, gateways=100, index=slot).gateway.upstreams.subset:
+        for view in World(servers=70, gateways=100, index=slot).gateway.subset.members:
             uses[view.server.id] += 1
     assert max(uses) <= 1.5 * sum(uses) / 70 and min(uses) >= 0.5 * sum(uses) / 70
 
@@ -442,7 +445,7 @@
     assert max(sizes) < 450 and sizes[-1] <= sizes[1500] + 20
     assert len(world.alarms) < 2000
     most = world.customer(9999)
-    assert world.gateway.accounts.keys() >= {usual.account} and most.account is None
+    assert set(world.gateway.accounts) >= {usual.account} and most.account is None
 
 
 def test_a_refused_call_leaves_nothing_to_wait_for():
@@ -466,12 +469,12 @@
     later = [world.call(met) for _ in range(8)]
     world.run(0.2)
     # This gateway's half of the burst, and more
-    assert sum(bool(call.attempts) for call in later) == int(8 * UNHEARD / 2)
+    assert sum(bool(call.attempts) for call in later) == int(8 * UNCONFIRMED_SHARE_FACTOR / 2)
 
 
 def test_a_broken_connection_to_the_counter_is_no_crowd_and_a_late_answer_is():
     world = World(servers=8)
-    quota, payer = world.gateway.quota, world.customer()
+    reporter, payer = world.gateway.reporter, world.customer()
     for outcome, took, slower in (
         (Outcome.CONNECT_FAILED, 0.0, False),
         (Outcome.TIMEOUT, 0.01, False),
@@ -483,9 +486,9 @@
         world.add_to_counter = lambda name, amount, lives, told: told(outcome, 1.0, took)
         world.run(1.0)
         # What was used: from more than that a late answer goes back at once
-        before = quota.pace.bucket.rate = 2.0
+        before = reporter.rate.bucket.rate = 2.0
         world.call(payer)
-        assert (quota.pace.bucket.rate < before) is slower
+        assert (reporter.rate.bucket.rate < before) is slower
 
 
 class Word(IndependentCoordination):
