--- a/brookhub/lab/limiter_process.py
+++ b/brookhub/lab/limiter_process.py
@@ -8,6 +8,7 @@
 import socket
 import subprocess
 import sys
+import threading
 from contextlib import suppress
 from pathlib import Path
 from typing import Callable
@@ -25,17 +26,29 @@
 class Limiter:
     """One process of the program, started again at the same address as often as asked.
 
-    `write_config` writes its start file to `config` before each start.
+    `write_config` writes its start file to `config` before each start. The process imports `brookhub` from
+    `source_folder`, or from where this process runs if that is None; it may be changed between two starts.
+    `folder` has to be absolute where a source folder is given.
     """
 
     def __init__(
-        self, index: int, address: str, folder: Path, write_config: Callable[[Limiter], None]
+        self,
+        index: int,
+        address: str,
+        folder: Path,
+        write_config: Callable[[Limiter], None],
+        source_folder: Path | None = None,
     ) -> None:
         self.index, self.address, self.write_config = index, address, write_config
+        self.source_folder = source_folder
         self.at = (self.address, free_port(self.address))
         self.udp = (self.address, free_port(self.address, socket.SOCK_DGRAM))
         self.config = folder / f"n{index}.json"
         self.log_path = folder / f"n{index}.log"
+        # Guards the two below: the log's lines so far, and the bytes of it that were read
+        self.log_lock = threading.Lock()
+        self.log_lines: list[dict] = []
+        self.log_offset = 0
         self.process: subprocess.Popen | None = None
         self.starts = 0
 
@@ -50,6 +63,7 @@
                 stderr=log,
                 stdout=log,
                 env={**environment, "NODE_CONFIG": str(self.config)},
+                cwd=self.source_folder,  # `python -m` looks there first for the package
             )
 
     def ready(self) -> bool:
@@ -81,9 +95,19 @@
                 self.process.wait()
 
     def lines(self) -> list[dict]:
-        """Its structured log so far, all starts."""
-        found = []
-        for line in self.log_path.read_text(errors="replace").splitlines() if self.log_path.exists() else ():
+        """Its structured log so far, all starts. Only what was added since the last call is read."""
+        with self.log_lock:
+            if self.log_path.exists():
+                self.read_log()
+            return list(self.log_lines)
+
+    def read_log(self) -> None:
+        """Read the whole lines that were added to the log. Called under `log_lock`."""
+        with open(self.log_path, "rb") as log:
+            log.seek(self.log_offset)
+            added = log.read()
+        whole = added[: added.rfind(b"\n") + 1]
+        self.log_offset += len(whole)
+        for line in whole.decode(errors="replace").splitlines():
             with suppress(ValueError):
-                found.append(json.loads(line))
-        return found
+                self.log_lines.append(json.loads(line))
--- a/brookhub/lab/processes.py
+++ b/brookhub/lab/processes.py
@@ -18,7 +18,7 @@
 from dataclasses import dataclass
 from pathlib import Path
 from time import monotonic, sleep
-from typing import Callable
+from typing import Callable, Sequence
 
 from ..config.models import Experiment
 from ..emulator import Result
@@ -60,12 +60,25 @@
 
 
 class ProcessLab:
-    """Everything one run needs; a context manager that ends all it started."""
+    """Everything one run needs; a context manager that ends all it started.
 
-    def __init__(self, experiment: Experiment, folder: Path, seed: int | None = None):
+    `source_folders`: where each limiter's process finds the package, in the order of their numbers (None: as
+    this process does); all as this process does where it is empty.
+    """
+
+    def __init__(
+        self,
+        experiment: Experiment,
+        folder: Path,
+        seed: int | None = None,
+        source_folders: Sequence[Path | None] = (),
+    ):
         fleet = experiment.fleet
         if not LEAST <= fleet.limiters <= MOST:
             raise LabError(f"{fleet.limiters} limiters: the process lab plays {LEAST} to {MOST}")
+        source_folders = source_folders or [None] * fleet.limiters
+        if len(source_folders) != fleet.limiters:
+            raise LabError(f"{len(source_folders)} source folders for {fleet.limiters} limiters")
         soft, hard = resource.getrlimit(resource.RLIMIT_NOFILE)
         resource.setrlimit(
             resource.RLIMIT_NOFILE, (hard if hard != resource.RLIM_INFINITY else max(soft, 8192), hard)
@@ -91,8 +104,8 @@
         self.counter = CounterStandIn(delay=fleet.counter.delay_s)
         self.discovery = DiscoveryStandIn([], dial=self.dial_of)
         self.limiters = [
-            Limiter(index, self.lane.address(index), self.folder, self.write_config)
-            for index in range(fleet.limiters)
+            Limiter(index, self.lane.address(index), self.folder, self.write_config, source_folder)
+            for index, source_folder in enumerate(source_folders)
         ]
         self.links: dict[tuple[str, int], object] = {}  # (limiter's address, server) -> TcpLink
         self.counter_links = {
