--- a/benchmarks/rolling_upgrade.py
+++ b/benchmarks/rolling_upgrade.py
@@ -33,11 +33,11 @@
 
 from xxhash import xxh3_64_intdigest
 
-from brookhub.choices import Parts
 from brookhub.config import Experiment
-from brookhub.lab.limiter_process import Limiter
-from brookhub.lab.maintenance import Workers
-from brookhub.lab.processes import Outcome, ProcessLab
+from brookhub.coordination import Parts
+from brookhub.experiments.limiter_process import Limiter
+from brookhub.experiments.maintenance import Workers
+from brookhub.experiments.processes import Outcome, ProcessLab
 from brookhub.protocol import hosts
 
 ROOT = Path(__file__).resolve().parent.parent
--- a/tests/test_limiter_process.py
+++ b/tests/test_limiter_process.py
@@ -2,9 +2,9 @@
 
 import pytest
 
-from brookhub.lab.errors import LabError
-from brookhub.lab.limiter_process import Limiter
-from brookhub.lab.processes import ProcessLab
+from brookhub.experiments.errors import LabError
+from brookhub.experiments.limiter_process import Limiter
+from brookhub.experiments.processes import ProcessLab
 from helpers import experiment, until
 
 
