--- a/brookhub/program/run.py
+++ b/brookhub/program/run.py
@@ -12,7 +12,7 @@
 
 from ..policy import Gateway
 from ..routing.clients import ClientLimits, Clients
-from ..routing.connections import Reconnector
+from ..routing.connections import Reconnector, ReconnectSettings
 from ..routing.counter import Counter
 from ..routing.discovery import Discovery
 from ..routing.port import SocketPort
@@ -113,12 +113,10 @@
             return Reconnector(
                 "discovery",
                 address,
-                DISCOVERY_CONNECT,
-                pauses,
+                ReconnectSettings(DISCOVERY_CONNECT, *pauses, max_silence=LIST_AGAIN),
                 self.chance,
                 self.ends,
                 self.fault,
-                LIST_AGAIN,
             )
 
         ahead = time() - monotonic()
@@ -129,7 +127,12 @@
 
         def reconnector(address: tuple[str, int]) -> Reconnector:
             return Reconnector(
-                "counter", address, COUNTER_CONNECT, PAUSES, self.chance, self.ends, self.fault
+                "counter",
+                address,
+                ReconnectSettings(COUNTER_CONNECT, *PAUSES),
+                self.chance,
+                self.ends,
+                self.fault,
             )
 
         wait = self.start.gateway_settings.counter_timeout
--- a/brookhub/program/start_file.py
+++ b/brookhub/program/start_file.py
@@ -69,7 +69,7 @@
     if told is None:
         return None
     try:
-        return server_list.ServerListUpdate(told)
+        return server_list.ServerListUpdate.from_json(told)
     except MalformedError as bad:
         raise StartError(f"known: {bad}") from None
 
--- a/brookhub/protocol/http.py
+++ b/brookhub/protocol/http.py
@@ -7,6 +7,7 @@
 
 from collections.abc import Callable, Iterator
 
+from ..transport.close_reason import CloseReason
 from ..transport.ring_buffer import RingBuffer
 from .errors import MalformedError
 
@@ -29,7 +30,7 @@
 
     `is_complete` is set once the answer is whole, `retry_after` is how long (s) a server that turned the
     request away wants to be left alone. All methods raise MalformedError where the bytes are no such answer;
-    its reason is "turned-away" for an answer 429 or 503 and "oversized" for a line that is too long.
+    its reason is THROTTLED for an answer 429 or 503 and OVERSIZED for a line that is too long.
     """
 
     def __init__(self) -> None:
@@ -112,7 +113,7 @@
         if self._interim:  # word that the answer is yet to come
             self._step, self._chunked, self._length = self._status, False, None
         elif self.is_rejected:
-            raise MalformedError("turned away", "turned-away")
+            raise MalformedError("rejected", CloseReason.THROTTLED)
         elif self._chunked:
             self._step = self._chunk_size
         else:
@@ -165,4 +166,4 @@
             start = end + 1
         self._rest += data[start:]
         if len(self._rest) > MAX_BODY_LINE_BYTES:
-            raise MalformedError("a line of the answer too long", "oversized")
+            raise MalformedError("a line of the answer too long", CloseReason.OVERSIZED)
--- a/brookhub/protocol/json_documents.py
+++ b/brookhub/protocol/json_documents.py
@@ -9,6 +9,7 @@
 
 import re
 
+from ..transport.close_reason import CloseReason
 from .errors import MalformedError
 
 # Bytes of one object with its line ends: a whole list of some thousand servers
@@ -37,7 +38,7 @@
         self._lines.append(line)
         self._size += len(line) + 1
         if self._size > MAX_DOCUMENT_BYTES:
-            raise MalformedError("a server list too long", "oversized")
+            raise MalformedError("a server list too long", CloseReason.OVERSIZED)
         self._depth += nesting(line)
         if self._depth > 0:
             return None
--- a/brookhub/protocol/request_codec.py
+++ b/brookhub/protocol/request_codec.py
@@ -8,6 +8,7 @@
 
 from ..site import Idempotency, Route
 from . import resp
+from .errors import InvalidRequestError
 
 HEXADECIMAL = re.compile(rb"[0-9a-fA-F]{16}")
 DECIMAL, WHOLE = re.compile(rb"\d{1,9}(\.\d{1,9})?"), re.compile(rb"\d{1,9}")
@@ -17,10 +18,6 @@
 ARGUMENT_COUNTS = {b"CALL.GET": 4, b"CALL.POST": 5}  # and of how many words a command of each is
 
 
-class InvalidRequestError(Exception):
-    """A command that is whole but asks for nothing that can be done."""
-
-
 class ParsedRequest:
     """One API call as its client worded it. It goes to servers in the same words, but for the time left."""
 
--- a/brookhub/protocol/resp.py
+++ b/brookhub/protocol/resp.py
@@ -4,6 +4,7 @@
 
 from typing import Any, Iterator
 
+from ..transport.close_reason import CloseReason
 from ..transport.ring_buffer import RingBuffer
 from .errors import MalformedError
 
@@ -99,7 +100,7 @@
             return null(size)
         self.taken = size + (self.taken if self.words is not None else 0)
         if size > self.max_value_bytes or self.taken > self.max_value_bytes + MAX_OVERHEAD_BYTES // 2:
-            raise MalformedError("a value too large", "oversized")
+            raise MalformedError("a value too large", CloseReason.OVERSIZED)
         self.size = size
         return BEGUN
 
@@ -108,7 +109,7 @@
             raise MalformedError("an array inside an array")
         length = number(text)
         if length > MAX_ARRAY_LENGTH:
-            raise MalformedError("an array of too many words", "oversized")
+            raise MalformedError("an array of too many words", CloseReason.OVERSIZED)
         if length < 0:
             return null(length)
         if length == 0:
--- a/brookhub/protocol/server_list.py
+++ b/brookhub/protocol/server_list.py
@@ -1,8 +1,9 @@
-"""Discovery's JSON: lists of servers, and changes to them."""
+"""The JSON of discovery: complete server lists and changes to them."""
 
 from __future__ import annotations
 
 import json
+from dataclasses import dataclass
 from hashlib import sha256
 from typing import Any
 
@@ -10,76 +11,102 @@
 from .errors import MalformedError
 
 STATES_BY_HEALTH = {"Ready": ServerState.READY, "Terminating": ServerState.DRAINING, "Gone": ServerState.GONE}
+SERVER_ID_BYTES = 6  # of the hash of a server's name
+MAX_NUMBER = 1e15  # magnitude below which a number in an entry has to be
 
 
+@dataclass(slots=True)
 class ServerEntry:
-    """One server as discovery words it."""
-
-    __slots__ = ("name", "address", "zone", "kind", "cell", "state", "weight", "started_at")
-
-    def __init__(self, item: dict[str, Any]):
-        self.name = text(item, "host")
+    """A server as discovery lists it."""
+
+    name: str
+    address: tuple[str, int]
+    zone: str
+    kind: str
+    cell: int
+    state: ServerState
+    weight: float
+    started_at: float  # s since the epoch, on discovery's clock; 0: long ago
+
+    @classmethod
+    def from_json(cls, item: dict[str, Any]) -> ServerEntry:
+        """Read an entry. Raises MalformedError."""
+        name = read_text(item, "host")
         try:
-            self.address = parse_address(text(item, "dial"))
-        except ValueError as bad:
-            raise MalformedError(f"{self.name}: {bad}") from None
-        self.zone, self.kind = text(item, "site", ""), text(item, "class", "")
-        self.cell = int(figure(item, "block", 0))
+            address = parse_address(read_text(item, "dial"))
+        except ValueError as error:
+            raise MalformedError(f"{name}: {error}") from None
         if item.get("health") not in STATES_BY_HEALTH:
-            raise MalformedError(f"the health of {self.name} is unknown")
-        self.state = STATES_BY_HEALTH[item["health"]]
-        self.weight, self.started_at = figure(item, "share", 1.0), figure(item, "born_ms", 0) / 1000
+            raise MalformedError(f"the health of {name} is unknown")
+        return cls(
+            name=name,
+            address=address,
+            zone=read_text(item, "site", ""),
+            kind=read_text(item, "class", ""),
+            cell=int(read_number(item, "block", 0)),
+            state=STATES_BY_HEALTH[item["health"]],
+            weight=read_number(item, "share", 1.0),
+            started_at=read_number(item, "born_ms", 0) / 1000,
+        )
 
     def server_id(self) -> int:
-        """The number by which it is known inside."""
+        """The number by which the server is known inside the gateway."""
         return server_id(self.name)
 
 
+@dataclass(slots=True)
+class ServerListUpdate:
+    """A server list, or what changed in it since the version before."""
+
+    version: int
+    is_complete: bool  # whether servers that are not in it are gone
+    servers: list[ServerEntry]
+
+    @classmethod
+    def from_json(cls, value: object) -> ServerListUpdate:
+        """Read an update from its decoded JSON. Raises MalformedError."""
+        if not isinstance(value, dict) or not isinstance(value.get("hosts"), list):
+            raise MalformedError("a server list without hosts")
+        version = int(read_number(value, "seq", 0))
+        if not all(isinstance(item, dict) for item in value["hosts"]):
+            raise MalformedError("a server that is no object")
+        servers = [ServerEntry.from_json(item) for item in value["hosts"]]
+        return cls(version, value.get("whole") is True, servers)
+
+
+def parse_update(document: bytes) -> ServerListUpdate:
+    """Read an update from JSON text. Raises MalformedError."""
+    try:
+        value = json.loads(document)
+    except (ValueError, RecursionError):
+        raise MalformedError("a server list that is not JSON") from None
+    return ServerListUpdate.from_json(value)
+
+
 def server_id(name: str) -> int:
-    """A number for a server's name, the same at every gateway."""
-    return int.from_bytes(sha256(name.encode()).digest()[:6], "big")
+    """The number for a server's name, the same at every gateway."""
+    return int.from_bytes(sha256(name.encode()).digest()[:SERVER_ID_BYTES], "big")
 
 
-def parse_address(words: str) -> tuple[str, int]:
-    """HOST:PORT, both needed."""
-    host, _, port = words.rpartition(":")
+def parse_address(text: str) -> tuple[str, int]:
+    """Read an address of the form HOST:PORT, an IPv6 host in brackets. Raises ValueError."""
+    host, _, port = text.rpartition(":")
     if not host or not port.isdecimal() or not 0 < int(port) < 65536:
-        raise ValueError(f"not an address of the form HOST:PORT: {words!r}")
+        raise ValueError(f"not an address of the form HOST:PORT: {text!r}")
     return host.strip("[]"), int(port)
 
 
-def text(item: dict[str, Any], name: str, absent: str | None = None) -> str:
-    """A text in an entry. Raises MalformedError."""
-    value = item.get(name, absent)
+def read_text(item: dict[str, Any], name: str, default: str | None = None) -> str:
+    """Read a text of an entry; without a default it has to be there. Raises MalformedError."""
+    value = item.get(name, default)
     if not isinstance(value, str):
         raise MalformedError(f"{name} of a server is no text")
     return value
 
 
-def figure(item: dict[str, Any], name: str, absent: float) -> float:
-    """A number in an entry. Raises MalformedError."""
-    value = item.get(name, absent)
-    if isinstance(value, bool) or not isinstance(value, (int, float)) or not -1e15 < value < 1e15:
+def read_number(item: dict[str, Any], name: str, default: float) -> float:
+    """Read a number of an entry. Raises MalformedError."""
+    value = item.get(name, default)
+    if isinstance(value, bool) or not isinstance(value, (int, float)) or not -MAX_NUMBER < value < MAX_NUMBER:
         raise MalformedError(f"{name} of a server is no number")
     return value
-
-
-class ServerListUpdate:
-    """A list of servers, whole or what changed in it."""
-
-    def __init__(self, told: Any):
-        if not isinstance(told, dict) or not isinstance(told.get("hosts"), list):
-            raise MalformedError("a server list without hosts")
-        self.version, self.is_complete = int(figure(told, "seq", 0)), told.get("whole") is True
-        if not all(isinstance(item, dict) for item in told["hosts"]):
-            raise MalformedError("a server that is no object")
-        self.servers = [ServerEntry(item) for item in told["hosts"]]
-
-
-def parse_update(line: bytes) -> ServerListUpdate:
-    """The news on a line. Raises MalformedError."""
-    try:
-        told = json.loads(line)
-    except (ValueError, RecursionError):
-        raise MalformedError("a server list that is not JSON") from None
-    return ServerListUpdate(told)
--- a/brookhub/routing/client_connection.py
+++ b/brookhub/routing/client_connection.py
@@ -9,7 +9,8 @@
 
 from ..model import Request
 from ..protocol import request_codec, resp
-from ..protocol.errors import MalformedError
+from ..protocol.errors import InvalidRequestError, MalformedError
+from ..transport.close_reason import CloseReason
 from ..transport.stream import Stream
 from .connections import read_until_closed
 
@@ -35,7 +36,7 @@
             clients.answered(self)
             if self.request and clients.port.now > self.request.deadline + LATEST and not self.client.gone:
                 self.request = None  # this process was stopped, or starved: a late answer helps nobody
-                return clients.leave(self.client, "late")
+                return clients.leave(self.client, CloseReason.DEADLINE_PASSED)
             self.request = None  # the call may be known a while longer, what it came on is not held by it
             self.client.pour()
 
@@ -64,7 +65,9 @@
         """Read the connection to its end. Runs in a thread of its own."""
         port, began, stream = self.clients.port, monotonic(), self.stream
         reason = read_until_closed(stream.read, self.took, port.faults)
-        stream.abort(stream.shutdown_reason or ("left" if reason == "closed" else reason))
+        stream.abort(
+            stream.shutdown_reason or (CloseReason.CLIENT_CLOSED if reason is CloseReason.CLOSED else reason)
+        )
         stream.close()
         port.run(monotonic(), self.left)
         stream.on_drained = None  # or the two would hold each other until somebody looks for garbage
@@ -106,9 +109,9 @@
         try:
             wording = request_codec.ParsedRequest(words)
             if wording.route_name not in clients.routes or wording.plan_name not in clients.plans:
-                raise request_codec.InvalidRequestError("unknown c or t")
+                raise InvalidRequestError("unknown c or t")
             wording.validate(clients.routes[wording.route_name], clients.gateways, clients.largest)
-        except request_codec.InvalidRequestError as bad:
+        except InvalidRequestError as bad:
             return resp.encode_error(f"ERR {bad}")
         return wording
 
@@ -123,7 +126,7 @@
         if waited and any(
             isinstance(one, request_codec.ParsedRequest) and one.time_left <= waited for one in asked
         ):
-            return self.clients.leave(self, "late")
+            return self.clients.leave(self, CloseReason.DEADLINE_PASSED)
         for one in asked:
             if isinstance(one, request_codec.ParsedRequest):
                 self.begin(one, waited)
@@ -164,7 +167,7 @@
             if slot.said:  # the rest once that is written
                 slot.said[0], self.waits = memoryview(slot.said[0])[put:], True
                 if self.clients.holds_too_much(self):
-                    self.clients.port.todo.append((self.stream.abort, "slow-reader"))
+                    self.clients.port.todo.append((self.stream.abort, CloseReason.SLOW_READER))
                 break
             self.slots.popleft()
             self.clients.held -= slot.size
--- a/brookhub/routing/clients.py
+++ b/brookhub/routing/clients.py
@@ -10,6 +10,7 @@
 from ..protocol import request_codec, resp
 from ..registry import CustomerRegistry
 from ..site import GatewaySettings
+from ..transport.close_reason import CloseReason
 from ..transport.sockets import set_blocking_timeouts
 from ..transport.threads import start_thread
 from .client_connection import LATEST, ClientConnection, ClientRequest, PendingResponse
@@ -80,7 +81,7 @@
             if not oldest or self.living >= self.limits.max_connections + self.limits.spare_connections:
                 self.port.todo.append((self.turn_away, client))
                 return
-            self.leave(oldest, "made-room")
+            self.leave(oldest, CloseReason.EVICTED)
         self.living += 1
         self.woken()
         if self.port.now - self.woke_at < LATEST:
@@ -115,7 +116,7 @@
             client.idle_at = self.port.now
         return None
 
-    def leave(self, client: ClientConnection, reason: str) -> None:
+    def leave(self, client: ClientConnection, reason: CloseReason) -> None:
         """Close it between two commands. What it now may ask crosses the end: it asks again elsewhere."""
         client.parting = True
         self.forget(client)
@@ -141,8 +142,8 @@
         self.sweeps_at = self.port.now + self.limits.first_request_timeout / 8
         self.port.later(self.limits.first_request_timeout / 8, self.close_stale_connections)
         kinds = [
-            (self.mute, self.limits.first_request_timeout, "mute"),
-            (self.idle, self.limits.idle_timeout, "idle"),
+            (self.mute, self.limits.first_request_timeout, CloseReason.NO_REQUEST),
+            (self.idle, self.limits.idle_timeout, CloseReason.IDLE_TIMEOUT),
         ]
         for held, most, reason in kinds[:1] if self.stopping else kinds:
             while held and self.port.now - next(iter(held)).idle_at > most:
@@ -153,14 +154,14 @@
     def turn_away(self, client: ClientConnection) -> None:
         """Close a connection for which there is no room. Without the lock."""
         client.stream.close()
-        self.log_end("client", "full", None, 0.0, 0)
+        self.log_end("client", CloseReason.CONNECTION_LIMIT, None, 0.0, 0)
 
     def start(self, client: ClientConnection) -> None:
         """Begin to read a connection. Without the lock."""
         if not start_thread("client", client.run):
             client.stream.close()
             self.port.run(monotonic(), client.left)
-            self.log_end("client", "no-thread", None, 0.0, 0)
+            self.log_end("client", CloseReason.NO_THREAD, None, 0.0, 0)
 
     def call(self, slot: PendingResponse, wording: request_codec.ParsedRequest, waited: float = 0.0) -> None:
         """Have a request decided; `waited`: s that it may have lain unread."""
@@ -224,9 +225,10 @@
     def part(self, client: ClientConnection) -> None:
         """End the sending between two API calls, and all once the client had time to hear of it."""
         client.parting = True
-        self.port.todo.append((client.stream.shutdown_gracefully, "restart"))
+        self.port.todo.append((client.stream.shutdown_gracefully, CloseReason.DRAINING))
         self.port.later(
-            self.limits.linger_time, lambda: self.port.todo.append((client.stream.abort, "restart"))
+            self.limits.linger_time,
+            lambda: self.port.todo.append((client.stream.abort, CloseReason.DRAINING)),
         )
 
     def forget(self, client: ClientConnection) -> None:
--- a/brookhub/routing/connections.py
+++ b/brookhub/routing/connections.py
@@ -2,22 +2,26 @@
 
 from __future__ import annotations
 
+import socket
+from dataclasses import dataclass
 from math import inf
 from threading import Event
 from time import monotonic
-from typing import Callable
+from typing import Callable, Protocol
 
+from ..model import Server
 from ..protocol.errors import MalformedError
+from ..transport.close_reason import CloseReason
 from ..transport.sockets import connect
 from ..transport.threads import start_thread
 
-THREAD_PAUSE = 0.5  # s until a thread is asked for again that the system had none left to give
-SHORTEST_PAUSE = 0.05  # s between two dials at least, also where the time to be back in is over
+THREAD_RETRY_PAUSE = 0.5  # s until a thread that the system could not start is tried again
+MIN_BACKOFF = 0.05  # s between two attempts to connect, also where `max_silence` is exceeded
 
 
 def read_until_closed(
     wait: Callable[[], bool], took: Callable[[float], bool | None], faults: Callable
-) -> str:
+) -> CloseReason:
     """Have whatever comes taken in, until the connection ends or `took` has enough.
 
     The reason why it ended.
@@ -26,16 +30,16 @@
         while wait():
             if took(monotonic()):
                 break
-        return "closed"
+        return CloseReason.CLOSED
     except BlockingIOError:
-        return "silent"
+        return CloseReason.READ_TIMEOUT
     except OSError:
-        return "reset"
+        return CloseReason.RESET
     except MalformedError as bad:
-        return bad.reason if bad.reason in ("oversized", "turned-away") else "nonsense"
+        return bad.reason
     except Exception as met:
         faults(met)
-        return "fault"
+        return CloseReason.INTERNAL_ERROR
 
 
 def start_thread_with_retry(port, name: str, work: Callable[[], None]) -> None:
@@ -49,67 +53,105 @@
         port.run(
             monotonic(),
             port.later,
-            THREAD_PAUSE,
+            THREAD_RETRY_PAUSE,
             lambda: port.todo.append((start_thread_with_retry, port, name, work)),
         )
 
 
+@dataclass(frozen=True)
+class ReconnectSettings:
+    """How a connection is re-established. Times in seconds."""
+
+    connect_timeout: float
+    initial_backoff: float
+    max_backoff: float
+    max_silence: float = inf  # from the last bytes received to the next attempt to connect, at the latest
+
+
+class ConnectionLog(Protocol):
+    """Logs closed connections."""
+
+    def __call__(
+        self, peer: str, reason: CloseReason, server: Server | None, seconds: float, responses: int, /
+    ) -> None:
+        """Log that a connection to a kind of peer was closed.
+
+        It was open for `seconds` and brought `responses`; `server` is set for a connection to a server.
+        """
+
+
+ErrorLog = Callable[[BaseException], None]
+"""Logs an unexpected exception with its traceback."""
+
+ConnectionHandler = Callable[[socket.socket], tuple[CloseReason, int]]
+"""Reads a connection until it is closed; returns why, and how many responses it brought."""
+
+
 class Reconnector:
-    """Keeps one peer's address dialled, from a thread of its own, until it is `stopped`.
+    """Keeps a connection to one peer: connects again whenever it is closed. Runs in a thread of its own.
+
+    The backoff between two attempts doubles while no connection brings a response. Each is drawn between half
+    of it and one and a half of it, because all gateways lose a peer at the same moment and would return
+    together each time. `retry_after` (s) is what the peer asks for; it takes precedence over the backoff. The
+    next attempt begins at most `max_silence` after `last_received_at`, whatever backoff is due.
 
-    The pause between two dials doubles while no connection brings an answer, up to the longest of `pauses`.
-    Each is drawn between half of it and one and a half, because all gateways lose a peer at the same moment
-    and would return to it together, each time. `retry_after` is how long (s) the peer wants to be left alone;
-    it goes before the pause. The next dial begins at the latest `again_within` s after the peer was last
-    heard, whatever pause is due.
+    `stopped`, an Event, ends the thread once its connection is closed; it may be set by any thread.
+    `retry_after` and `last_received_at` belong to the thread.
     """
 
     def __init__(
         self,
         peer: str,
         address: tuple[str, int],
-        within: float,
-        pauses: tuple[float, float],
-        chance: Callable[[], float],
-        log_end: Callable,
-        faults: Callable,
-        again_within: float = inf,
-    ):
-        self.peer, self.address, self.within, self.pauses, self.chance = peer, address, within, pauses, chance
-        self.log_end, self.faults, self.again_within = log_end, faults, again_within
-        self.stopped, self.retry_after = Event(), 0.0
-        self.last_received_at = 0.0  # when the peer last said anything, or else when the last dial began
-
-    def run(self, serve: Callable[[object], tuple[str, int]]) -> None:
-        """`serve` tells why its connection ended and how many answers it brought."""
-        pause, longest = self.pauses
+        settings: ReconnectSettings,
+        random: Callable[[], float],
+        log_closed: ConnectionLog,
+        log_error: ErrorLog,
+    ) -> None:
+        """`peer`: its kind, for the log; `random`: draws a number in [0, 1)."""
+        self.peer = peer
+        self.address = address
+        self.settings = settings
+        self.stopped = Event()
+        self.retry_after = 0.0
+        self.last_received_at = 0.0  # s, monotonic; when the last attempt began where nothing came since
+        self._random = random
+        self._log_closed = log_closed
+        self._log_error = log_error
+
+    def run(self, handle: ConnectionHandler) -> None:
+        """Connect and have `handle` read the connection, until `stopped` is set."""
+        backoff = self.settings.initial_backoff
         while not self.stopped.is_set():
-            began = self.last_received_at = monotonic()
-            reason, answers = self._connection(serve)
-            self.log_end(self.peer, reason, None, monotonic() - began, answers)
-            pause = self.pauses[0] if answers else min(longest, 2 * pause)
-            self.stopped.wait(self.wait_after(pause, monotonic()))
+            started_at = self.last_received_at = monotonic()
+            reason, responses = self._run_connection(handle)
+            self._log_closed(self.peer, reason, None, monotonic() - started_at, responses)
+            if responses:
+                backoff = self.settings.initial_backoff
+            else:
+                backoff = min(self.settings.max_backoff, 2 * backoff)
+            self.stopped.wait(self._draw_wait(backoff, monotonic()))
             self.retry_after = 0.0
 
-    def _connection(self, serve: Callable[[object], tuple[str, int]]) -> tuple[str, int]:
+    def _run_connection(self, handle: ConnectionHandler) -> tuple[CloseReason, int]:
         try:
-            sock = connect(self.address, self.within)
+            sock = connect(self.address, self.settings.connect_timeout)
         except OSError:
-            return "unconnected", 0
+            return CloseReason.CONNECT_FAILED, 0
         try:
-            return serve(sock)
-        except Exception as met:  # the next connection may fare better
-            self.faults(met)
+            return handle(sock)
+        except Exception as error:  # thread boundary: the next connection may fare better
+            self._log_error(error)
             sock.close()
-            return "fault", 0
+            return CloseReason.INTERNAL_ERROR, 0
 
-    def wait_after(self, pause: float, now: float) -> float:
-        """Seconds from `now` to the next dial.
+    def _draw_wait(self, backoff: float, now: float) -> float:
+        """Seconds from `now` to the next attempt.
 
-        The pause drawn, or else a part of the time left to be back in.
+        The drawn backoff, or a drawn part of the time left where `max_silence` would be exceeded.
         """
-        wait = max(pause, self.retry_after) * (0.5 + self.chance()) + 0.5 * self.retry_after
-        left = self.last_received_at + self.again_within - now
-        if wait <= left:
+        wait = max(backoff, self.retry_after) * (0.5 + self._random()) + 0.5 * self.retry_after
+        time_left = self.last_received_at + self.settings.max_silence - now
+        if wait <= time_left:
             return wait
-        return max(SHORTEST_PAUSE, left) * (0.5 + self.chance()) / 1.5
+        return max(MIN_BACKOFF, time_left) * (0.5 + self._random()) / 1.5
--- a/brookhub/routing/servers.py
+++ b/brookhub/routing/servers.py
@@ -9,6 +9,7 @@
 from ..protocol import resp
 from ..protocol.errors import MalformedError
 from ..protocol.request_codec import ServerResponse
+from ..transport.close_reason import CloseReason
 from ..transport.sockets import connect
 from ..transport.stream import Stream
 from ..transport.threads import start_thread
@@ -187,7 +188,7 @@
                 return self.drop(link, "nonsense")
             self.gather(link, len(link.reader.partial_value))  # what was said is counted: it may yet come
             if self.gathered > self.most_gathered:
-                raise MalformedError("more than there is memory for", "oversized")
+                raise MalformedError("more than there is memory for", CloseReason.OVERSIZED)
         except MalformedError as bad:
             self.drop(link, "oversized" if bad.reason == "oversized" else "nonsense")
             self.port.end_try(one, Outcome.ERROR)
--- a/brookhub/transport/stream.py
+++ b/brookhub/transport/stream.py
@@ -8,6 +8,7 @@
 from threading import Lock
 from typing import Callable
 
+from .close_reason import CloseReason
 from .ring_buffer import RingBuffer
 from .threads import start_thread
 
@@ -177,24 +178,24 @@
             except BlockingIOError:
                 self.bytes_maybe_written = self.bytes_written
                 if not flags:  # the time limit of a blocking write is over
-                    return self.abort("slow-reader")
+                    return self.abort(CloseReason.SLOW_READER)
                 if not start_thread("writer", self._write, 0):
-                    self.abort("no-thread")
+                    self.abort(CloseReason.NO_THREAD)
                 return
             except OSError:
                 self.bytes_maybe_written = self.bytes_written
-                return self.abort("reset")
+                return self.abort(CloseReason.RESET)
             with self.lock:
                 self.outbound.consume(length)
                 self.bytes_written = self.bytes_maybe_written = self.bytes_written + length
 
-    def abort(self, reason: str) -> None:
+    def abort(self, reason: CloseReason) -> None:
         """Break the connection; nothing more is written. The first reason given is kept."""
         with self.lock:
             self.close_reason = self.close_reason or reason
         self._shut(socket.SHUT_RDWR)
 
-    def shutdown_gracefully(self, reason: str) -> None:
+    def shutdown_gracefully(self, reason: CloseReason) -> None:
         """End the sending after what was put; what still comes in is to be read until the other side ends."""
         with self.lock:
             self.shutdown_reason = self.shutdown_reason or reason
--- a/tests/test_endings.py
+++ b/tests/test_endings.py
@@ -23,7 +23,7 @@
 from brookhub.protocol.errors import MalformedError
 from brookhub.protocol.json_documents import JsonObjectReader
 from brookhub.routing import connections
-from brookhub.routing.connections import Reconnector
+from brookhub.routing.connections import Reconnector, ReconnectSettings
 from brookhub.routing.port import SocketPort
 from brookhub.transport import threads
 from brookhub.transport.ring_buffer import RingBuffer
@@ -56,7 +56,7 @@
             assert client.ask(api_call(1)) == b"ok" and len(one.asked) == 1
             program.discovery.tell(host("s-0", one.address, "Terminating"), host("s-9", two.address))
             assert until(lambda: client.ask(api_call(2)) == b"ok" and two.asked, 5)
-        assert ("discovery", "nonsense") not in program.ended()
+        assert ("discovery", "protocol-error") not in program.ended()
     finally:
         two.close()
 
@@ -70,9 +70,9 @@
 @pytest.mark.parametrize(
     "lines, reason",
     [
-        ([b"[1]"], "malformed"),
-        ([b"{ no JSON", b""], "malformed"),
-        ([b'{"a": "b'], "malformed"),
+        ([b"[1]"], "protocol-error"),
+        ([b"{ no JSON", b""], "protocol-error"),
+        ([b'{"a": "b'], "protocol-error"),
         ([b"{"] + [b'"x": 1,' * 1000] * 200, "oversized"),
     ],
 )
@@ -150,12 +150,10 @@
         reconnector = Reconnector(
             "discovery",
             ("127.0.0.1", 1),
-            1.0,
-            pauses,
+            ReconnectSettings(1.0, *pauses, max_silence=5.25),
             random.Random(seed).random,
             lambda *what: None,
             lambda met: None,
-            5.25,
         )
         reconnector.stopped.wait = wait
         reconnector.run(serve)
@@ -168,7 +166,7 @@
     # Before: the thread was asked for once, and a list never heard of was never heard of.
     port, begun, refused = SocketPort(print, 0.001), threading.Event(), [True, True]
     threads.start_thread("timers", port.run_timers)
-    monkeypatch.setattr(connections, "THREAD_PAUSE", 0.02)
+    monkeypatch.setattr(connections, "THREAD_RETRY_PAUSE", 0.02)
     monkeypatch.setattr(
         connections,
         "start_thread",
@@ -323,7 +321,7 @@
     with Client(program) as client:
         client.sock.sendall(api_call(1))
         time.sleep(0.2)
-    assert until(lambda: ("client", "left") in program.ended())
+    assert until(lambda: ("client", "client-closed") in program.ended())
     assert late.open(3.0) == b"" and late.accepted  # the dial came through, and was not used
 
 
--- a/tests/test_golden_keys.py
+++ b/tests/test_golden_keys.py
@@ -148,8 +148,8 @@
     start = start_file.Start(told, {}, False)
     settings = dataclasses.astuple(read_gateway_settings(told["settings"]))
     known = start.known and [
-        (start.known.version, start.known.whole),
-        *([getattr(host, name) for name in type(host).__slots__] for host in start.known.hosts),
+        (start.known.version, start.known.is_complete),
+        *([getattr(host, name) for name in type(host).__slots__] for host in start.known.servers),
     ]
     others = [value for name, value in vars(start).items() if name not in ("gateway_settings", "known")]
     return [settings, known, load_columns(told), *others]
--- a/tests/test_program.py
+++ b/tests/test_program.py
@@ -53,7 +53,7 @@
     ]
     assert 0 < int(next(one for one in fields if one[:2] == b"d=")[2:]) <= 2000
     assert program.servers[0].dialled == 1  # kept open and used again
-    assert until(lambda: ("client", "left") in program.ended())
+    assert until(lambda: ("client", "client-closed") in program.ended())
 
 
 def test_pipelined_commands_are_answered_in_their_order(started):
@@ -181,12 +181,12 @@
 @pytest.mark.parametrize(
     "data, reason",
     [
-        (b"GET / HTTP/1.1\r\n\r\n", "malformed"),
-        (b"*1\r\n:5\r\n", "malformed"),
+        (b"GET / HTTP/1.1\r\n\r\n", "protocol-error"),
+        (b"*1\r\n:5\r\n", "protocol-error"),
         (b"*4\r\n$8\r\nCALL.GET\r\n$65537\r\n", "oversized"),
         (b"*17\r\n", "oversized"),
-        (b"+PING\r\n", "malformed"),
-        (b"\0" * 2000, "malformed"),
+        (b"+PING\r\n", "protocol-error"),
+        (b"\0" * 2000, "protocol-error"),
     ],
 )
 def test_malformed_and_oversized_commands_end_their_connection_at_once_and_what_was_taken_has_its_answer(
@@ -298,8 +298,8 @@
         assert silent.lines.read() == half.lines.read() == b"" and 1.5 < time.monotonic() - began < 2.9
         assert once.lines.read() == b"" and 3.5 < time.monotonic() - began < 5.5
     assert (
-        until(lambda: ("client", "idle") in program.ended())
-        and program.ended().count(("client", "mute")) == 2
+        until(lambda: ("client", "idle-timeout") in program.ended())
+        and program.ended().count(("client", "no-request")) == 2
     )
 
 
@@ -376,13 +376,13 @@
         assert until(lambda: all_go_to(two))
         told.hosts = [host("s-0", one.address)]
         told.tell(text="{ no JSON")  # nonsense: asked again, and what is not in a whole list is gone
-        assert until(lambda: all_go_to(one)) and ("discovery", "nonsense") in program.ended()
+        assert until(lambda: all_go_to(one)) and ("discovery", "protocol-error") in program.ended()
         assert b"index=42" in told.asked[-1] or b"index=41" in told.asked[-1]
         told.hosts = [host("s-9", two.address)]
         told.break_all()
         assert until(lambda: all_go_to(two))
         told.quiet, told.hosts = True, [host("s-0", one.address)]
-        assert until(lambda: ("discovery", "silent") in program.ended(), 15)
+        assert until(lambda: ("discovery", "read-timeout") in program.ended(), 15)
         assert until(lambda: all_go_to(one))
     finally:
         two.close()
@@ -416,7 +416,7 @@
     with Client(program) as client:
         answers = [client.ask(api_call(n, patience=1500)) for n in range(20)]
     assert all(answer[:1] in b"xo-" for answer in answers) and program.process.poll() is None
-    assert ("client", "made-room") in program.ended() and len(held) > most
+    assert ("client", "evicted") in program.ended() and len(held) > most
     assert program.status("VmHWM") < 100_000  # kB
     for sock in held:
         sock.close()
@@ -485,7 +485,7 @@
     assert program.process.wait(5) == 0
     reasons = program.ended()
     # The dial that wakes the program's own accept may be one more
-    assert reasons.count(("client", "restart")) in (
+    assert reasons.count(("client", "draining")) in (
         3,
         4,
     )
--- a/tests/test_protocol.py
+++ b/tests/test_protocol.py
@@ -8,7 +8,7 @@
 
 from brookhub.model import ServerState
 from brookhub.protocol import counter_codec, http, request_codec, resp, server_list
-from brookhub.protocol.errors import MalformedError
+from brookhub.protocol.errors import InvalidRequestError, MalformedError
 from brookhub.registry import ServerRegistry
 from brookhub.transport.ring_buffer import RingBuffer
 
@@ -177,7 +177,7 @@
                 request_codec.ServerResponse(said)
                 if isinstance(said, list) and said and all(type(one) is bytes for one in said):
                     request_codec.ParsedRequest(said)
-        except (MalformedError, request_codec.InvalidRequestError):
+        except (MalformedError, InvalidRequestError):
             pass
         with contextlib.suppress(MalformedError):
             feed(
@@ -219,7 +219,7 @@
     ],
 )
 def test_calls_that_ask_for_nothing_that_can_be_done(words):
-    with pytest.raises(request_codec.InvalidRequestError):
+    with pytest.raises(InvalidRequestError):
         request_codec.ParsedRequest(words)
 
 
@@ -350,12 +350,12 @@
 @pytest.mark.parametrize(
     "status, header, reason, asked",
     [
-        (b"503 Service Unavailable", b"Content-Length: 0", "turned-away", 0.0),
-        (b"429 Slow", b"Retry-After: 7", "turned-away", 7.0),
-        (b"503 Busy", b"Retry-After: 99999", "turned-away", 0.0),
-        (b"503 Busy", b"retry-after: 3600", "turned-away", http.MAX_RETRY_AFTER),
-        (b"503 Busy", b"Retry-After: soon", "turned-away", 0.0),
-        (b"500 Down", b"Retry-After: 7", "malformed", 0.0),
+        (b"503 Service Unavailable", b"Content-Length: 0", "throttled", 0.0),
+        (b"429 Slow", b"Retry-After: 7", "throttled", 7.0),
+        (b"503 Busy", b"Retry-After: 99999", "throttled", 0.0),
+        (b"503 Busy", b"retry-after: 3600", "throttled", http.MAX_RETRY_AFTER),
+        (b"503 Busy", b"Retry-After: soon", "throttled", 0.0),
+        (b"500 Down", b"Retry-After: 7", "protocol-error", 0.0),
     ],
 )
 def test_discovery_that_turns_away_is_told_from_one_that_talks_nonsense(status, header, reason, asked):
@@ -397,7 +397,7 @@
     assert [one.state for one in news.servers] == [ServerState.READY, ServerState.DRAINING]
     assert (
         news.servers[0].server_id()
-        == server_list.ServerEntry(HOST).server_id()
+        == server_list.ServerEntry.from_json(HOST).server_id()
         != news.servers[1].server_id()
     )
     for broken in (
--- a/tests/test_routing.py
+++ b/tests/test_routing.py
@@ -25,7 +25,7 @@
 )
 from brookhub.routing.client_connection import ClientConnection
 from brookhub.routing.clients import ClientLimits, Clients
-from brookhub.routing.connections import Reconnector
+from brookhub.routing.connections import Reconnector, ReconnectSettings
 from brookhub.routing.counter import Counter
 from brookhub.routing.discovery import Discovery
 from brookhub.routing.port import SocketPort
@@ -393,7 +393,9 @@
 
 
 def reconnector(address):
-    return Reconnector("peer", address, 0.5, (0.05, 1.0), lambda: 0.5, lambda *_: None, lambda met: None)
+    return Reconnector(
+        "peer", address, ReconnectSettings(0.5, 0.05, 1.0), lambda: 0.5, lambda *_: None, lambda met: None
+    )
 
 
 def test_who_has_asked_again_is_not_closed_as_idle_and_nobody_is_once_the_end_is_near(port):
@@ -413,7 +415,7 @@
     first, second, third = met(True), met(True), met(True)
     first.stream.coming = b"*4"  # its thread has not come to it yet
     met(False)
-    assert [one.stream.close_reason for one in (first, second, third)] == [None, "made-room", None]
+    assert [one.stream.close_reason for one in (first, second, third)] == [None, "evicted", None]
     at(port, clients.begin_shutdown)
     late = met(False)
     assert (
@@ -425,10 +427,10 @@
     at(port, clients.close_stale_connections)
     assert unread.stream.close_reason is None
     at(port, clients.drain)
-    assert third.stream.close_reason == "restart" and first.stream.close_reason is None
+    assert third.stream.close_reason == "draining" and first.stream.close_reason is None
     first.stream.coming = b""
     at(port, first.take, [resp.PONG], None)
-    assert first.stream.close_reason == "restart" and first.stream.said[-1] == resp.PONG
+    assert first.stream.close_reason == "draining" and first.stream.said[-1] == resp.PONG
 
 
 def counter_of(port, links=2):
@@ -579,7 +581,7 @@
 
 
 def news(seq, whole, *items):
-    return server_list.ServerListUpdate(
+    return server_list.ServerListUpdate.from_json(
         {
             "seq": seq,
             "whole": whole,
@@ -750,7 +752,12 @@
                 reconnector.stopped.set()
 
             reconnector = Reconnector(
-                "peer", ("127.0.0.1", 1), 0.1, (0.05, 1.0), Random(index).random, ended, lambda met: None
+                "peer",
+                ("127.0.0.1", 1),
+                ReconnectSettings(0.1, 0.05, 1.0),
+                Random(index).random,
+                ended,
+                lambda met: None,
             )
             reconnector.stopped.wait = wait
             reconnector.run(lambda sock: ("closed", 0))
