--- a/brookhub/program/limits.py
+++ b/brookhub/program/limits.py
@@ -6,6 +6,7 @@
 from __future__ import annotations
 
 from ..routing.clients import ClientLimits
+from ..routing.connections import ReconnectSettings
 from ..routing.upstreams import UpstreamSettings
 from ..site import GatewaySettings
 from .start_file import StartFile
@@ -32,36 +33,39 @@
 SETTLE_TIME = 0.01  # after an answer: second answers were seen up to 3.9 ms late
 
 # Counter and discovery
-COUNTER_CONNECT_TIMEOUT = 0.5
 COUNTER_READ_TIMEOUT = 1.0  # without an answer while calls are pending
 DISCOVERY_CONNECT_TIMEOUT = 1.0
 DISCOVERY_READ_TIMEOUT = 4.5  # without a line: two are due every 4 s
 # From the last line of discovery to the next dial: a change has to be known 6 s after discovery had it and
 # could be reached, whatever became of the dials before, and the answer needs a moment
-DISCOVERY_MAX_REDIAL_TIME = 5.25
-BACKOFF = (0.05, 1.0)  # the first and the longest pause between two dials
+DISCOVERY_MAX_SILENCE = 5.25
+INITIAL_BACKOFF = 0.05
+MAX_BACKOFF = 1.0
+COUNTER_RECONNECT_SETTINGS = ReconnectSettings(0.5, INITIAL_BACKOFF, MAX_BACKOFF)
 
 # Where lists are polled, discovery answers all gateways one after another
-POLL_PAUSE_PER_GATEWAY = 0.1
-POLL_FIRST_PAUSE_SHARE = 0.5  # of the maximum age of a list: the longest first pause
-POLL_LONGEST_PAUSE_SHARE = 2.0  # of the same: the longest pause of all
+POLL_BACKOFF_PER_GATEWAY = 0.1
+POLL_INITIAL_BACKOFF_SHARE = 0.5  # of the maximum age of a list: the highest initial backoff
+POLL_MAX_BACKOFF_SHARE = 2.0  # of the same: the maximum backoff
 
-Backoff = tuple[float, float]
 
+def discovery_reconnect_settings(settings: GatewaySettings) -> ReconnectSettings:
+    """How the connection to discovery is re-established.
 
-def discovery_backoff(settings: GatewaySettings) -> Backoff:
-    """The first and the longest pause between two dials of discovery.
-
-    Where lists are polled, a fleet that polls at the same moment is answered late or not at all: the pauses
-    grow with the number of gateways.
+    Where lists are polled, a fleet that polls at the same moment is answered late or not at all: the backoff
+    grows with the number of gateways.
     """
-    first, longest = BACKOFF
-    if not settings.polls_server_list:
-        return BACKOFF
-    share_of_gateways = POLL_PAUSE_PER_GATEWAY * settings.gateways
-    first = max(first, min(share_of_gateways, POLL_FIRST_PAUSE_SHARE * settings.server_list_max_age))
-    longest = max(first, longest, POLL_LONGEST_PAUSE_SHARE * settings.server_list_max_age)
-    return first, longest
+    initial_backoff = INITIAL_BACKOFF
+    max_backoff = MAX_BACKOFF
+    if settings.polls_server_list:
+        share_of_fleet = POLL_BACKOFF_PER_GATEWAY * settings.gateways
+        highest = POLL_INITIAL_BACKOFF_SHARE * settings.server_list_max_age
+        initial_backoff = max(INITIAL_BACKOFF, min(share_of_fleet, highest))
+        longest = POLL_MAX_BACKOFF_SHARE * settings.server_list_max_age
+        max_backoff = max(initial_backoff, MAX_BACKOFF, longest)
+    return ReconnectSettings(
+        DISCOVERY_CONNECT_TIMEOUT, initial_backoff, max_backoff, max_silence=DISCOVERY_MAX_SILENCE
+    )
 
 
 def max_upstream_connections(start: StartFile) -> int:
--- a/brookhub/program/log.py
+++ b/brookhub/program/log.py
@@ -12,6 +12,7 @@
 from structlog.typing import FilteringBoundLogger
 
 from ..model import Server
+from ..transport.close_reason import CloseReason
 
 
 class LossyFile:
@@ -67,13 +68,15 @@
     return logger
 
 
-class ConnectionLog:
-    """Logs the end of each connection. Implements `routing.log.ConnectionLogger`."""
+class ConnectionLogger:
+    """Logs the end of each connection. Implements `routing.connections.ConnectionLog`."""
 
     def __init__(self, logger: FilteringBoundLogger):
         self._logger = logger
 
-    def __call__(self, peer: str, reason: str, server: Server | None, seconds: float, answers: int) -> None:
+    def __call__(
+        self, peer: str, reason: CloseReason, server: Server | None, seconds: float, answers: int
+    ) -> None:
         """Log that a connection ended, which was up for so many seconds and brought so many answers."""
         fields: dict[str, object] = {}
         if server:
--- a/brookhub/program/run.py
+++ b/brookhub/program/run.py
@@ -57,7 +57,7 @@
         """Raises StartError where the start file asks for what cannot be had."""
         self.start = start
         self.log = log.open_log(start.name)
-        self.connection_log = log.ConnectionLog(self.log)
+        self.connection_log = log.ConnectionLogger(self.log)
         self.random = Random(start.seed).random
         timeouts = [route.client_timeout for route in start.gateway_settings.routes]
         self.max_client_timeout = max(timeouts, default=MAX_CLIENT_TIMEOUT)
@@ -88,18 +88,16 @@
     def create_discovery(self) -> DiscoveryClient:
         """The client of discovery."""
         start = self.start
-        backoff = limits.discovery_backoff(start.gateway_settings)
+        settings = limits.discovery_reconnect_settings(start.gateway_settings)
 
         def create_reconnector(address: Address) -> Reconnector:
             return Reconnector(
                 "discovery",
                 address,
-                limits.DISCOVERY_CONNECT_TIMEOUT,
-                backoff,
+                settings,
                 self.random,
                 self.connection_log,
                 self.log_internal_error,
-                limits.DISCOVERY_MAX_REDIAL_TIME,
             )
 
         clock_offset = time() - monotonic()
@@ -119,8 +117,7 @@
             return Reconnector(
                 "counter",
                 address,
-                limits.COUNTER_CONNECT_TIMEOUT,
-                limits.BACKOFF,
+                limits.COUNTER_RECONNECT_SETTINGS,
                 self.random,
                 self.connection_log,
                 self.log_internal_error,
--- a/brookhub/program/start_file.py
+++ b/brookhub/program/start_file.py
@@ -121,7 +121,7 @@
     if value is None:
         return None
     try:
-        return server_list.ServerListUpdate(value)
+        return server_list.ServerListUpdate.from_json(value)
     except MalformedError as error:
         raise StartError(f"known: {error}") from None
 
--- a/brookhub/routing/counter.py
+++ b/brookhub/routing/counter.py
@@ -12,6 +12,7 @@
 from ..ports import CounterCallback
 from ..protocol import counter_codec, resp
 from ..protocol.errors import MalformedError
+from ..transport.close_reason import CloseReason
 from ..transport.stream import Stream
 from .connections import Reconnector, read_until_closed, start_thread_with_retry
 from .port import SocketGatewayPort
@@ -58,7 +59,7 @@
         """Dial and serve until it is replaced. Runs in a thread of its own."""
         self.reconnector.run(self.serve)
 
-    def serve(self, sock: socket.socket) -> tuple[str, int]:
+    def serve(self, sock: socket.socket) -> tuple[CloseReason, int]:
         """Read a connection to its end; returns why it ended and how many answers it brought."""
         port = self.port
         reader = resp.RespReader()
@@ -78,7 +79,7 @@
         stream.abort(read_until_closed(stream.read, on_readable, port.report_error))
         port.run(monotonic(), self.on_disconnected, stream)
         stream.close()
-        return stream.close_reason or "", answers
+        return stream.close_reason or CloseReason.CLOSED, answers
 
     # under the lock
 
@@ -87,7 +88,7 @@
         self.stream = stream
         self.last_received_at = self.port.now
         if self.reconnector.stopped.is_set():
-            self._close(stream, "address-changed")
+            self._close(stream, CloseReason.ADDRESS_CHANGED)
         else:
             self.client.activate(self)
 
@@ -99,7 +100,9 @@
         self.reconnector.stopped.set()
         self._close_if_drained()
         if self.stream:
-            self.port.later(self.client.read_timeout, partial(self._close, self.stream, "address-changed"))
+            self.port.later(
+                self.client.read_timeout, partial(self._close, self.stream, CloseReason.ADDRESS_CHANGED)
+            )
 
     def on_disconnected(self, stream: Stream) -> None:
         """The connection ended. A call that was written completely may have been executed."""
@@ -128,7 +131,7 @@
         self.last_received_at = self.port.now
         for reply in replies:
             if not self.pending or stream.close_reason:
-                self._close(stream, "protocol-error")
+                self._close(stream, CloseReason.PROTOCOL_ERROR)
                 return
             self._on_reply(stream, self.pending.popleft(), reply)
         self._close_if_drained()
@@ -142,19 +145,19 @@
         if not self.pending:
             self.send(CounterCall(None, now), counter_codec.PING)
         elif now - max(self.last_received_at, self.pending[0].started_at) > self.client.read_timeout:
-            self._close(stream, "read-timeout")
+            self._close(stream, CloseReason.READ_TIMEOUT)
 
     def _on_reply(self, stream: Stream, call: CounterCall, reply: Reply) -> None:
         """Finish a call with its answer."""
         if isinstance(reply, resp.SimpleString):
             if call.callback:  # the answer to a heartbeat, but the call was none
-                self._close(stream, "protocol-error")
+                self._close(stream, CloseReason.PROTOCOL_ERROR)
                 call.finish(self.last_received_at, Outcome.TIMEOUT)
             return
         try:
             total = counter_codec.decode_total(reply)
         except MalformedError:
-            self._close(stream, "protocol-error")
+            self._close(stream, CloseReason.PROTOCOL_ERROR)
             call.finish(self.last_received_at, Outcome.TIMEOUT)
             return
         if total is None:
@@ -165,9 +168,9 @@
     def _close_if_drained(self) -> None:
         """Close the connection where it was replaced and no call is pending on it."""
         if self.reconnector.stopped.is_set() and self.stream and not self.pending:
-            self._close(self.stream, "address-changed")
+            self._close(self.stream, CloseReason.ADDRESS_CHANGED)
 
-    def _close(self, stream: Stream, reason: str) -> None:
+    def _close(self, stream: Stream, reason: CloseReason) -> None:
         """Close a connection once the lock is free."""
         self.port.defer(stream.abort, reason)
 
--- a/brookhub/routing/discovery.py
+++ b/brookhub/routing/discovery.py
@@ -10,6 +10,7 @@
 from ..protocol import http, server_list
 from ..protocol.json_documents import JsonObjectReader
 from ..registry import ServerRegistry
+from ..transport.close_reason import CloseReason
 from ..transport.sockets import set_blocking_timeouts
 from ..transport.stream import Stream
 from .connections import Reconnector, read_until_closed, start_thread_with_retry
@@ -36,7 +37,7 @@
         """Dial and read until the watch is stopped. Runs in a thread of its own."""
         self.reconnector.run(self.serve)
 
-    def serve(self, sock: socket.socket) -> tuple[str, int]:
+    def serve(self, sock: socket.socket) -> tuple[CloseReason, int]:
         """Read one connection to its end; returns why it ended and how many lines it brought."""
         reader = http.HttpResponseReader()
         documents = JsonObjectReader()
@@ -55,14 +56,14 @@
         self.port.run(monotonic(), self.on_connected, stream)
         stream.flush()
         reason = read_until_closed(stream.read, on_readable, self.port.report_error)
-        if reason == "closed":
+        if reason is CloseReason.CLOSED:
             rest = reader.on_eof()  # the last line of a body of no stated length needs no line end
             if rest:
                 self._on_document(monotonic(), documents.feed(rest))
         stream.abort(reason)
         stream.close()
         self.reconnector.retry_after = reader.retry_after
-        return stream.close_reason or "", lines
+        return stream.close_reason or CloseReason.CLOSED, lines
 
     def _on_document(self, now: float, document: bytes | None) -> None:
         """Have one update taken in; None while it is not complete. Raises MalformedError."""
@@ -89,7 +90,7 @@
         """Stop watching: discovery has another address."""
         self.reconnector.stopped.set()
         if self.stream:
-            self.port.defer(self.stream.abort, "address-changed")
+            self.port.defer(self.stream.abort, CloseReason.ADDRESS_CHANGED)
 
 
 class DiscoveryClient:
--- a/brookhub/routing/upstreams.py
+++ b/brookhub/routing/upstreams.py
@@ -10,11 +10,11 @@
 from ..protocol import resp
 from ..protocol.errors import MalformedError
 from ..protocol.request_codec import ServerResponse
+from ..transport.close_reason import CloseReason
 from ..transport.sockets import connect
 from ..transport.stream import Stream
 from ..transport.threads import start_thread
-from .connections import read_until_closed
-from .log import ConnectionLogger
+from .connections import ConnectionLog, read_until_closed
 from .port import ClientRequest, SocketGatewayPort
 
 RETIRE_CHECKS = 8  # looks for idle connections during one idle timeout
@@ -56,7 +56,7 @@
         self.attempt: Attempt | None = attempt
         self.deadline = 0.0  # s, of the present attempt
         self.stream: Stream | None = None
-        self.close_reason: str | None = None  # why this side closed it
+        self.close_reason: CloseReason | None = None  # why this side closed it
         self.idle_since = 0.0
         self.answers = 0
         self.reader = resp.RespReader(connections.settings.max_value_bytes)
@@ -72,7 +72,7 @@
         except OSError:
             port.run(monotonic(), connections.on_disconnected, self)
             port.run(monotonic(), connections.on_closed)
-            self._log_end(self.close_reason or "connect-failed", monotonic() - started_at)
+            self._log_end(self.close_reason or CloseReason.CONNECT_FAILED, monotonic() - started_at)
             return
         stream = Stream(sock, resp.BUFFER_BYTES)
         self.stream = stream
@@ -91,15 +91,17 @@
         port.run(monotonic(), connections.on_disconnected, self)
         stream.close()
         port.run(monotonic(), connections.on_closed)
-        self._log_end(self.close_reason or stream.close_reason or "", monotonic() - started_at)
+        self._log_end(
+            self.close_reason or stream.close_reason or CloseReason.CLOSED, monotonic() - started_at
+        )
 
-    def close(self, reason: str) -> None:
+    def close(self, reason: CloseReason) -> None:
         """Close the connection; the first reason is kept. Called without the lock."""
         self.close_reason = self.close_reason or reason
         if self.stream:
             self.stream.abort(reason)
 
-    def _log_end(self, reason: str, seconds: float) -> None:
+    def _log_end(self, reason: CloseReason, seconds: float) -> None:
         self.connections.log_end("server", reason, self.server, seconds, self.answers)
 
 
@@ -109,7 +111,7 @@
     Its methods but `start` are called under the event loop's lock, which guards all fields.
     """
 
-    def __init__(self, port: SocketGatewayPort, log_end: ConnectionLogger, settings: UpstreamSettings):
+    def __init__(self, port: SocketGatewayPort, log_end: ConnectionLog, settings: UpstreamSettings):
         """`log_end`: called without the lock with the end of each connection."""
         self.port = port
         self.log_end = log_end
@@ -137,7 +139,7 @@
         pool = self.pools.get(server.id)
         if pool:
             for connection in list(pool.idle):
-                self._discard(connection, "server-draining")
+                self._discard(connection, CloseReason.SERVER_DRAINING)
         if server.state is ServerState.GONE:
             self.pools.pop(server.id, None)
 
@@ -153,7 +155,7 @@
             if not self.idle:
                 self.port.call_soon(lambda: self.port.end_attempt(attempt, Outcome.CONNECT_FAILED))
                 return
-            self._discard(next(iter(self.idle)), "evicted")
+            self._discard(next(iter(self.idle)), CloseReason.EVICTED)
         connection = UpstreamConnection(self, pool, attempt.server, attempt)
         self._assign(connection, attempt, deadline)
         self.open_descriptors += 1
@@ -163,7 +165,7 @@
         """Close the connection of an attempt that is given up (`port.Upstreams`)."""
         connection = self.in_flight.get(attempt)
         if connection:
-            self._discard(connection, "cancelled")
+            self._discard(connection, CloseReason.CANCELLED)
 
     def retire_idle(self) -> None:
         """Close connections before the server would for being idle. Repeats itself by a timer."""
@@ -171,7 +173,7 @@
         for connection in list(self.idle):
             if self.port.now - connection.idle_since < self.settings.idle_timeout:
                 break
-            self._discard(connection, "idle-timeout")
+            self._discard(connection, CloseReason.IDLE_TIMEOUT)
 
     # without the lock
 
@@ -180,7 +182,7 @@
         if not start_thread("server", connection.run):
             self.port.run(monotonic(), self.on_disconnected, connection)
             self.port.run(monotonic(), self.on_closed)
-            self.log_end("server", "no-thread", connection.server, 0.0, 0)
+            self.log_end("server", CloseReason.NO_THREAD, connection.server, 0.0, 0)
 
     # events that a connection's thread brings
 
@@ -190,9 +192,9 @@
         attempt = connection.attempt
         assert stream is not None
         if connection.close_reason or attempt is None:  # cancelled while it was dialled
-            stream.abort(connection.close_reason or "cancelled")
+            stream.abort(connection.close_reason or CloseReason.CANCELLED)
         elif connection.server.state is not ServerState.READY:  # it began to drain meanwhile
-            self._discard(connection, "server-draining")
+            self._discard(connection, CloseReason.SERVER_DRAINING)
             self.port.end_attempt(attempt, Outcome.NOT_SENT)
         elif attempt.request.pending is None:  # its request has its answer: nothing more is sent for it
             self._release(connection, attempt)
@@ -209,7 +211,7 @@
             if connection.close_reason or not self._read(connection, stream):
                 return
             if attempt is None:
-                self._discard(connection, "protocol-error")
+                self._discard(connection, CloseReason.PROTOCOL_ERROR)
                 return
             for value in connection.reader.feed(stream.inbound):  # the first one only: there is one answer
                 self._count_partial(connection, 0)
@@ -218,9 +220,14 @@
             # Of a value of which a part has come the whole size is counted, as the rest may come at any time
             self._count_partial(connection, len(connection.reader.partial_value))
             if self.partial_bytes > self.settings.max_partial_bytes:
-                raise MalformedError("more than there is memory for", "oversized")
+                raise MalformedError("more than there is memory for", CloseReason.OVERSIZED)
         except MalformedError as error:
-            self._discard(connection, "oversized" if error.reason == "oversized" else "protocol-error")
+            self._discard(
+                connection,
+                CloseReason.OVERSIZED
+                if error.reason is CloseReason.OVERSIZED
+                else CloseReason.PROTOCOL_ERROR,
+            )
             if attempt:
                 self.port.end_attempt(attempt, Outcome.ERROR)
         except OSError:
@@ -253,7 +260,7 @@
         for connection in reversed(list(pool.idle)):
             assert connection.stream is not None
             if not connection.stream.is_quiet():
-                self._discard(connection, "protocol-error")
+                self._discard(connection, CloseReason.PROTOCOL_ERROR)
             elif self.port.now - connection.idle_since >= self.settings.settle_time:
                 del self.idle[connection]
                 del pool.idle[connection]
@@ -296,7 +303,7 @@
         The connection is kept only if nothing came behind the answer: no later attempt may get it.
         """
         if not answer.is_well_formed or len(stream.inbound) or not stream.may_be_fully_written():
-            self._discard(connection, "protocol-error")
+            self._discard(connection, CloseReason.PROTOCOL_ERROR)
         else:
             self._release(connection, attempt)
         connection.answers += 1
@@ -314,12 +321,12 @@
         connection.attempt = None
         connection.idle_since = self.port.now
         if connection.server.state is not ServerState.READY:
-            self._discard(connection, "server-draining")
+            self._discard(connection, CloseReason.SERVER_DRAINING)
         else:
             self.idle[connection] = None
             connection.pool.idle[connection] = None
 
-    def _discard(self, connection: UpstreamConnection, reason: str) -> None:
+    def _discard(self, connection: UpstreamConnection, reason: CloseReason) -> None:
         """Forget a connection, and have it closed."""
         connection.close_reason = connection.close_reason or reason
         self._forget(connection)
--- a/tests/test_program.py
+++ b/tests/test_program.py
@@ -53,7 +53,7 @@
     ]
     assert 0 < int(next(one for one in fields if one[:2] == b"d=")[2:]) <= 2000
     assert program.servers[0].dialled == 1  # kept open and used again
-    assert until(lambda: ("client", "left") in program.ended())
+    assert until(lambda: ("client", "client-closed") in program.ended())
 
 
 def test_pipelined_commands_are_answered_in_their_order(started):
@@ -183,12 +183,12 @@
 @pytest.mark.parametrize(
     "data, reason",
     [
-        (b"GET / HTTP/1.1\r\n\r\n", "malformed"),
-        (b"*1\r\n:5\r\n", "malformed"),
+        (b"GET / HTTP/1.1\r\n\r\n", "protocol-error"),
+        (b"*1\r\n:5\r\n", "protocol-error"),
         (b"*4\r\n$8\r\nCALL.GET\r\n$65537\r\n", "oversized"),
         (b"*17\r\n", "oversized"),
-        (b"+PING\r\n", "malformed"),
-        (b"\0" * 2000, "malformed"),
+        (b"+PING\r\n", "protocol-error"),
+        (b"\0" * 2000, "protocol-error"),
     ],
 )
 def test_malformed_command_closes_the_connection_after_pending_answers(started, data, reason):
@@ -298,8 +298,8 @@
         assert silent.lines.read() == half.lines.read() == b"" and 1.5 < time.monotonic() - began < 2.9
         assert once.lines.read() == b"" and 3.5 < time.monotonic() - began < 5.5
     assert (
-        until(lambda: ("client", "idle") in program.ended())
-        and program.ended().count(("client", "mute")) == 2
+        until(lambda: ("client", "idle-timeout") in program.ended())
+        and program.ended().count(("client", "no-request")) == 2
     )
 
 
@@ -377,13 +377,13 @@
         told.hosts = [host("s-0", one.address)]
         told.tell(text="{ no JSON")  # nonsense: asked again, and what is not in a whole list is gone
         assert until(lambda: all_go_to(one))
-        assert until(lambda: ("discovery", "nonsense") in program.ended(), 1.5)
+        assert until(lambda: ("discovery", "protocol-error") in program.ended(), 1.5)
         assert b"index=42" in told.asked[-1] or b"index=41" in told.asked[-1]
         told.hosts = [host("s-9", two.address)]
         told.break_all()
         assert until(lambda: all_go_to(two))
         told.quiet, told.hosts = True, [host("s-0", one.address)]
-        assert until(lambda: ("discovery", "silent") in program.ended(), 15)
+        assert until(lambda: ("discovery", "read-timeout") in program.ended(), 15)
         assert until(lambda: all_go_to(one))
     finally:
         two.close()
@@ -417,7 +417,7 @@
     with Client(program) as client:
         answers = [client.ask(api_call(n, patience=1500)) for n in range(20)]
     assert all(answer[:1] in b"xo-" for answer in answers) and program.process.poll() is None
-    assert until(lambda: ("client", "made-room") in program.ended(), 1.5) and len(held) > most
+    assert until(lambda: ("client", "evicted") in program.ended(), 1.5) and len(held) > most
     assert program.status("VmHWM") < 100_000  # kB
     for sock in held:
         sock.close()
@@ -486,7 +486,7 @@
     assert program.process.wait(5) == 0
     reasons = program.ended()
     # The dial that wakes the program's own accept may be one more
-    assert reasons.count(("client", "restart")) in (
+    assert reasons.count(("client", "draining")) in (
         3,
         4,
     )
--- a/tests/test_routing.py
+++ b/tests/test_routing.py
@@ -25,7 +25,7 @@
 )
 from brookhub.routing.client_connection import ClientConnection
 from brookhub.routing.clients import ClientLimits, Clients
-from brookhub.routing.connections import Reconnector
+from brookhub.routing.connections import Reconnector, ReconnectSettings
 from brookhub.routing.counter import CounterClient
 from brookhub.routing.discovery import DiscoveryClient
 from brookhub.routing.port import SocketGatewayPort
@@ -406,7 +406,9 @@
 
 
 def reconnector(address):
-    return Reconnector("peer", address, 0.5, (0.05, 1.0), lambda: 0.5, lambda *_: None, lambda met: None)
+    return Reconnector(
+        "peer", address, ReconnectSettings(0.5, 0.05, 1.0), lambda: 0.5, lambda *_: None, lambda met: None
+    )
 
 
 def test_who_has_asked_again_is_not_closed_as_idle_and_nobody_is_once_the_end_is_near(port):
@@ -426,7 +428,7 @@
     first, second, third = met(True), met(True), met(True)
     first.stream.coming = b"*4"  # its thread has not come to it yet
     met(False)
-    assert [one.stream.close_reason for one in (first, second, third)] == [None, "made-room", None]
+    assert [one.stream.close_reason for one in (first, second, third)] == [None, "evicted", None]
     run_event(port, clients.begin_shutdown)
     late = met(False)
     assert (
@@ -438,10 +440,10 @@
     run_event(port, clients.close_stale_connections)
     assert unread.stream.close_reason is None
     run_event(port, clients.drain)
-    assert third.stream.close_reason == "restart" and first.stream.close_reason is None
+    assert third.stream.close_reason == "draining" and first.stream.close_reason is None
     first.stream.coming = b""
     run_event(port, first.take, [resp.PONG], None)
-    assert first.stream.close_reason == "restart" and first.stream.said[-1] == resp.PONG
+    assert first.stream.close_reason == "draining" and first.stream.said[-1] == resp.PONG
 
 
 def connected_counter(port, connections=2):
@@ -594,7 +596,7 @@
 
 
 def update(seq, whole, *items):
-    return server_list.ServerListUpdate(
+    return server_list.ServerListUpdate.from_json(
         {
             "seq": seq,
             "whole": whole,
@@ -742,10 +744,11 @@
     # (700 of 740).
     from random import Random
 
-    from brookhub.program.limits import discovery_backoff
+    from brookhub.program.limits import discovery_reconnect_settings
 
     settings = replace(DEFAULT_SETTINGS, polls_server_list=True, gateways=40, server_list_max_age=10.0)
-    first, longest = discovery_backoff(settings)
+    reconnect = discovery_reconnect_settings(settings)
+    first, longest = reconnect.initial_backoff, reconnect.max_backoff
     served, _waits, capacity, wait = [], [], 1 / 0.15, 2.0
     chances, again = [Random(index).random for index in range(40)], []
     due, free_at = [(0.0, index, first) for index in range(40)], 0.0
@@ -760,11 +763,12 @@
             due.append((at + wait + pause * (0.5 + chances[index]()), index, pause))
             again.append(at)
     assert len(served) == 40 and max(served) < 15.0 and len(again) < 60
-    assert discovery_backoff(replace(settings, gateways=3))[0] < 0.5
-    assert discovery_backoff(replace(settings, gateways=1000))[0] * 1.5 < 10.0, (
+    assert discovery_reconnect_settings(replace(settings, gateways=3)).initial_backoff < 0.5
+    assert discovery_reconnect_settings(replace(settings, gateways=1000)).initial_backoff * 1.5 < 10.0, (
         "asked again in the time to ask in"
     )
-    assert discovery_backoff(replace(settings, polls_server_list=False)) == (0.05, 1.0)
+    pushed = discovery_reconnect_settings(replace(settings, polls_server_list=False))
+    assert (pushed.initial_backoff, pushed.max_backoff) == (0.05, 1.0)
 
 
 def test_pauses_between_two_dials_differ_by_chance_and_heed_who_turned_away():
@@ -782,7 +786,12 @@
                 reconnector.stopped.set()
 
             reconnector = Reconnector(
-                "peer", ("127.0.0.1", 1), 0.1, (0.05, 1.0), Random(index).random, ended, lambda met: None
+                "peer",
+                ("127.0.0.1", 1),
+                ReconnectSettings(0.1, 0.05, 1.0),
+                Random(index).random,
+                ended,
+                lambda met: None,
             )
             reconnector.stopped.wait = wait
             reconnector.run(lambda sock: ("closed", 0))
