--- a/brookhub/routing/port.py
+++ b/brookhub/routing/port.py
@@ -6,10 +6,11 @@
 
 from __future__ import annotations
 
-from typing import Callable, Collection, Mapping, Protocol, cast
+from typing import Callable, Collection, Protocol, cast
 
 from ..model import Attempt, Outcome, Request, Server
-from ..ports import CounterCallback, FleetCoordination
+from ..policy import Gateway
+from ..ports import CounterCallback
 from ..protocol import request_codec
 from ..protocol.request_codec import ServerResponse
 from .event_loop import ErrorReporter, EventLoop
@@ -22,44 +23,6 @@
 """Of an attempt that ended without an answer."""
 
 
-class GatewayEvents(Protocol):
-    """The decisions (`policy.Gateway`), as far as they are told of events. Called under the lock."""
-
-    def on_request(self, request: Request, /) -> None:
-        """A client asks for something."""
-
-    def on_client_disconnected(self, request: Request, /) -> None:
-        """The client of an open request has left."""
-
-    def on_attempt_ended(
-        self,
-        attempt: Attempt,
-        duration: float,
-        final: bool,
-        charged: float,
-        used: float | None,
-        report: Mapping[str, float],
-        /,
-    ) -> None:
-        """An attempt ended after so many seconds.
-
-        `final`: whether its request has its answer; `charged`, `used`: units as reported by the server;
-        `report`: the server's load report, empty where it sent none.
-        """
-
-    def on_servers_updated(self, servers: list[Server], /) -> None:
-        """The server list changed in these servers."""
-
-    def on_membership_changed(self, live: int, rank: int, maybe_live: int, /) -> None:
-        """The fleet changed: live members, this one's rank among them, members not known to have left."""
-
-    def on_granted_share_changed(self, share: float, /) -> None:
-        """The counter may grant another share of each quota from now on."""
-
-    def use_coordination(self, coordination: FleetCoordination, /) -> None:
-        """Decide together with the other gateways of the fleet."""
-
-
 class Upstreams(Protocol):
     """The connections to upstream servers (`upstreams.UpstreamConnections`). Called under the lock."""
 
@@ -122,7 +85,7 @@
     those without a default must be, but for `counter` where the settings have none.
     """
 
-    gateway: GatewayEvents
+    gateway: Gateway
     upstreams: Upstreams
     counter: Counter
 
--- a/brookhub/routing/upstreams.py
+++ b/brookhub/routing/upstreams.py
@@ -222,12 +222,7 @@
             if self.partial_bytes > self.settings.max_partial_bytes:
                 raise MalformedError("more than there is memory for", CloseReason.OVERSIZED)
         except MalformedError as error:
-            self._discard(
-                connection,
-                CloseReason.OVERSIZED
-                if error.reason is CloseReason.OVERSIZED
-                else CloseReason.PROTOCOL_ERROR,
-            )
+            self._discard(connection, error.reason)
             if attempt:
                 self.port.end_attempt(attempt, Outcome.ERROR)
         except OSError:
