--- a/brookhub/policy/server_selection.py
+++ b/brookhub/policy/server_selection.py
@@ -51,6 +51,7 @@
         if not self.limit.has_room():
             return None
         coordination = subset.coordination
+        slow_start = self.slow_start
         best: Upstream | None = None
         least_cost = 0.0
         for upstream in subset.members:
@@ -60,7 +61,11 @@
                 continue
             if not is_probe and coordination.is_ejected(server.id):
                 continue
-            if not may_repeat_at(server, route, ran, now) or not self._admits_by_warmth(upstream):
+            if not may_repeat_at(server, route, ran, now):
+                continue
+            if not slow_start.is_warm(upstream) and not slow_start.admits(
+                upstream, subset.warm_members, subset.competing_gateways
+            ):
                 continue
             cost = self._cost(upstream, now, typical_latency, tried, is_probe)
             if best is None or cost < least_cost:
@@ -68,12 +73,6 @@
                 least_cost = cost
         return best
 
-    def _admits_by_warmth(self, upstream: Upstream) -> bool:
-        if self.slow_start.is_warm(upstream):
-            return True
-        subset = self.subset
-        return self.slow_start.admits(upstream, subset.warm_members, subset.competing_gateways)
-
     def _cost(
         self, upstream: Upstream, now: float, typical_latency: float, tried: list[Server], is_probe: bool
     ) -> float:
--- /dev/null
+++ b/tests/test_policy_coordination.py
@@ -0,0 +1,89 @@
+"""What the fleet decides together of servers, as the decisions heed it."""
+
+from __future__ import annotations
+
+import pytest
+from gateway_harness import GatewayHarness
+
+from brookhub.model import Outcome
+from brookhub.ports import IndependentCoordination
+from brookhub.site import Idempotency, Route
+
+
+class FakeCoordination(IndependentCoordination):
+    """What the fleet says of servers, as choices.Shared would."""
+
+    def __init__(self):
+        self.ejected, self.to_probe, self.ended, self.started = set(), set(), [], []
+
+    def is_ejected(self, server):
+        return server in self.ejected
+
+    def may_probe(self, server):
+        return server in self.to_probe
+
+    def attempt_started(self, server):
+        self.started.append(server)
+
+    def attempt_ended(self, server, outcome):
+        self.ended.append((server, outcome))
+
+    def on_servers_updated(self, servers):
+        self.servers = servers
+
+
+@pytest.mark.parametrize("seed", range(4))
+def test_an_ejected_server_gets_only_one_idempotent_probing_attempt(seed):
+    harness, coordination = (
+        GatewayHarness(
+            seed=seed, routes=[Route("read", 1.0, 4.0), Route("once", 1.0, 4.0, Idempotency.NON_IDEMPOTENT)]
+        ),
+        FakeCoordination(),
+    )
+    harness.gateway.use_coordination(coordination)
+    assert set(coordination.servers) == {0, 1, 2}
+    coordination.ejected = {0, 1}
+    customer = harness.customer()
+    for route in (0, 1, 0, 1):
+        harness.request(customer, route=route)
+        harness.advance(0.05)
+        for attempt in list(harness.in_flight):
+            harness.end_attempt(attempt, Outcome.OK)
+    assert harness.attempts and {attempt.server.id for attempt in harness.attempts} == {2} == set(
+        coordination.started
+    )
+    coordination.to_probe, before = {0}, len(harness.attempts)
+    harness.request(customer, route=1)  # not to run twice: no call to find out by
+    harness.advance(0.05)
+    assert {attempt.server.id for attempt in harness.attempts[before:]} <= {2}
+    for attempt in list(harness.in_flight):
+        harness.end_attempt(attempt, Outcome.OK)
+    before = len(harness.attempts)
+    harness.request(harness.customer(2), route=0)
+    harness.advance(0.05)
+    first = harness.attempts[before]
+    assert first.server.id == 0  # though it is worth nothing yet
+    coordination.to_probe = {1}
+    harness.end_attempt(first, Outcome.ERROR)
+    harness.advance(0.1)
+    assert [attempt.server.id for attempt in harness.attempts[before + 1 :]] in (
+        [],
+        [2],
+    )  # a further try is no such call
+    assert (0, Outcome.ERROR) in coordination.ended and (2, Outcome.OK) in coordination.ended
+
+
+def test_without_ejections_coordination_changes_no_attempt():
+    sent = []
+    for coordinated in (False, True):
+        harness = GatewayHarness(seed=3)
+        if coordinated:
+            harness.gateway.use_coordination(FakeCoordination())
+        customer = harness.customer()
+        for _ in range(6):
+            harness.request(customer)
+            harness.advance(0.1)
+            for attempt in list(harness.in_flight):
+                harness.end_attempt(attempt, Outcome.OK)
+        sent.append([attempt.server.id for attempt in harness.attempts])
+    assert sent[0] == sent[1] and sent[0]
--- a/tests/test_sites.py
+++ b/tests/test_sites.py
@@ -7,13 +7,13 @@
 
 import pytest
 from click.testing import CliRunner
+from gateway_harness import GatewayHarness
 
 from brookhub.cli import main
 from brookhub.config import SiteFile, load
-from brookhub.model import Outcome
+from brookhub.model import Answer, Outcome
 from brookhub.program.start_file import Start
 from brookhub.site import Idempotency
-from helpers import World
 
 SITES = Path(__file__).parent.parent / "deploy" / "sites"
 PATHS = sorted(SITES.glob("*.toml"))
@@ -31,13 +31,13 @@
 
 @pytest.mark.parametrize("path", PATHS, ids=lambda path: path.stem)
 def test_a_site_makes_a_gateway_that_serves(path):
-    world = World(servers=4, **vars(start_of(path, gateways=3).gateway_settings))
-    for index in range(len(world.settings.routes)):
-        call = world.call(world.customer(index + 1), route=index, gateways=2)
-        world.run(0.05)
-        while call not in world.answers and world.out:
-            world.end(world.out[0], Outcome.OK)
-        assert world.answers[call][0] == "proxied"
+    harness = GatewayHarness(servers=4, **vars(start_of(path, gateways=3).gateway_settings))
+    for index in range(len(harness.settings.routes)):
+        request = harness.request(harness.customer(index + 1), route=index, gateways=2)
+        harness.advance(0.05)
+        while request not in harness.answers and harness.in_flight:
+            harness.end_attempt(harness.in_flight[0], Outcome.OK)
+        assert harness.answers[request][0] == Answer.SERVED
 
 
 def test_the_sites_hold_what_they_were_written_for():
