--- a/brookhub/program/run.py
+++ b/brookhub/program/run.py
@@ -86,7 +86,7 @@
     # creation of the parts
 
     def create_discovery(self) -> DiscoveryClient:
-        """The client of discovery."""
+        """Create the client of discovery."""
         start = self.start
         settings = limits.discovery_reconnect_settings(start.gateway_settings)
 
@@ -111,7 +111,7 @@
         )
 
     def create_counter(self) -> CounterClient:
-        """The client of the shared counter."""
+        """Create the client of the shared counter."""
 
         def create_reconnector(address: Address) -> Reconnector:
             return Reconnector(
@@ -132,7 +132,7 @@
         )
 
     def create_peers(self) -> Peers | None:
-        """The membership of the fleet, where peers are named and the settings allow their messages.
+        """Create the membership of the fleet, where peers are named and their messages are allowed.
 
         Else there is no socket and no thread, and nothing of it is imported.
         """
@@ -151,7 +151,7 @@
             raise StartError(f"membership: can't listen at {file.listen}: {error.strerror}") from None
 
     def create_recovery(self) -> Recovering | None:
-        """The recovery of the counter, where the start file names its file and the settings have a counter.
+        """Create the recovery of the counter, where its file is named and the settings have a counter.
 
         Else nothing of it is imported.
         """
@@ -178,7 +178,7 @@
         return driver
 
     def create_maintenance(self) -> MaintenanceDriver | None:
-        """The maintenance of machines, where the start file names a plan and there are peers."""
+        """Create the maintenance of machines, where the start file names a plan and there are peers."""
         path = self.start.maintenance_path
         if not self.peers or not path:
             return None
@@ -193,7 +193,7 @@
         return driver
 
     def create_listener(self) -> Listener:
-        """The socket that accepts clients, created last.
+        """Create the socket that accepts clients, after everything else.
 
         What connects before requests can be served waits in the system, and its time begins when it is read.
         With the socket listening while the operators' files were read, requests were answered up to 0.5 s
