--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -13,10 +13,9 @@
 import threading
 import time
 
-from gateway_harness import DEFAULT_SETTINGS as DEFAULT_SETTINGS
-
 from brookhub.config import Experiment
 from brookhub.fakes import FakeCounter, FakeDiscovery, FakeServer, host, read_value
+from gateway_harness import DEFAULT_SETTINGS as DEFAULT_SETTINGS
 
 # Stand-ins on loopback for the integration tests, and the program itself.
 
--- a/tests/policy_fleet.py
+++ b/tests/policy_fleet.py
@@ -2,10 +2,9 @@
 
 from __future__ import annotations
 
-from gateway_harness import GatewayHarness
-
 from brookhub.model import Answer, Outcome
 from brookhub.site import Plan
+from gateway_harness import GatewayHarness
 
 WIDE = Plan("wide", 500.0, 1000.0)
 
--- a/tests/test_policy_accounts.py
+++ b/tests/test_policy_accounts.py
@@ -5,11 +5,11 @@
 import random
 
 import pytest
-from gateway_harness import GatewayHarness
-from policy_fleet import fleet_member
 
 from brookhub.model import Answer, Outcome
 from brookhub.site import Plan
+from gateway_harness import GatewayHarness
+from policy_fleet import fleet_member
 
 
 def test_shares_follow_the_possible_number_of_gateways_not_the_live_one():
--- a/tests/test_policy_ceiling.py
+++ b/tests/test_policy_ceiling.py
@@ -5,11 +5,11 @@
 import random
 
 import pytest
-from gateway_harness import GatewayHarness
-from policy_fleet import SharedCounter, gateways_of_one_fleet, play
 
 from brookhub.model import Answer, Outcome
 from brookhub.site import Plan, Route
+from gateway_harness import GatewayHarness
+from policy_fleet import SharedCounter, gateways_of_one_fleet, play
 
 
 def test_a_ceiling_is_held_half_by_the_own_share_and_half_by_the_total():
@@ -58,8 +58,8 @@
 
 
 def test_the_busiest_gateway_of_a_customer_may_use_more_than_its_share_of_a_ceiling():
-    # Regression: a tenth of the units of ceiled plans, all inside the quota, waited out their targets at the own
-    # share.
+    # Regression: a tenth of the units of ceiled plans, all inside the quota, waited out their targets at
+    # the own share.
     harnesses, counter, _chance = (
         gateways_of_one_fleet(20, 7, Plan("ceiled", 25.0, 57.0, ceiling_rate=60.0, ceiling_burst=142.0)),
         SharedCounter(1000, 0.08),
@@ -81,9 +81,9 @@
 
 @pytest.mark.parametrize("seed", range(3))
 def test_a_thin_ceiling_admits_what_fits_and_bounds_any_span_of_time(seed):
-    # Regression: with a hundred gateways an Nth of a ceiling never held one call, so half of it lay idle, and of
-    # the other half a window could use half the burst: 59% of the calls were rate-limited at 62% of the
-    # ceiling (docs/lab.md).
+    # Regression: with a hundred gateways an Nth of a ceiling never held one call, so half of it lay idle,
+    # and of the other half a window could use half the burst: 59% of the calls were rate-limited at 62% of
+    # the ceiling (docs/lab.md).
     for load, least, _most in ((15.0, 0.95, 1.0), (60.0, 0.85, 1.0)):
         chance, counter = random.Random(seed), SharedCounter(capacity=2000, wait=0.08)
         harnesses = gateways_of_one_fleet(
--- a/tests/test_policy_coordination.py
+++ b/tests/test_policy_coordination.py
@@ -3,11 +3,11 @@
 from __future__ import annotations
 
 import pytest
-from gateway_harness import GatewayHarness
 
 from brookhub.model import Outcome
 from brookhub.ports import IndependentCoordination
 from brookhub.site import Idempotency, Route
+from gateway_harness import GatewayHarness
 
 
 class FakeCoordination(IndependentCoordination):
--- a/tests/test_policy_invariants.py
+++ b/tests/test_policy_invariants.py
@@ -6,11 +6,11 @@
 from dataclasses import dataclass
 
 import pytest
-from gateway_harness import GatewayHarness
-from policy_fleet import WIDE
 
 from brookhub.model import Answer, Customer, Outcome, Request, ServerState
 from brookhub.site import DeduplicationScope, Idempotency, Plan, Route
+from gateway_harness import GatewayHarness
+from policy_fleet import WIDE
 
 ROUTES = [
     Route("read", 1.0, 3.0),
@@ -167,9 +167,9 @@
 
 
 def test_a_resumed_process_sends_no_request_whose_deadline_has_passed():
-    # Regression: stopped for 2 s and woken, the first event that freed a place had calls sent on after their
-    # client timeout, before the timers that would have ended them (found by the emulator's stall_limiters,
-    # rule 1).
+    # Regression: stopped for 2 s and woken, the first event that freed a place had calls sent on after
+    # their client timeout, before the timers that would have ended them (found by the emulator's
+    # stall_limiters, rule 1).
     harness = GatewayHarness(
         servers=3, gateways=6, plans=[WIDE], counter_timeout=0.0, routes=[Route("read", 2.0, 4.0)]
     )
--- a/tests/test_policy_loans.py
+++ b/tests/test_policy_loans.py
@@ -2,11 +2,10 @@
 
 from __future__ import annotations
 
-from gateway_harness import GatewayHarness
-
 from brookhub.model import Answer
 from brookhub.policy.constants import IDLE_AFTER_HORIZONS
 from brookhub.site import Plan
+from gateway_harness import GatewayHarness
 
 
 def test_an_idle_customer_lends_to_a_soft_plan_until_it_asks_itself():
--- a/tests/test_policy_quota.py
+++ b/tests/test_policy_quota.py
@@ -6,12 +6,12 @@
 from functools import partial
 
 import pytest
-from gateway_harness import GatewayHarness
-from policy_fleet import SharedCounter, fleet_member, gateways_of_one_fleet, play
 
 from brookhub.model import Answer, Outcome
 from brookhub.policy.constants import UNCONFIRMED_SHARE_FACTOR
 from brookhub.site import Plan
+from gateway_harness import GatewayHarness
+from policy_fleet import SharedCounter, fleet_member, gateways_of_one_fleet, play
 
 
 @pytest.mark.parametrize("seed", range(5))
@@ -183,8 +183,8 @@
 
 @pytest.mark.parametrize("seed, count", [(0, 40), (1, 40), (0, 4)])
 def test_gateways_that_start_together_do_not_overload_the_counter(seed, count):
-    # Regression: each began with 50 counter calls a second and lowered what it did not use; the
-    # counter's queue outgrew the timeout, and for 1.2 s every call was answered after it (36% of the first 5 s
+    # Regression: each began with 50 counter calls a second and lowered what it did not use; the counter's
+    # queue outgrew the timeout, and for 1.2 s every call was answered after it (36% of the first 5 s
     # unanswered). Four gateways that win a tenth of a hundred wanted calls by each of a hundred answers a
     # second overload it again and again.
     chance, counter = random.Random(seed), SharedCounter(capacity=300, wait=0.08)
--- a/tests/test_policy_upstreams.py
+++ b/tests/test_policy_upstreams.py
@@ -5,11 +5,11 @@
 import random
 
 import pytest
-from gateway_harness import GatewayHarness
-from policy_fleet import WIDE, SharedCounter, gateways_of_one_fleet, play, play_slow_servers
 
 from brookhub.model import Answer, Outcome
 from brookhub.site import Plan, Route
+from gateway_harness import GatewayHarness
+from policy_fleet import WIDE, SharedCounter, gateways_of_one_fleet, play, play_slow_servers
 
 
 def test_a_warming_server_gets_its_warmth_of_a_warm_servers_work_at_most():
@@ -58,9 +58,9 @@
 
 @pytest.mark.parametrize("multiple, least", [(2.0, 0.25), (3.0, 0.25)])
 def test_gateways_together_fill_warming_servers_to_half_their_overload(multiple, least):
-    # Regression: 18 fresh servers, two fifths warm, were sent a quarter of what they could do while the old ones
-    # jammed; and what 40 gateways send together within any `fall_within` stays far under multiple x present
-    # capacity.
+    # Regression: 18 fresh servers, two fifths warm, were sent a quarter of what they could do while the old
+    # ones jammed; and what 40 gateways send together within any `fall_within` stays far under multiple x
+    # present capacity.
     capacity, warm_after, start = 40.0, 18.0, 100.0
     harnesses = gateways_of_one_fleet(
         12, 3, WIDE, cold_capacity=0.2, warm_up_time=warm_after, overload_multiple=multiple
@@ -87,9 +87,9 @@
 
 
 def test_slow_answers_of_warming_servers_do_not_narrow_the_limit():
-    # Regression: after six in ten servers were replaced, cold ones (slow, with a budget of their own) narrowed
-    # each gateway's window as often as jammed ones, and the calls they had room for waited for it (0.66 of
-    # their warming used).
+    # Regression: after six in ten servers were replaced, cold ones (slow, with a budget of their own)
+    # narrowed each gateway's window as often as jammed ones, and the calls they had room for waited for it
+    # (0.66 of their warming used).
     def narrowed(cold):
         harness = GatewayHarness(
             servers=8,
@@ -154,9 +154,9 @@
 
 @pytest.mark.parametrize("seed", range(4))
 def test_servers_that_reject_everything_fail_no_requests(seed):
-    # Regression: 42 of 60 servers drained while the list was late; each turned calls away at once, was never
-    # rested for it and so looked best, and a call ended as an error after one such try by the luck of tries
-    # before (26% of all).
+    # Regression: 42 of 60 servers drained while the list was late; each turned calls away at once, was
+    # never rested for it and so looked best, and a call ended as an error after one such try by the luck of
+    # tries before (26% of all).
     chance, harness = (
         random.Random(seed),
         GatewayHarness(
--- a/tests/test_sites.py
+++ b/tests/test_sites.py
@@ -7,13 +7,13 @@
 
 import pytest
 from click.testing import CliRunner
-from gateway_harness import GatewayHarness
 
 from brookhub.cli import main
 from brookhub.config import SiteFile, load
 from brookhub.model import Answer, Outcome
 from brookhub.program.start_file import Start
 from brookhub.site import Idempotency
+from gateway_harness import GatewayHarness
 
 SITES = Path(__file__).parent.parent / "deploy" / "sites"
 PATHS = sorted(SITES.glob("*.toml"))
