--- a/brookhub/protocol/http.py
+++ b/brookhub/protocol/http.py
@@ -1,23 +1,26 @@
-"""HTTP/1.1 as discovery's watch speaks it: one request, and an answer of lines that stays open.
+"""HTTP/1.1 as far as watching discovery needs it: one GET request, and a response of lines that stays open.
 
-The body may be chunked, of a stated length, or last until the connection ends (RFC 9112, section 6.3).
+The body may be chunked, of a stated length, or last until the connection is closed (RFC 9112, section 6.3).
 """
 
 from __future__ import annotations
 
 from collections.abc import Callable, Iterator
+from enum import Enum, auto
 
 from ..transport.close_reason import CloseReason
 from ..transport.ring_buffer import RingBuffer
 from .errors import MalformedError
 
-MAX_HEAD_LINE_BYTES = 4096  # bytes of a line of the head, or of one that announces a chunk
-MAX_BODY_LINE_BYTES = 1024 * 1024  # bytes of one line of the answer: a whole list of some thousand servers
+MAX_HEAD_LINE_BYTES = 4096  # of a line of the head, or of one that begins a chunk
+MAX_BODY_LINE_BYTES = 1024 * 1024  # a server list of some thousand servers
 MAX_HEADERS = 100
-MAX_CONTENT_LENGTH_DIGITS = 9  # digits of a content length
-MAX_RETRY_AFTER_DIGITS = 4  # digits of a Retry-After that is read at all
-REJECTED_STATUS_CODES = (b"429", b"503")  # too many ask: the answer is yet to be had, later
-MAX_RETRY_AFTER = 60.0  # s of a Retry-After that is heeded: more would leave the list old for good
+MAX_CONTENT_LENGTH_DIGITS = 9
+MAX_RETRY_AFTER_DIGITS = 4  # a longer Retry-After is ignored
+MAX_RETRY_AFTER = (
+    60.0  # s of a Retry-After that are respected: more would leave the server list stale for good
+)
+REJECTED_STATUS_CODES = (b"429", b"503")  # discovery is overloaded and may respond later
 
 
 def encode_get(host: str, path: str) -> bytes:
@@ -25,145 +28,171 @@
     return f"GET {path} HTTP/1.1\r\nHost: {host}\r\nAccept: application/json\r\n\r\n".encode("ascii")
 
 
+class _State(Enum):
+    """What the next bytes belong to."""
+
+    STATUS_LINE = auto()
+    HEADERS = auto()
+    CHUNK_SIZE = auto()
+    BODY = auto()  # the body, or the data of a chunk
+    CHUNK_END = auto()  # the empty line after a chunk's data
+    TRAILERS = auto()
+    COMPLETE = auto()
+
+
 class HttpResponseReader:
-    """Takes an answer's lines from a ring buffer as they come.
+    """Reads the lines of a response's body from a ring buffer as they arrive. Not thread-safe.
 
-    `is_complete` is set once the answer is whole, `retry_after` is how long (s) a server that turned the
-    request away wants to be left alone. All methods raise MalformedError where the bytes are no such answer;
-    its reason is THROTTLED for an answer 429 or 503 and OVERSIZED for a line that is too long.
+    `retry_after` is how long (s) a server that rejected the request asks to be left alone. All methods raise
+    MalformedError where the bytes are no such response; its reason is THROTTLED for a response 429 or 503,
+    and OVERSIZED for a line that is too long.
     """
 
     def __init__(self) -> None:
-        self.is_complete = False
-        self.is_rejected = False
         self.retry_after = 0.0
-        self._step: Callable[[bytes], None] | None = self._status  # takes the next line; None within the body
-        self._headers = 0
-        self._interim = False
-        self._chunked = False
-        self._length: int | None = None
-        self._until_end = False  # whether the body states no length and lasts until the connection ends
-        self._left = 0  # bytes of the body, or of the chunk, that have yet to come
-        self._rest = bytearray()  # the line of the body under way
+        self._state = _State.STATUS_LINE
+        self._header_count = 0
+        self._is_interim = False  # a response 1xx, before the final one
+        self._is_rejected = False
+        self._is_chunked = False
+        self._content_length: int | None = None
+        self._lasts_until_close = False  # the body states no length
+        self._bytes_left = 0  # of the body, or of the chunk
+        self._partial_line = bytearray()  # of the body
+        self._line_handlers: dict[_State, Callable[[bytes], None]] = {
+            _State.STATUS_LINE: self._on_status_line,
+            _State.HEADERS: self._on_header_line,
+            _State.CHUNK_SIZE: self._on_chunk_size,
+            _State.CHUNK_END: self._on_chunk_end,
+            _State.TRAILERS: self._on_trailer,
+        }
+
+    @property
+    def is_complete(self) -> bool:
+        """Whether the response has ended."""
+        return self._state is _State.COMPLETE
 
     def feed(self, ring: RingBuffer) -> Iterator[bytes]:
-        """Each line of the body that is whole, without its line end."""
-        while not self.is_complete:
-            if self._step is None:
-                yield from self._body(ring)
-                if self._step is None and not self.is_complete:
+        """Read each line of the body that is complete, without its line end."""
+        while self._state is not _State.COMPLETE:
+            if self._state is _State.BODY:
+                yield from self._read_body(ring)
+                if self._state is _State.BODY:
                     return
-            elif not self._take_line(ring, self._step):
+            elif not self._read_line(ring):
                 return
 
     def on_eof(self) -> bytes:
-        """Tell that the other side ended the connection in order.
-
-        The last line of a body that lasts until then, where it has no line end; else nothing.
-        """
-        rest = bytes(self._rest) if self._until_end else b""
-        self._rest = bytearray()
-        return rest
+        """The connection was closed in order: the last line of a body that lasts until then, else nothing."""
+        line = bytes(self._partial_line) if self._lasts_until_close else b""
+        self._partial_line = bytearray()
+        return line
 
-    def _take_line(self, ring: RingBuffer, step: Callable[[bytes], None]) -> bool:
+    def _read_line(self, ring: RingBuffer) -> bool:
+        """Handle a line outside of the body; False where it is not complete."""
         line = ring.read_line()
         if line is not None:
-            step(line)
+            self._line_handlers[self._state](line)
             return True
         if len(ring) > MAX_HEAD_LINE_BYTES:
             raise MalformedError("a line of the head that does not end")
         return False
 
-    # the head
+    # The head
 
-    def _status(self, line: bytes) -> None:
+    def _on_status_line(self, line: bytes) -> None:
         words = line.split(b" ", 2)
         if len(words) < 2 or not words[0].startswith(b"HTTP/1."):
             raise MalformedError("no HTTP/1.1 answer")
-        code = words[1]
-        self._interim = len(code) == 3 and code.startswith(b"1") and code != b"101"
-        self.is_rejected = code in REJECTED_STATUS_CODES
-        if code != b"200" and not self._interim and not self.is_rejected:
+        status = words[1]
+        self._is_interim = len(status) == 3 and status.startswith(b"1") and status != b"101"
+        self._is_rejected = status in REJECTED_STATUS_CODES
+        if status != b"200" and not self._is_interim and not self._is_rejected:
             raise MalformedError("an answer that is not 200")
-        self._step = self._header
+        self._state = _State.HEADERS
 
-    def _header(self, line: bytes) -> None:
-        self._headers += 1
-        if self._headers > MAX_HEADERS:
+    def _on_header_line(self, line: bytes) -> None:
+        self._header_count += 1
+        if self._header_count > MAX_HEADERS:
             raise MalformedError("too many headers")
         if not line:
-            self._end_head()
+            self._on_head_complete()
             return
         name, colon, value = line.partition(b":")
         if not colon:
             raise MalformedError("a header without a colon")
-        self._take_header(name.strip().lower(), value.strip().lower())
+        self._on_header(name.strip().lower(), value.strip().lower())
 
-    def _take_header(self, name: bytes, value: bytes) -> None:
+    def _on_header(self, name: bytes, value: bytes) -> None:
         if name == b"retry-after" and value.isdigit() and len(value) <= MAX_RETRY_AFTER_DIGITS:
             self.retry_after = min(float(value), MAX_RETRY_AFTER)
         elif name == b"transfer-encoding":
-            self._chunked = value == b"chunked"
+            self._is_chunked = value == b"chunked"
         elif name == b"content-length":
             if not value.isdigit() or len(value) > MAX_CONTENT_LENGTH_DIGITS:
                 raise MalformedError("a length that is no number")
-            self._length = int(value)
-
-    def _end_head(self) -> None:
-        if self._interim:  # word that the answer is yet to come
-            self._step, self._chunked, self._length = self._status, False, None
-        elif self.is_rejected:
-            raise MalformedError("rejected", CloseReason.THROTTLED)
-        elif self._chunked:
-            self._step = self._chunk_size
+            self._content_length = int(value)
+
+    def _on_head_complete(self) -> None:
+        if self._is_interim:
+            self._state = _State.STATUS_LINE
+            self._is_chunked = False
+            self._content_length = None
+        elif self._is_rejected:
+            raise MalformedError("rejected with 429 or 503", CloseReason.THROTTLED)
+        elif self._is_chunked:
+            self._state = _State.CHUNK_SIZE
         else:
-            self._until_end = self._length is None
-            self._left = self._length or 0
-            self._step = None
+            self._lasts_until_close = self._content_length is None
+            self._bytes_left = self._content_length or 0
+            self._state = _State.BODY
 
-    # the body
+    # The body
 
-    def _body(self, ring: RingBuffer) -> Iterator[bytes]:
-        if self._until_end:
-            yield from self._lines(ring.read(len(ring)))
+    def _read_body(self, ring: RingBuffer) -> Iterator[bytes]:
+        """Read what has come of the body or of the chunk."""
+        if self._lasts_until_close:
+            yield from self._split_lines(ring.read(len(ring)))
             return
-        data = ring.read(min(self._left, len(ring)))
-        self._left -= len(data)
-        yield from self._lines(data)
-        if self._left:
+        data = ring.read(min(self._bytes_left, len(ring)))
+        self._bytes_left -= len(data)
+        yield from self._split_lines(data)
+        if self._bytes_left:
             return
-        if self._chunked:
-            self._step = self._chunk_end
+        if self._is_chunked:
+            self._state = _State.CHUNK_END
             return
-        self.is_complete = True
-        if self._rest:
-            yield bytes(self._rest)
+        self._state = _State.COMPLETE
+        if self._partial_line:
+            yield bytes(self._partial_line)
 
-    def _chunk_size(self, line: bytes) -> None:
+    def _on_chunk_size(self, line: bytes) -> None:
         try:
-            self._left = int(line.split(b";", 1)[0].strip(), 16)
+            self._bytes_left = int(line.split(b";", 1)[0].strip(), 16)
         except ValueError:
             raise MalformedError("a chunk without a size") from None
-        if self._left < 0:
+        if self._bytes_left < 0:
             raise MalformedError("a chunk of a size below 0")
-        self._step = None if self._left else self._trailer
+        self._state = _State.BODY if self._bytes_left else _State.TRAILERS
 
-    def _chunk_end(self, line: bytes) -> None:
+    def _on_chunk_end(self, line: bytes) -> None:
         if line:
             raise MalformedError("a chunk longer than it said")
-        self._step = self._chunk_size
+        self._state = _State.CHUNK_SIZE
 
-    def _trailer(self, line: bytes) -> None:
+    def _on_trailer(self, line: bytes) -> None:
         if not line:
-            self.is_complete = True
+            self._state = _State.COMPLETE
 
-    def _lines(self, data: bytes) -> Iterator[bytes]:
+    def _split_lines(self, data: bytes) -> Iterator[bytes]:
+        """The lines that these bytes complete; the rest becomes the partial line."""
         start = 0
         while (end := data.find(b"\n", start)) >= 0:
-            self._rest += data[start:end]
-            line, self._rest = bytes(self._rest).rstrip(b"\r"), bytearray()
+            self._partial_line += data[start:end]
+            line = bytes(self._partial_line).rstrip(b"\r")
+            self._partial_line = bytearray()
             yield line
             start = end + 1
-        self._rest += data[start:]
-        if len(self._rest) > MAX_BODY_LINE_BYTES:
+        self._partial_line += data[start:]
+        if len(self._partial_line) > MAX_BODY_LINE_BYTES:
             raise MalformedError("a line of the answer too long", CloseReason.OVERSIZED)
--- a/brookhub/protocol/request_codec.py
+++ b/brookhub/protocol/request_codec.py
@@ -1,25 +1,38 @@
-"""API calls as clients and servers word them."""
+"""API requests: read from clients, forwarded to servers, and the responses of both directions.
+
+This module translates the protocol's words into the program's terms: API call = request, `d` = time left,
+`spread` = quota holders, `first` = first gateway, `r` = retry, `k` = idempotency key, BUSY = rejected.
+"""
 
 from __future__ import annotations
 
 import re
 from math import ceil
-from typing import Any
 
 from ..site import Idempotency, Route
 from . import resp
 from .errors import InvalidRequestError
 
-HEXADECIMAL = re.compile(rb"[0-9a-fA-F]{16}")
-DECIMAL, WHOLE = re.compile(rb"\d{1,9}(\.\d{1,9})?"), re.compile(rb"\d{1,9}")
-NAME = re.compile(rb"[a-z][a-z0-9_]{0,31}")  # of a figure in a load report
-MOST_CUSTOMERS = 2**33  # their numbers lie below
-LONGEST_KEY = 64  # bytes of the mark of a call that may be recognised again
-ARGUMENT_COUNTS = {b"CALL.GET": 4, b"CALL.POST": 5}  # and of how many words a command of each is
+ARGUMENT_COUNTS = {b"CALL.GET": 4, b"CALL.POST": 5}  # arguments of each command, its name included
+POST_ARGUMENT_COUNT = 5
+CUSTOMER_ID_LIMIT = 2**33  # ids of customers are below
+MAX_IDEMPOTENCY_KEY_BYTES = 64
+
+HEXADECIMAL_ID = re.compile(rb"[0-9a-fA-F]{16}")
+DECIMAL_NUMBER = re.compile(rb"\d{1,9}(\.\d{1,9})?")
+WHOLE_NUMBER = re.compile(rb"\d{1,9}")
+METRIC_NAME = re.compile(rb"[a-z][a-z0-9_]{0,31}")
+
+ENCODED_FAILURE = b"-ERR failed\r\n"
+"""The response to a request that failed, with no promise whether it was executed."""
 
 
 class ParsedRequest:
-    """One API call as its client worded it. It goes to servers in the same words, but for the time left."""
+    """A client's request, read and checked.
+
+    It is forwarded with the client's own bytes but for the time left. Times are seconds. `route_name` and
+    `plan_name` are None where the client did not give them.
+    """
 
     __slots__ = (
         "customer_id",
@@ -39,115 +52,151 @@
         "size_bytes",
     )
 
-    def __init__(self, words: list[bytes]):
-        if len(words) != ARGUMENT_COUNTS.get(words[0]):
+    def __init__(self, arguments: list[bytes]) -> None:
+        """Read a command: its name, the customer, the id, the parameters and, of a POST, the body.
+
+        Raises InvalidRequestError.
+        """
+        if len(arguments) != ARGUMENT_COUNTS.get(arguments[0]):
             raise InvalidRequestError("a GET has three words after its name, a POST four")
-        self.arguments, self.is_write, self.size_bytes = words, len(words) == 5, sum(map(len, words))
-        self.customer_id, self.request_id = hexadecimal(words[1], "customer"), hexadecimal(words[2], "id")
-        if self.customer_id >= MOST_CUSTOMERS:
+        self.arguments = arguments
+        self.is_write = len(arguments) == POST_ARGUMENT_COUNT
+        self.size_bytes = sum(map(len, arguments))
+        self.customer_id = parse_hexadecimal_id(arguments[1], "customer")
+        self.request_id = parse_hexadecimal_id(arguments[2], "id")
+        if self.customer_id >= CUSTOMER_ID_LIMIT:
             raise InvalidRequestError("there is no such customer")
-        self.parameters = words[3].split(b",")
-        told = {}
-        for at, field in enumerate(self.parameters):
-            name, equals, value = field.partition(b"=")
-            if not equals or name in told:
-                raise InvalidRequestError("the names and values can't be read")
-            told[name] = value
-            if name == b"d":
-                self.time_left_index = at
-        self.route_name, self.plan_name = told.get(b"c"), told.get(b"t")
-        self.time_left, self.units = number(told, b"d", DECIMAL) / 1000, number(told, b"units", DECIMAL)
-        self.quota_holders, self.first_gateway = number(told, b"spread", WHOLE), number(told, b"first", WHOLE)
-        self.is_retry, self.has_idempotency_key = b"r" in told, b"k" in told
-        if (
-            told.get(b"r", b"1") != b"1"
-            or not 0 < len(told.get(b"k", b"1")) <= LONGEST_KEY
-            or not self.time_left
-        ):
+        self.parameters = arguments[3].split(b",")
+        values = self._split_parameters()
+        self.route_name = values.get(b"c")
+        self.plan_name = values.get(b"t")
+        self.time_left = parse_decimal(values, b"d") / 1000
+        self.units = parse_decimal(values, b"units")
+        self.quota_holders = parse_whole_number(values, b"spread")
+        self.first_gateway = parse_whole_number(values, b"first")
+        self.is_retry = b"r" in values
+        self.has_idempotency_key = b"k" in values
+        has_valid_key = 0 < len(values.get(b"k", b"1")) <= MAX_IDEMPOTENCY_KEY_BYTES
+        if values.get(b"r", b"1") != b"1" or not has_valid_key or not self.time_left:
             raise InvalidRequestError("r, k or d can't be read")
 
-    def validate(self, route: Route, gateways: int, largest: float) -> None:
-        """Whether it fits what the settings tell. Raises InvalidRequestError."""
-        if (
-            self.is_write is (route.idempotency is Idempotency.IDEMPOTENT)
-            or route.idempotency is Idempotency.KEYED
-            and not self.has_idempotency_key
+    def _split_parameters(self) -> dict[bytes, bytes]:
+        """The parameters by name. Raises InvalidRequestError where one has no value or stands twice."""
+        values: dict[bytes, bytes] = {}
+        for index, parameter in enumerate(self.parameters):
+            name, separator, value = parameter.partition(b"=")
+            if not separator or name in values:
+                raise InvalidRequestError("the names and values can't be read")
+            values[name] = value
+            if name == b"d":
+                self.time_left_index = index
+        return values
+
+    def validate(self, route: Route, gateways: int, max_units: float) -> None:
+        """Check the request against the settings of the site. Raises InvalidRequestError."""
+        is_read_route = route.idempotency is Idempotency.IDEMPOTENT
+        if self.is_write is is_read_route or (
+            route.idempotency is Idempotency.KEYED and not self.has_idempotency_key
         ):
             raise InvalidRequestError("a c that is not called in this way")
         if (
-            not 0 < self.units <= largest
+            not 0 < self.units <= max_units
             or not 0 < self.quota_holders <= gateways
             or self.first_gateway >= gateways
         ):
             raise InvalidRequestError("units, spread or first are out of range")
 
-    def encode_for_server(self, seconds: float) -> bytes:
-        """The command for a server, which may take so long."""
-        fields = self.parameters.copy()
-        fields[self.time_left_index] = b"d=%d" % max(1, round(seconds * 1000))
-        return resp.encode_command(*self.arguments[:3], b",".join(fields), *self.arguments[4:])
+    def encode_for_server(self, time_left: float) -> bytes:
+        """The command for a server, which gets `time_left` seconds, at least 1 ms."""
+        parameters = self.parameters.copy()
+        parameters[self.time_left_index] = b"d=%d" % max(1, round(time_left * 1000))
+        return resp.encode_command(*self.arguments[:3], b",".join(parameters), *self.arguments[4:])
 
 
-def hexadecimal(word: bytes, what: str) -> int:
-    """A number in hexadecimal digits. Raises InvalidRequestError."""
-    if not HEXADECIMAL.fullmatch(word):
-        raise InvalidRequestError(f"the {what} is not of 16 hexadecimal digits")
-    return int(word, 16)
+def parse_hexadecimal_id(text: bytes, description: str) -> int:
+    """Read an id of 16 hexadecimal digits. Raises InvalidRequestError."""
+    if not HEXADECIMAL_ID.fullmatch(text):
+        raise InvalidRequestError(f"the {description} is not of 16 hexadecimal digits")
+    return int(text, 16)
 
 
-def number(told: dict[bytes, bytes], name: bytes, form: re.Pattern[bytes]) -> float:
-    """A number among the fields of a command. Raises InvalidRequestError."""
-    value = told.get(name, b"")
-    if not form.fullmatch(value):
+def parse_decimal(values: dict[bytes, bytes], name: bytes) -> float:
+    """Read a decimal number among the parameters of a request. Raises InvalidRequestError."""
+    value = values.get(name, b"")
+    if not DECIMAL_NUMBER.fullmatch(value):
         raise InvalidRequestError(f"{name.decode()} is missing or not a number that can be served")
-    return int(value) if form is WHOLE else float(value)
+    return float(value)
 
 
-def encode_served(value: bytes | bytearray) -> tuple[bytes | bytearray, ...]:
-    """The answer with what a server said."""
-    return resp.encode_bulk_parts(value)
+def parse_whole_number(values: dict[bytes, bytes], name: bytes) -> int:
+    """Read a whole number among the parameters of a request. Raises InvalidRequestError."""
+    value = values.get(name, b"")
+    if not WHOLE_NUMBER.fullmatch(value):
+        raise InvalidRequestError(f"{name.decode()} is missing or not a number that can be served")
+    return int(value)
 
 
-def encode_rejected(seconds: float) -> bytes:
-    """The answer that refuses, with a time to come back in (s; 0: no advice)."""
-    return b"-BUSY %d\r\n" % ceil(seconds * 1000) if seconds > 0 else b"-BUSY\r\n"
+def encode_served(value: bytes | bytearray) -> tuple[bytes | bytearray, ...]:
+    """The response with a server's value, in parts to be sent one after another."""
+    return resp.encode_bulk_parts(value)
 
 
-ENCODED_FAILURE = b"-ERR failed\r\n"
+def encode_rejected(retry_after: float) -> bytes:
+    """The response that rejects a request; `retry_after` in seconds, 0: no advice."""
+    if retry_after > 0:
+        return b"-BUSY %d\r\n" % ceil(retry_after * 1000)
+    return b"-BUSY\r\n"
 
 
 class ServerResponse:
-    """What a server said to one try: a value, an error, or that it turned it away; and its figures."""
+    """A server's response to an attempt: a value, a rejection or an error, each with metrics.
+
+    `value` is None but for a served request. `is_well_formed` is False where the response is none of the
+    three. `charged_units` and `used_units` are what the request cost and what the customer has used, as far
+    as the server says so; `load_report` has the server's other metrics by name.
+    """
 
     __slots__ = ("value", "is_rejected", "is_well_formed", "charged_units", "used_units", "load_report")
 
-    def __init__(self, said: Any) -> None:
+    def __init__(self, response: resp.RespValue) -> None:
         self.value: bytes | bytearray | None = None
-        self.is_rejected, self.is_well_formed = False, True
+        self.is_rejected = False
+        self.is_well_formed = True
         self.charged_units = 0.0
         self.used_units: float | None = None
         self.load_report: dict[str, float] = {}
-        if isinstance(said, list) and said and type(said[0]) in (bytes, bytearray):
-            self.value = said[0]
-            for part in said[1:3]:  # what can't be read beside a good value is passed over
-                if type(part) is bytes:
-                    self.read_figures(part)
-        elif isinstance(said, resp.ErrorReply):
-            self.is_rejected = said.split(b" ", 1)[0] == b"BUSY"
-            for part in said.split(b" "):
-                self.read_figures(part)
+        if isinstance(response, list) and response:
+            self._read_served(response)
+        elif isinstance(response, resp.ErrorReply):
+            self._read_error(response)
         else:
             self.is_well_formed = False
 
-    def read_figures(self, text: bytes) -> None:
-        """Figures on use or a load report: names and numbers. What is not in that form is passed over."""
-        for pair in text.split(b","):
-            name, _, value = pair.partition(b"=")
-            if not DECIMAL.fullmatch(value):
+    def _read_served(self, items: list[resp.RespItem] | list[bytes]) -> None:
+        value = items[0]
+        if type(value) is not bytes and type(value) is not bytearray:
+            self.is_well_formed = False
+            return
+        self.value = value
+        for item in items[1:3]:
+            if type(item) is bytes:  # anything else beside a good value is ignored
+                self._read_metrics(item)
+
+    def _read_error(self, error: resp.ErrorReply) -> None:
+        words = error.split(b" ")
+        self.is_rejected = words[0] == b"BUSY"
+        for word in words:
+            self._read_metrics(word)
+
+    def _read_metrics(self, text: bytes) -> None:
+        """Read metrics of the form NAME=NUMBER, separated by commas; anything else is ignored."""
+        for metric in text.split(b","):
+            name, _, value = metric.partition(b"=")
+            if not DECIMAL_NUMBER.fullmatch(value):
                 continue
             if name == b"cost":
                 self.charged_units = float(value)
             elif name == b"used":
                 self.used_units = float(value)
-            elif NAME.fullmatch(name):
+            elif METRIC_NAME.fullmatch(name):
                 self.load_report[name.decode()] = float(value)
--- a/brookhub/protocol/resp.py
+++ b/brookhub/protocol/resp.py
@@ -1,182 +1,208 @@
-"""RESP2, as far as the gateway speaks it: values in, commands and answers out."""
+"""RESP2 as far as the gateway speaks it: a reader of values, and encoders of commands and replies."""
 
 from __future__ import annotations
 
-from typing import Any, Iterator
+from enum import Enum, auto
+from typing import Iterator, TypeAlias
 
 from ..transport.close_reason import CloseReason
 from ..transport.ring_buffer import RingBuffer
 from .errors import MalformedError
 
-MAX_VALUE_BYTES = 64 * 1024  # bytes of a value
-MAX_OVERHEAD_BYTES = 4 * 1024  # bytes of all the other words of one command or answer together
-MAX_LINE_BYTES = 1024  # bytes of a line: a type, a number or an error with its figures
-MAX_ARRAY_LENGTH = 16  # in an array
-BUFFER_BYTES = (
-    MAX_VALUE_BYTES + MAX_OVERHEAD_BYTES
-)  # bytes that a ring buffer needs for any one command or answer
+MAX_VALUE_BYTES = 64 * 1024
+MAX_OVERHEAD_BYTES = 4 * 1024  # of all the other items of one command or reply together
+MAX_LINE_BYTES = 1024  # of a line: a type, a number or an error with its metrics
+MAX_ARRAY_LENGTH = 16
+MAX_NUMBER_DIGITS = 18
+BUFFER_BYTES = MAX_VALUE_BYTES + MAX_OVERHEAD_BYTES  # what a ring buffer needs for any one command or reply
+
+ARRAY_TYPE = ord("*")
+LINE_END = b"\r\n"
+PONG = b"+PONG\r\n"
 
 
 class ErrorReply(bytes):
-    """An error line, without its first byte."""
+    """An error, without its type byte."""
 
 
 class SimpleString(bytes):
-    """A simple string."""
+    """A simple string, without its type byte."""
+
+
+RespItem: TypeAlias = bytes | bytearray | int | None
+"""What an array may hold: a bulk string, an ErrorReply or SimpleString, an integer, or null.
+
+A bulk string of more than MAX_VALUE_BYTES is a bytearray.
+"""
 
+RespValue: TypeAlias = RespItem | list[RespItem] | list[bytes]
 
-INCOMPLETE = object()  # more bytes have to come
-BEGUN = object()  # the beginning of a bulk string or an array was taken
+
+class _Progress(Enum):
+    """That no item could be read yet."""
+
+    INCOMPLETE = auto()  # more bytes have to come
+    BEGUN = auto()  # the header of a bulk string or an array was read
 
 
 class RespReader:
-    """Takes whole values from a ring buffer as they come; what is not whole stays there.
+    """Reads complete values from a ring buffer as their bytes arrive; incomplete ones stay there.
 
-    `max_value_bytes` is the most bytes of one value. A value that does not fit the ring is gathered here:
-    `partial_value` holds it, and `received` says how many of its bytes are there.
+    `max_value_bytes` is the limit for one value. A bulk string of more than MAX_VALUE_BYTES does not fit the
+    ring and is collected in `partial_value` instead; `received` counts its bytes so far. Not thread-safe.
     """
 
-    def __init__(self, max_value_bytes: int = MAX_VALUE_BYTES):
+    def __init__(self, max_value_bytes: int = MAX_VALUE_BYTES) -> None:
         self.max_value_bytes = max_value_bytes
-        self.words: list[Any] | None = None  # the array under way
-        self.missing = 0  # how many words that array is to have
-        self.taken = 0  # bytes of its bulk strings so far
-        self.size: int | None = None  # of the bulk string under way
-        self.partial_value, self.received = bytearray(), 0
-
-    def feed(self, ring: RingBuffer) -> Iterator[Any]:
-        """Each value that is whole: bytes, None, int, SimpleString, ErrorReply or a list of them.
-
-        Raises MalformedError.
-        """
-        if self.words is None and self.size is None and len(ring):
+        self.partial_value = bytearray()
+        self.received = 0
+        self._bulk_size: int | None = None  # of the bulk string under way
+        self._items: list[RespItem] | None = None  # of the array under way
+        self._item_count = 0  # that the array is to have
+        self._bulk_bytes = 0  # of all the array's bulk strings so far
+
+    def feed(self, ring: RingBuffer) -> Iterator[RespValue]:
+        """Read each value that is complete. Raises MalformedError."""
+        if self._items is None and self._bulk_size is None and len(ring):
             chunk = ring.readable_view()
-            length, words = len(chunk), plain(chunk)
-            if words is not None:
+            length = len(chunk)
+            command = parse_plain_command(chunk)
+            if command is not None:
                 ring.consume(length)
-                yield words
+                yield command
         while True:
-            value = self._next(ring)
-            if value is INCOMPLETE:
+            item = self._next_item(ring)
+            if item is _Progress.INCOMPLETE:
                 return
-            if value is BEGUN:
+            if item is _Progress.BEGUN:
                 continue
-            if self.words is None:
-                yield value
+            if self._items is None:
+                yield item
                 continue
-            self.words.append(value)
-            if len(self.words) == self.missing:
-                whole, self.words = self.words, None
-                yield whole
-
-    def _next(self, ring: RingBuffer) -> Any:
-        """The next word, BEGUN where only its beginning was taken, or INCOMPLETE where more has to come."""
-        if self.size is not None:
-            return self._bulk(ring, self.size)
+            assert not isinstance(item, list)  # _begin_array rejects an array inside an array
+            self._items.append(item)
+            if len(self._items) == self._item_count:
+                items = self._items
+                self._items = None
+                yield items
+
+    def _next_item(self, ring: RingBuffer) -> RespItem | list[RespItem] | _Progress:
+        """The next item, or how far it has come."""
+        if self._bulk_size is not None:
+            return self._read_bulk(ring, self._bulk_size)
         line = ring.read_line()
         if line is None:
             if len(ring) > MAX_LINE_BYTES:
                 raise MalformedError("a line that does not end")
-            return INCOMPLETE
+            return _Progress.INCOMPLETE
         if len(line) > MAX_LINE_BYTES:
             raise MalformedError("a line too long")
-        return self._begin(line[:1], line[1:])
-
-    def _begin(self, kind: bytes, text: bytes) -> Any:
-        if kind == b"$":
-            return self._begin_bulk(number(text))
-        if kind == b"*":
-            return self._begin_array(text)
-        if kind == b"-":
+        return self._read_header(line[:1], line[1:])
+
+    def _read_header(self, type_byte: bytes, text: bytes) -> RespItem | list[RespItem] | _Progress:
+        if type_byte == b"$":
+            return self._begin_bulk(parse_integer(text))
+        if type_byte == b"*":
+            return self._begin_array(parse_integer(text))
+        if type_byte == b"-":
             return ErrorReply(text)
-        if kind == b"+":
+        if type_byte == b"+":
             return SimpleString(text)
-        if kind == b":":
-            return number(text)
+        if type_byte == b":":
+            return parse_integer(text)
         raise MalformedError("a line of no known type")
 
-    def _begin_bulk(self, size: int) -> Any:
+    def _begin_bulk(self, size: int) -> _Progress | None:
         if size < 0:
-            return null(size)
-        self.taken = size + (self.taken if self.words is not None else 0)
-        if size > self.max_value_bytes or self.taken > self.max_value_bytes + MAX_OVERHEAD_BYTES // 2:
+            check_null(size)
+            return None
+        self._bulk_bytes = size + (self._bulk_bytes if self._items is not None else 0)
+        max_bulk_bytes = self.max_value_bytes + MAX_OVERHEAD_BYTES // 2
+        if size > self.max_value_bytes or self._bulk_bytes > max_bulk_bytes:
             raise MalformedError("a value too large", CloseReason.OVERSIZED)
-        self.size = size
-        return BEGUN
+        self._bulk_size = size
+        return _Progress.BEGUN
 
-    def _begin_array(self, text: bytes) -> Any:
-        if self.words is not None:
+    def _begin_array(self, length: int) -> list[RespItem] | _Progress | None:
+        if self._items is not None:
             raise MalformedError("an array inside an array")
-        length = number(text)
         if length > MAX_ARRAY_LENGTH:
             raise MalformedError("an array of too many words", CloseReason.OVERSIZED)
         if length < 0:
-            return null(length)
+            check_null(length)
+            return None
         if length == 0:
             return []
-        self.words, self.missing, self.taken = [], length, 0
-        return BEGUN
+        self._items = []
+        self._item_count = length
+        self._bulk_bytes = 0
+        return _Progress.BEGUN
 
-    def _bulk(self, ring: RingBuffer, size: int) -> Any:
-        """The bulk string under way once it is whole."""
+    def _read_bulk(self, ring: RingBuffer, size: int) -> bytes | bytearray | _Progress:
+        """The bulk string under way once it is complete."""
         if size > MAX_VALUE_BYTES and self.received < size:
-            room = self.value_buffer()
-            length = min(len(ring), len(room))
-            room[:length] = ring.read(length)
-            self.received += length
+            self._move_to_partial_value(ring)
         if len(ring) < self.bytes_wanted():
-            return INCOMPLETE
+            return _Progress.INCOMPLETE
         value = ring.read(size) if size <= MAX_VALUE_BYTES else self.partial_value
-        if ring.read(2) != b"\r\n":
+        if ring.read(2) != LINE_END:
             raise MalformedError("a bulk string does not end where it said")
-        self.size, self.partial_value, self.received = None, bytearray(), 0
+        self._bulk_size = None
+        self.partial_value = bytearray()
+        self.received = 0
         return value
 
+    def _move_to_partial_value(self, ring: RingBuffer) -> None:
+        buffer = self.value_buffer()
+        length = min(len(ring), len(buffer))
+        buffer[:length] = ring.read(length)
+        self.received += length
+
     def bytes_wanted(self) -> int:
-        """How many bytes the bulk string under way has yet to get, with its end; else 0."""
-        return 0 if self.size is None else self.size - self.received + 2
+        """How many bytes are missing of the bulk string under way and its line end; 0 where there is none."""
+        if self._bulk_size is None:
+            return 0
+        return self._bulk_size - self.received + len(LINE_END)
 
     def value_buffer(self) -> memoryview:
-        """Where the rest of a value that is gathered belongs, to be read there at once.
+        """The rest of `partial_value`, to read from the socket into it; empty where the ring is to be used.
 
-        Whoever does adds to `received`.
+        The caller adds what it has read to `received`.
         """
-        if self.size is None or self.size <= MAX_VALUE_BYTES:
+        if self._bulk_size is None or self._bulk_size <= MAX_VALUE_BYTES:
             return memoryview(b"")
         if not self.partial_value:
-            self.partial_value = bytearray(self.size)
+            self.partial_value = bytearray(self._bulk_size)
         return memoryview(self.partial_value)[self.received :]
 
-    def is_idle(self) -> bool:
-        """Whether it stands between two values."""
-        return self.words is None and self.size is None
 
+def parse_plain_command(chunk: memoryview) -> list[bytes] | None:
+    """Read the usual case at once: one complete array of short bulk strings, and nothing after it.
 
-def plain(chunk: memoryview) -> list[bytes] | None:
-    """The usual case at once: one whole array of short words without line ends, and nothing behind it."""
+    None where the bytes are anything else. The chunk is released.
+    """
     with chunk:
-        if chunk[0] != 42 or len(chunk) > MAX_LINE_BYTES:
+        if chunk[0] != ARRAY_TYPE or len(chunk) > MAX_LINE_BYTES:
             return None
-        lines = bytes(chunk).split(b"\r\n")
-    words = lines[2::2]
-    if not 0 < len(words) <= MAX_ARRAY_LENGTH or lines.pop() or lines[0] != b"*%d" % len(words):
+        lines = bytes(chunk).split(LINE_END)
+    items = lines[2::2]
+    if not 0 < len(items) <= MAX_ARRAY_LENGTH or lines.pop() or lines[0] != b"*%d" % len(items):
         return None
-    return words if lines[1::2] == [b"$%d" % len(word) for word in words] else None
-
+    if lines[1::2] != [b"$%d" % len(item) for item in items]:
+        return None  # also where an item holds a line end
+    return items
 
-def null(length: int) -> None:
-    """The value of that length below 0.
 
-    Raises MalformedError where it is not the one that stands for no value.
-    """
+def check_null(length: int) -> None:
+    """Raise MalformedError unless a length below 0 is the one that stands for null."""
     if length != -1:
         raise MalformedError("a length below -1")
 
 
-def number(text: bytes) -> int:
-    """A whole number of at most 18 digits. Raises MalformedError."""
+def parse_integer(text: bytes) -> int:
+    """Read an integer of at most 18 digits. Raises MalformedError."""
     digits = text[1:] if text[:1] == b"-" else text
-    if not digits.isdigit() or len(digits) > 18:
+    if not digits.isdigit() or len(digits) > MAX_NUMBER_DIGITS:
         raise MalformedError("not a number")
     return int(text)
 
@@ -187,22 +213,17 @@
 
 
 def encode_bulk_parts(value: bytes | bytearray) -> tuple[bytes | bytearray, ...]:
-    """The same in parts: a large value is not copied for it."""
-    return (
-        (encode_bulk(bytes(value)),)
-        if len(value) <= MAX_VALUE_BYTES
-        else (b"$%d\r\n" % len(value), value, b"\r\n")
-    )
+    """A bulk string in parts to be sent one after another, so that a large value is not copied."""
+    if len(value) <= MAX_VALUE_BYTES:
+        return (encode_bulk(bytes(value)),)
+    return (b"$%d\r\n" % len(value), value, LINE_END)
 
 
-def encode_command(*words: bytes) -> bytes:
+def encode_command(*arguments: bytes) -> bytes:
     """A command: an array of bulk strings."""
-    return b"*%d\r\n%b" % (len(words), b"".join([encode_bulk(word) for word in words]))
+    return b"*%d\r\n%b" % (len(arguments), b"".join([encode_bulk(argument) for argument in arguments]))
 
 
 def encode_error(text: str) -> bytes:
-    """An error."""
+    """An error reply. Line ends in the text become spaces, other than ASCII question marks."""
     return b"-%b\r\n" % " ".join(text.split()).encode("ascii", "replace")
-
-
-PONG = b"+PONG\r\n"
