--- a/brookhub/transport/ring_buffer.py
+++ b/brookhub/transport/ring_buffer.py
@@ -1,31 +1,35 @@
-"""A bounded ring buffer that holds little while it is empty."""
+"""A bounded ring buffer that takes little memory while it is empty."""
 
 from __future__ import annotations
 
-MIN_STORAGE_BYTES = 2048  # bytes kept while empty: most commands and answers fit in them
+MIN_STORAGE_BYTES = 2048  # kept while empty: most commands and replies fit in them
 
 
 class RingBuffer:
-    """Bytes in their order, up to a limit.
+    """A queue of at most `max_size` bytes.
 
-    Its store grows with what it holds and shrinks once that is gone.
+    Its storage grows with what it holds and shrinks once that is consumed. Not thread-safe: its owner says by
+    which thread or under which lock it is used.
     """
 
     __slots__ = ("max_size", "storage", "start", "size")
 
-    def __init__(self, max_size: int):
-        self.max_size, self.storage, self.start, self.size = max_size, bytearray(), 0, 0
+    def __init__(self, max_size: int) -> None:
+        self.max_size = max_size
+        self.storage = bytearray()
+        self.start = 0  # index of the oldest byte
+        self.size = 0  # bytes held
 
     def __len__(self) -> int:
         return self.size
 
-    def append(self, data: bytes) -> bool:
-        """Append all of it, or nothing where it does not fit."""
+    def append(self, data: bytes | bytearray | memoryview) -> bool:
+        """Append all of the bytes, or none and return False where they do not fit."""
         length = len(data)
         if self.size + length > self.max_size:
             return False
         if self.size + length > len(self.storage):
-            self._move(self.size + length)
+            self._reallocate(self.size + length)
         capacity = len(self.storage)
         end = (self.start + self.size) % capacity if capacity else 0
         first = min(length, capacity - end)
@@ -36,14 +40,14 @@
         return True
 
     def writable_view(self, wanted: int = 0) -> memoryview:
-        """Room to read into, in one piece, for as much as is wanted if it is empty; none at the limit.
+        """Free storage in one piece to read into, followed by `commit_write`; empty at the limit.
 
-        `commit_write` says how much of it was used.
+        It has room for `wanted` bytes where the buffer is empty and the limit allows.
         """
         if self.size >= len(self.storage) and len(self.storage) < self.max_size:
-            self._move(max(MIN_STORAGE_BYTES, 2 * len(self.storage), wanted))
+            self._reallocate(max(MIN_STORAGE_BYTES, 2 * len(self.storage), wanted))
         elif not self.size and len(self.storage) < min(wanted, self.max_size):
-            self._move(wanted)
+            self._reallocate(wanted)
         capacity = len(self.storage)
         end = self.start + self.size
         if end >= capacity:
@@ -52,15 +56,15 @@
         return memoryview(self.storage)[end:]
 
     def commit_write(self, length: int) -> None:
-        """So many bytes were read into the space that was given."""
+        """Take in bytes that were written into the view that `writable_view` returned."""
         self.size += length
 
     def readable_view(self) -> memoryview:
-        """The oldest bytes, as many as lie in one piece."""
+        """The oldest bytes, as many as lie in one piece; they stay until `consume`."""
         return memoryview(self.storage)[self.start : min(self.start + self.size, len(self.storage))]
 
     def consume(self, length: int) -> None:
-        """So many bytes at the front are done with."""
+        """Remove the oldest bytes."""
         self.size -= length
         if self.size:
             self.start = (self.start + length) % len(self.storage)
@@ -70,7 +74,7 @@
                 self.storage = bytearray()
 
     def read(self, length: int) -> bytes:
-        """The oldest bytes, taken out."""
+        """Remove and return the oldest bytes; `length` is at most the buffer's."""
         end = self.start + length
         if end <= len(self.storage):
             data = bytes(memoryview(self.storage)[self.start : end])
@@ -80,23 +84,24 @@
         return data
 
     def read_line(self) -> bytes | None:
-        """The oldest line, taken out without its CR LF; None while it is not whole."""
+        """Remove the oldest line and return it without its CR LF; None while it is incomplete."""
         if self.start + self.size > len(self.storage):
-            self._move(len(self.storage))
-        at = self.storage.find(b"\r\n", self.start, self.start + self.size)
-        if at < 0:
+            self._reallocate(len(self.storage))
+        line_end = self.storage.find(b"\r\n", self.start, self.start + self.size)
+        if line_end < 0:
             return None
-        data = bytes(memoryview(self.storage)[self.start : at])
-        self.consume(at + 2 - self.start)
-        return data
+        line = bytes(memoryview(self.storage)[self.start : line_end])
+        self.consume(line_end + 2 - self.start)
+        return line
 
-    def _move(self, wanted: int) -> None:
-        """Lay what is held at the start of a store of its own.
+    def _reallocate(self, wanted: int) -> None:
+        """Move the bytes to the start of a new storage.
 
-        The old one stays as it was for who still sends it.
+        The old storage is left as it was, as a view of it may still be in use.
         """
-        store = bytearray(min(self.max_size, max(wanted, MIN_STORAGE_BYTES)))
+        storage = bytearray(min(self.max_size, max(wanted, MIN_STORAGE_BYTES)))
         first = min(self.size, len(self.storage) - self.start)
-        store[:first] = self.storage[self.start : self.start + first]
-        store[first : self.size] = self.storage[: self.size - first]
-        self.storage, self.start = store, 0
+        storage[:first] = self.storage[self.start : self.start + first]
+        storage[first : self.size] = self.storage[: self.size - first]
+        self.storage = storage
+        self.start = 0
--- a/brookhub/transport/stream.py
+++ b/brookhub/transport/stream.py
@@ -1,4 +1,4 @@
-"""The thin driver of one connection: a thread that reads, and writes that never make their caller wait."""
+"""A connection as two byte buffers: one thread reads it, and writing to it never blocks its caller."""
 
 from __future__ import annotations
 
@@ -12,19 +12,27 @@
 from .ring_buffer import RingBuffer
 from .threads import start_thread
 
-TCP_INFO_LAST_RECEIVE_OFFSET = (
-    52  # place in Linux' struct tcp_info of the ms since the last bytes came (tcpi_last_data_recv)
-)
-# Bytes waited for at a time, at most: well within what the system holds of one
+# Where Linux' struct tcp_info has the ms since the last bytes were received (tcpi_last_data_recv, 32 bits)
+TCP_INFO_LAST_RECEIVE_OFFSET = 52
+TCP_INFO_LAST_RECEIVE_END = TCP_INFO_LAST_RECEIVE_OFFSET + 4
+
+# The most bytes to wait for at a time: well within what the system buffers for a connection. Nothing is ever
+# written there, as MSG_PEEK with MSG_TRUNC only counts the bytes.
 PEEK_BUFFER = bytearray(16 * 1024)
-# connection. Nothing is written there: they are counted, not taken
+PEEK_NOW = socket.MSG_PEEK | socket.MSG_DONTWAIT
+WAIT_AND_COUNT = socket.MSG_PEEK | socket.MSG_TRUNC | socket.MSG_WAITALL
 
 
 class Stream:
-    """A connected socket with a ring buffer a direction.
+    """A connected socket with a ring buffer for each direction.
+
+    Reading (`inbound`, `read`, `read_available`, ...) belongs to one thread, or to the holder of its owner's
+    lock. Any thread may `enqueue`, which only copies to memory, and then `flush`, which writes what the
+    system takes at once; the rest is written by a thread that lives as long as that needs.
 
-    One thread reads. Anyone may `enqueue`, which only copies to memory, and then `flush`, which writes what
-    the system takes at once; what it does not take is written by a thread that lives as long as that needs.
+    `lock` guards `outbound`, `bytes_queued`, `close_reason`, `shutdown_reason` and `is_flushing`; only the
+    thread that has set `is_flushing` changes `bytes_maybe_written` and `bytes_written`. The counts and
+    reasons may be read without the lock. `sock` is closed by the owner of the stream, by `close`.
     """
 
     __slots__ = (
@@ -32,56 +40,66 @@
         "lock",
         "inbound",
         "outbound",
+        "on_drained",
         "is_flushing",
         "close_reason",
+        "shutdown_reason",
         "bytes_queued",
         "bytes_maybe_written",
         "bytes_written",
-        "on_drained",
-        "shutdown_reason",
     )
 
-    def __init__(self, sock: socket.socket, limit: int, on_drained: Callable[[], None] | None = None):
-        self.sock, self.lock, self.on_drained = sock, Lock(), on_drained
-        self.inbound, self.outbound = RingBuffer(limit), RingBuffer(limit)
-        self.is_flushing, self.close_reason, self.shutdown_reason = False, None, None
-        self.bytes_queued = self.bytes_maybe_written = self.bytes_written = (
-            0  # bytes put, perhaps written, surely written
-        )
+    def __init__(
+        self, sock: socket.socket, buffer_bytes: int, on_drained: Callable[[], object] | None = None
+    ) -> None:
+        """`on_drained` is called without the lock by a flush that has written all that was queued."""
+        self.sock = sock
+        self.lock = Lock()
+        self.inbound = RingBuffer(buffer_bytes)
+        self.outbound = RingBuffer(buffer_bytes)
+        self.on_drained = on_drained
+        self.is_flushing = False  # a thread writes, also what is queued meanwhile
+        self.close_reason: CloseReason | None = None  # set by the first `abort`
+        self.shutdown_reason: CloseReason | None = None  # set by the first `shutdown_gracefully`
+        self.bytes_queued = 0
+        self.bytes_maybe_written = 0  # the system may have taken them
+        self.bytes_written = 0  # the system has taken them
+
+    # Reading
 
     def read(self, flags: int = 0, wanted: int = 0) -> bool:
-        """Wait for bytes, into `inbound`; False at the end. Raises OSError where the connection broke."""
-        with self.inbound.writable_view(wanted) as space:
-            length = self.sock.recv_into(space, 0, flags)
+        """Wait for bytes and read them to `inbound`; False at the end. Raises OSError where it broke."""
+        with self.inbound.writable_view(wanted) as view:
+            length = self.sock.recv_into(view, 0, flags)
         self.inbound.commit_write(length)
         return length > 0
 
-    def wait_for_bytes(self, wanted: int = 1) -> bool:
-        """Wait until so many bytes are there to read, or a fair part of many, and leave them where they are.
+    def read_available(self, wanted: int) -> bool:
+        """Read to `inbound` what has come, at most `wanted` bytes where that is little; False at the end.
 
-        False at the end.
+        Raises BlockingIOError where nothing has come, OSError where the connection broke.
         """
-        wanted = max(1, min(wanted, len(PEEK_BUFFER)))
-        return (
-            self.sock.recv_into(PEEK_BUFFER, wanted, socket.MSG_PEEK | socket.MSG_TRUNC | socket.MSG_WAITALL)
-            > 0
-        )
-
-    def read_available(self, wanted: int) -> bool:
-        """Read what has come, of so many bytes; raises BlockingIOError where that is nothing."""
         return self.read(socket.MSG_DONTWAIT, wanted)
 
-    def read_available_into(self, room: memoryview) -> int:
-        """The same, not into the ring but where it belongs; how many bytes."""
-        return self.sock.recv_into(room, 0, socket.MSG_DONTWAIT)
+    def read_available_into(self, view: memoryview) -> int:
+        """Read to a view what has come; returns how many bytes. Raises like `read_available`."""
+        return self.sock.recv_into(view, 0, socket.MSG_DONTWAIT)
+
+    def wait_for_bytes(self, wanted: int = 1) -> bool:
+        """Wait until `wanted` bytes, or a fair part of many, have come, and leave them with the system.
+
+        False at the end.
+        """
+        length = max(1, min(wanted, len(PEEK_BUFFER)))
+        return self.sock.recv_into(PEEK_BUFFER, length, WAIT_AND_COUNT) > 0
 
     def is_quiet(self) -> bool:
-        """Whether nothing has come that is not yet taken, not even an end.
+        """Whether all that came is consumed and the connection stands.
 
-        Only for one read by `read_available`.
+        Only for streams that are read by `read_available`.
         """
         try:
-            self.sock.recv(1, socket.MSG_PEEK | socket.MSG_DONTWAIT)
+            self.sock.recv(1, PEEK_NOW)
         except BlockingIOError:
             return not len(self.inbound)
         except OSError:
@@ -89,52 +107,51 @@
         return False
 
     def has_unread_bytes(self) -> bool:
-        """Whether bytes have come that nobody has read yet."""
+        """Whether the system holds bytes that have not been read."""
         try:
-            return len(self.sock.recv(1, socket.MSG_PEEK | socket.MSG_DONTWAIT)) > 0
+            return len(self.sock.recv(1, PEEK_NOW)) > 0
         except OSError:
             return False
 
     def is_closed_by_peer(self) -> bool:
-        """Whether the other side ended or the connection broke, where all that came before is read."""
+        """Whether the peer closed the connection, or it broke, and all that came before is read."""
         try:
-            return not self.sock.recv(1, socket.MSG_PEEK | socket.MSG_DONTWAIT)
+            return not self.sock.recv(1, PEEK_NOW)
         except BlockingIOError:
             return False
         except OSError:
             return True
 
-    def oldest_unread_age(self, at_most: float) -> float:
-        """Seconds for which what nobody has read yet has been there, by the system's word.
+    def oldest_unread_age(self, max_age: float) -> float:
+        """Seconds since the last bytes came, where some of them are unread; else 0.
 
-        0 where nothing has come. `at_most` where the system does not tell.
+        At most `max_age`, which is also returned where the system does not tell.
         """
         if not len(self.inbound) and not self.has_unread_bytes():
             return 0.0
         try:
-            told = self.sock.getsockopt(socket.IPPROTO_TCP, socket.TCP_INFO, TCP_INFO_LAST_RECEIVE_OFFSET + 4)
+            info = self.sock.getsockopt(socket.IPPROTO_TCP, socket.TCP_INFO, TCP_INFO_LAST_RECEIVE_END)
         except OSError:
-            return at_most
-        if len(told) < TCP_INFO_LAST_RECEIVE_OFFSET + 4:
-            return at_most
-        return min(
-            at_most,
-            int.from_bytes(
-                told[TCP_INFO_LAST_RECEIVE_OFFSET : TCP_INFO_LAST_RECEIVE_OFFSET + 4], sys.byteorder
-            )
-            / 1000,
+            return max_age
+        if len(info) < TCP_INFO_LAST_RECEIVE_END:
+            return max_age
+        milliseconds = int.from_bytes(
+            info[TCP_INFO_LAST_RECEIVE_OFFSET:TCP_INFO_LAST_RECEIVE_END], sys.byteorder
         )
+        return min(max_age, milliseconds / 1000)
+
+    # Writing
 
     def enqueue(self, data: bytes) -> bool:
-        """Have it written after all before it; False where it does not fit."""
+        """Queue bytes to be written by `flush`; False, and nothing queued, where they do not fit."""
         with self.lock:
             if not self.outbound.append(data):
                 return False
             self.bytes_queued += len(data)
             return True
 
-    def enqueue_part(self, data) -> int:
-        """Have as much of it written as fits, after all before it; how many bytes that is."""
+    def enqueue_part(self, data: bytes | bytearray | memoryview) -> int:
+        """Queue as many of the bytes as fit; returns how many."""
         with self.lock:
             length = min(len(data), self.outbound.max_size - self.outbound.size)
             self.outbound.append(data if length == len(data) else data[:length])
@@ -142,70 +159,90 @@
             return length
 
     def may_be_fully_written(self) -> bool:
-        """Whether the last byte put may have been written; False is certain."""
+        """Whether the last byte queued may have been written; False is certain."""
         return self.bytes_maybe_written >= self.bytes_queued
 
     def flush(self) -> None:
-        """Write what the system takes at once."""
+        """Write what the system takes at once, and have the rest written by a thread."""
         with self.lock:
             if self.is_flushing:
-                return  # who is at it goes on with what is new, and tells when all is drained
+                return  # the thread at it also writes what is new
             self.is_flushing = True
-        self._write(socket.MSG_DONTWAIT)
+        self._write_queued(socket.MSG_DONTWAIT)
 
-    def _write(self, flags: int) -> None:
-        told = self.on_drained is None  # whether who fills the ring knows that it is empty
+    def _write_queued(self, flags: int) -> None:
+        """Write until nothing is queued and `on_drained` has been called. `is_flushing` is set."""
+        is_owner_notified = self.on_drained is None
         while True:
             with self.lock:
-                if self.close_reason or told and not self.outbound.size:
-                    self.is_flushing = False
-                    if self.shutdown_reason and not self.close_reason:
-                        self._shut(socket.SHUT_WR)
+                has_queued_bytes = self.outbound.size > 0
+                if self.close_reason or (is_owner_notified and not has_queued_bytes):
+                    self._stop_flushing_locked()
                     return
-                if self.outbound.size:
-                    chunk, told = self.outbound.readable_view(), self.on_drained is None
+                if has_queued_bytes:
+                    chunk = self.outbound.readable_view()
+                    is_owner_notified = self.on_drained is None
                     self.bytes_maybe_written = self.bytes_written + len(chunk)
-                else:
-                    chunk, told = None, True
-            if chunk is None:  # more may come of it, which is written here, too
-                drained = self.on_drained  # which ends with its owner
-                if drained:
-                    drained()
+            if has_queued_bytes:
+                if not self._send(chunk, flags):
+                    return
                 continue
-            try:
-                with chunk:
-                    length = self.sock.send(chunk, flags)
-            except BlockingIOError:
-                self.bytes_maybe_written = self.bytes_written
-                if not flags:  # the time limit of a blocking write is over
-                    return self.abort(CloseReason.SLOW_READER)
-                if not start_thread("writer", self._write, 0):
-                    self.abort(CloseReason.NO_THREAD)
-                return
-            except OSError:
-                self.bytes_maybe_written = self.bytes_written
-                return self.abort(CloseReason.RESET)
-            with self.lock:
-                self.outbound.consume(length)
-                self.bytes_written = self.bytes_maybe_written = self.bytes_written + length
+            is_owner_notified = True
+            on_drained = self.on_drained  # may be taken away by the owner's thread meanwhile
+            if on_drained:
+                on_drained()  # may queue more, which is written here, too
+
+    def _stop_flushing_locked(self) -> None:
+        """Nothing more is to be written for now. Called under the lock."""
+        self.is_flushing = False
+        if self.shutdown_reason and not self.close_reason:
+            self._shutdown_socket(socket.SHUT_WR)
+
+    def _send(self, chunk: memoryview, flags: int) -> bool:
+        """Write the oldest queued bytes; False where this thread is to write no more."""
+        try:
+            with chunk:
+                length = self.sock.send(chunk, flags)
+        except BlockingIOError:
+            self.bytes_maybe_written = self.bytes_written
+            self._on_write_blocked(flags)
+            return False
+        except OSError:
+            self.bytes_maybe_written = self.bytes_written
+            self.abort(CloseReason.RESET)
+            return False
+        with self.lock:
+            self.outbound.consume(length)
+            self.bytes_written += length
+            self.bytes_maybe_written = self.bytes_written
+        return True
+
+    def _on_write_blocked(self, flags: int) -> None:
+        """The system took nothing: go on in a thread that waits, or give up where this one has waited."""
+        if not flags:  # the socket's write timeout has passed
+            self.abort(CloseReason.SLOW_READER)
+        elif not start_thread("writer", self._write_queued, 0):
+            self.abort(CloseReason.NO_THREAD)
+
+    # Closing
 
     def abort(self, reason: CloseReason) -> None:
-        """Break the connection; nothing more is written. The first reason given is kept."""
+        """Shut the connection down at once, queued bytes are dropped. The first reason given is kept."""
         with self.lock:
             self.close_reason = self.close_reason or reason
-        self._shut(socket.SHUT_RDWR)
+        self._shutdown_socket(socket.SHUT_RDWR)
 
     def shutdown_gracefully(self, reason: CloseReason) -> None:
-        """End the sending after what was put; what still comes in is to be read until the other side ends."""
+        """Shut the sending down once all that is queued is written; reading goes on until the peer closes."""
         with self.lock:
             self.shutdown_reason = self.shutdown_reason or reason
             if not self.is_flushing and not self.outbound.size:
-                self._shut(socket.SHUT_WR)
+                self._shutdown_socket(socket.SHUT_WR)
 
-    def _shut(self, how: int) -> None:
+    def _shutdown_socket(self, how: int) -> None:
         with contextlib.suppress(OSError):
             self.sock.shutdown(how)
 
     def close(self) -> None:
-        """Give the descriptor back."""
+        """Give the descriptor back. Called by the owner, once no thread reads."""
         self.sock.close()
--- a/brookhub/transport/threads.py
+++ b/brookhub/transport/threads.py
@@ -1,27 +1,29 @@
-"""Threads with small stacks."""
+"""Threads with small stacks, started without waiting for them."""
 
 from __future__ import annotations
 
 import _thread
 import threading
-from typing import Callable
+from typing import Callable, TypeVarTuple
 
-STACK_BYTES = 256 * 1024  # bytes of address space for a thread's stack; only what is touched takes memory
+Arguments = TypeVarTuple("Arguments")
+STACK_BYTES = 256 * 1024  # address space of a thread's stack; only what is touched takes memory
 
 
 def use_small_stacks() -> None:
-    """To be called before the first thread is started."""
+    """Give all threads that are started from now on small stacks. Called before the first one."""
     threading.stack_size(STACK_BYTES)
 
 
-def start_thread(name: str, work: Callable[..., None], *args) -> bool:
-    """Start a thread that ends with the program; False where the system has none left to give.
+def start_thread(name: str, work: Callable[[*Arguments], object], *arguments: *Arguments) -> bool:
+    """Start a thread that ends with the program; False where the system can't start one.
 
-    It is not waited for until it runs, as `threading.Thread` would: two switches that each connection would
-    pay.
+    The caller does not wait until it runs, as with `threading.Thread`: that would cost each connection two
+    thread switches. `name` says at the call what the thread is for.
     """
+    del name  # a raw thread has none
     try:
-        _thread.start_new_thread(work, args)
+        _thread.start_new_thread(work, arguments)
     except RuntimeError:
         return False
     return True
