--- a/brookhub/routing/counter.py
+++ b/brookhub/routing/counter.py
@@ -18,8 +18,6 @@
 from .port import SocketGatewayPort
 
 Address = tuple[str, int]
-Reply = bytes | bytearray | int | list[object] | None
-"""A value as `resp.RespReader` reads it."""
 
 
 class CounterCall:
@@ -68,7 +66,7 @@
 
         def on_readable(now: float) -> None:
             nonlocal answers
-            replies: list[Reply] = []
+            replies: list[resp.RespValue] = []
             try:
                 replies.extend(reader.feed(stream.inbound))
             finally:  # what came before malformed bytes is valid
@@ -126,7 +124,7 @@
         self.port.defer(stream.flush)
         return True
 
-    def on_replies(self, stream: Stream, replies: list[Reply]) -> None:
+    def on_replies(self, stream: Stream, replies: list[resp.RespValue]) -> None:
         """Answers came, in the order of the calls."""
         self.last_received_at = self.port.now
         for reply in replies:
@@ -147,7 +145,7 @@
         elif now - max(self.last_received_at, self.pending[0].started_at) > self.client.read_timeout:
             self._close(stream, CloseReason.READ_TIMEOUT)
 
-    def _on_reply(self, stream: Stream, call: CounterCall, reply: Reply) -> None:
+    def _on_reply(self, stream: Stream, call: CounterCall, reply: resp.RespValue) -> None:
         """Finish a call with its answer."""
         if isinstance(reply, resp.SimpleString):
             if call.callback:  # the answer to a heartbeat, but the call was none
