--- a/benchmarks/rolling_upgrade.py
+++ b/benchmarks/rolling_upgrade.py
@@ -76,7 +76,7 @@
 
     serving: tuple[str, ...] = ("serving",)  # the first line of a life
     fleet: tuple[str, ...] = ("fleet",)
-    ejected_servers: tuple[str, ...] = ("servers left alone",)
+    ejected_servers: tuple[str, ...] = ("servers left alone", "upstreams ejected")
     counter_known: tuple[str, ...] = ("counter known",)
     counter_changed: tuple[str, ...] = ("counter changed",)
     counter_sure: tuple[str, ...] = ("counter sure",)
@@ -86,7 +86,7 @@
     leads_plan: tuple[str, ...] = ("steward",)
     safe_to_work: tuple[str, ...] = ("safe to work on ",)  # followed by the machine's name
     machine_done: tuple[str, ...] = ("done with ",)  # followed by the machine's name
-    fault: tuple[str, ...] = ("fault",)
+    fault: tuple[str, ...] = ("fault", "internal error")
 
 
 LOG_EVENTS = LogEvents()
