--- a/benchmarks/rolling_upgrade.py
+++ b/benchmarks/rolling_upgrade.py
@@ -38,7 +38,7 @@
 from brookhub.experiments.limiter_process import Limiter
 from brookhub.experiments.maintenance import Workers
 from brookhub.experiments.processes import Outcome, ProcessLab
-from brookhub.protocol import hosts
+from brookhub.protocol import server_list
 
 ROOT = Path(__file__).resolve().parent.parent
 LIMITERS, SERVERS = 12, 30  # so many that a limiter's subset is not all servers
@@ -220,10 +220,13 @@
         names = [f"n{number}" for number in range(LIMITERS)]
         parts = Parts(xxh3_64_intdigest("lab"), f"n{limiter.index}", names, lambda: names)
         parts.listed(
-            {hosts.ident(f"s-{ident}"): (one.model.zone, 1.0) for ident, one in self.lab.servers.items()}
+            {
+                server_list.server_id(f"s-{ident}"): (one.model.zone, 1.0)
+                for ident, one in self.lab.servers.items()
+            }
         )
         own = set((parts.order() or [])[: parts.least()])
-        return {ident for ident in self.lab.servers if hosts.ident(f"s-{ident}") in own}
+        return {ident for ident in self.lab.servers if server_list.server_id(f"s-{ident}") in own}
 
     def subsets(self) -> None:
         """Each limiter sends only to its own subset, the same as the other version gives it.
@@ -280,7 +283,7 @@
         self.load_goes_to((version,))
         sleep(STEADY_S)
         server = self.most_used_server()
-        ident = hosts.ident(f"s-{server}")
+        ident = server_list.server_id(f"s-{server}")
 
         def ejected_before(limiter: Limiter) -> bool:
             lines = lines_of(limiter, LOG_EVENTS.ejected_servers)
