--- a/brookhub/commands/maintenance.py
+++ b/brookhub/commands/maintenance.py
@@ -36,7 +36,7 @@
     plan = plan_of(path)
     click.echo(
         f"{path}: a good plan, version {plan.version}, digest {plan.digest()}, {len(plan.machines)} "
-        f"machines, {plan.most_out} out at once, a majority of {len(plan.voters)} voters permits"
+        f"machines, {plan.max_out} out at once, a majority of {len(plan.voters)} voters permits"
     )
 
 
@@ -51,20 +51,20 @@
 )
 def show_order(path: str, work: float) -> None:
     """The order in which a plan takes its machines out, without failures, and the least time for it."""
-    from ..maintenance import order
+    from ..maintenance import maintenance_order
 
     plan = plan_of(path)
-    for number, one in enumerate(order(plan, {}, frozenset()), 1):
+    for number, one in enumerate(maintenance_order(plan, {}, frozenset()), 1):
         on = ", ".join([*one.servers, *([f"limiter {one.limiter}"] if one.limiter else [])])
         click.echo(f"{number:3} {one.name}  zone {one.zone or '-'}  capacity {one.capacity:g}  {on}")
-    rounds = -(-len(plan.machines) // plan.most_out)
-    click.echo(f"at least {rounds * (work + plan.fill_s):.0f} s with {work:.0f} s of work on each")
+    rounds = -(-len(plan.machines) // plan.max_out)
+    click.echo(f"at least {rounds * (work + plan.warm_up_s):.0f} s with {work:.0f} s of work on each")
 
 
 @maintenance.command()
 @click.argument("logs", type=click.Path(dir_okay=False, exists=True), nargs=-1, required=True)
 def status(logs: tuple[str, ...]) -> None:
-    """How far a plan is, from limiters' logs (JSON lines): machines, steward, why it is halted."""
+    """How far a plan is, from limiters' logs (JSON lines): machines, leader, why it is halted."""
     from ..experiments.maintenance import read_status
 
     click.echo(read_status([Path(one) for one in logs]))
@@ -127,20 +127,28 @@
     planted: str,
 ) -> None:
     """Check the maintenance core over its states, faults at every step; exit 1 with the trail of a break."""
-    from ..model_checker import PLANTED, Model, Register, search
-
-    register = PLANTED.get(planted, Register)
-    model = Model(voters, most, machines=1 + most, joins=joins, rounds=not messages, register=register)
-    found = search(model, deviations, depth, seconds=seconds, states=STATES_MOST)
+    from ..model_checker import PLANTED, Model, ModelSettings, SearchLimits, search, sound_roles
+
+    settings = ModelSettings(
+        voters,
+        most,
+        machines=1 + most,
+        last_voter_joins=joins,
+        rounds=not messages,
+        roles=PLANTED.get(planted, sound_roles),
+    )
+    model = Model(settings)
+    found = search(model, SearchLimits(deviations, depth, states=STATES_MOST, seconds=seconds))
     click.echo(
         f"{found.states} states, {found.deviations} deviations, depth {found.depth}, {found.seconds:.0f} s, "
         f"{'all within the bounds' if found.complete else 'cut off by the time'}"
     )
-    if found.broken:
-        click.echo(f"broken: {found.broken}")
+    if found.violation is not None:
+        click.echo(f"broken: {found.violation}")
         for number, action in enumerate(found.trail):
-            click.echo(f"{number:4} {' '.join(map(str, action))}")
+            click.echo(f"{number:4} {action}")
         sys.exit(BROKEN)
-    held = [model.ends(state) for state in found.ends[:ENDS_LOOKED_AT]]
-    click.echo(f"from {held.count('')} of {len(held)} states, faults over, the plan came to its end")
-    sys.exit(0 if held.count("") == len(held) else BROKEN)
+    obstacles = [model.obstacle_to_end(state) for state in found.samples[:ENDS_LOOKED_AT]]
+    ended = obstacles.count(None)
+    click.echo(f"from {ended} of {len(obstacles)} states, faults over, the plan came to its end")
+    sys.exit(0 if ended == len(obstacles) else BROKEN)
--- a/brookhub/emulator/site.py
+++ b/brookhub/emulator/site.py
@@ -12,7 +12,7 @@
 
 from random import Random
 
-from ..maintenance import Machine, Maintenance, Plan, Settings
+from ..maintenance import Machine, Maintenance, Message, Plan, Settings, TrafficSample
 from ..model import State
 from .engine import Engine
 from .world import ServerModel
@@ -67,36 +67,36 @@
         """Seconds on its own clock, which drifts."""
         return self.site.engine.now * self.rate
 
-    def present(self) -> list[str]:
+    def present_peers(self) -> list[str]:
         """Whom membership holds for there."""
         return self.site.seen_by(self.name)
 
-    def listed(self) -> list[str]:
+    def listed_peers(self) -> list[str]:
         """All others of the fleet."""
         return [name for name in self.site.seats if name != self.name]
 
-    def send(self, peer: str, message) -> None:
+    def send(self, peer: str, message: Message) -> None:
         """Send a message to a peer."""
         self.site.send(self.name, peer, message)
 
-    def up(self, machine: Machine) -> bool:
+    def machine_is_up(self, machine: Machine) -> bool:
         """Whether the list has a machine's servers."""
         return self.site.listed_up[machine.name]
 
-    def hold(self, machines: tuple[str, ...]) -> None:
+    def withhold_traffic(self, machines: tuple[str, ...]) -> None:
         """Keep off these machines."""
         self.held = machines
         self.site.held(self.name, machines)
 
-    def quiet(self, machine: Machine) -> bool:
+    def machine_is_idle(self, machine: Machine) -> bool:
         """Whether nothing of this one is out there."""
         return self.site.quiet(self.name, machine)
 
-    def lately(self) -> tuple[float, float, float]:
+    def recent_traffic(self) -> TrafficSample:
         """Nothing is judged by answers here."""
-        return (0.0, 0.0, 0.0)
+        return TrafficSample(0.0, 0.0, 0.0)
 
-    def load(self) -> dict[str, float]:
+    def zone_load(self) -> dict[str, float]:
         """No load to go by."""
         return {}
 
@@ -128,7 +128,7 @@
         self.plan, self.how, self.work_s, self.fleet = plan, how, work_s, fleet
         self.engine = fleet.engine if fleet else Engine()
         self.rng = Random(f"site/{seed}")
-        self.settings = Settings(lease=lease, ends_in=3.0, offer=0.5)
+        self.settings = Settings(lease_s=lease, request_timeout_s=3.0, announce_interval_s=0.5)
         # gone: limiter -> s since when; side: one side of a split
         self.loss, self.side, self.gone = (
             0.0,
@@ -146,7 +146,9 @@
         for seat in self.seats.values():
             seat.begin()
         if how == "agreed":
-            self.engine.at(begins, lambda: self.seats[self.rng.choice(list(self.seats))].core.give(plan))
+            self.engine.at(
+                begins, lambda: self.seats[self.rng.choice(list(self.seats))].core.submit_plan(plan)
+            )
         elif how == "timetable":
             self.engine.at(begins, lambda: self.timetable(0))
         else:
@@ -315,7 +317,7 @@
     def heard(self, name: str, event: str, facts: dict) -> None:
         """A limiter tells an event."""
         self.log.append((self.engine.now, name, event, facts))
-        if event.startswith("safe to work on "):
+        if event == "machine safe to work on":
             self.begin(facts["machine"])
 
     def begin(self, machine: str, most: bool = True) -> None:
@@ -342,16 +344,16 @@
         self.done.add(machine)
         self.set_up(machine, True)
         if len(self.done) == len(self.plan.machines) and self.ended is None and self.how != "agreed":
-            self.ended = self.engine.now + self.plan.fill_s
+            self.ended = self.engine.now + self.plan.warm_up_s
 
     def count(self) -> None:
         """Rule of the plan, over the sum, each time one more may be worked on."""
         away = [self.plan.machine(name) for name in self.out]
         self.most = max(self.most, len(away))
-        if len(away) > self.plan.most_out:
+        if len(away) > self.plan.max_out:
             self.breaks.append(f"{self.engine.now:.1f} s: {len(away)} out: {sorted(self.out)}")
         for one in away:
-            if sum(other.zone == one.zone for other in away) > self.plan.most_zone:
+            if sum(other.zone == one.zone for other in away) > self.plan.max_out_per_zone:
                 self.breaks.append(f"{self.engine.now:.1f} s: zone {one.zone}: {sorted(self.out)}")
 
     # the fleet's side
@@ -379,12 +381,12 @@
 
     def timetable(self, number: int) -> None:
         """K machines at a time, at fixed times: as long as work and filling take at most, and a tenth."""
-        for one in self.plan.machines[number : number + self.plan.most_out]:
+        for one in self.plan.machines[number : number + self.plan.max_out]:
             self.begin(one.name)
-        number += self.plan.most_out
+        number += self.plan.max_out
         if number < len(self.plan.machines):
             self.engine.after(
-                1.1 * (GRACE + 1.25 * self.work_s + self.plan.start_within_s + self.plan.fill_s),
+                1.1 * (GRACE + 1.25 * self.work_s + self.plan.start_within_s + self.plan.warm_up_s),
                 lambda: self.timetable(number),
             )
 
@@ -393,7 +395,7 @@
         seat = self.seats[name]
         seen = sum(not up for up in self.listed_up.values())
         left = [one for one in self.plan.machines if one.name not in self.done and one.name not in self.out]
-        if seat.alive and self.engine.now >= seat.wakes and seen < self.plan.most_out and left:
+        if seat.alive and self.engine.now >= seat.wakes and seen < self.plan.max_out and left:
             self.begin(left[0].name)
         if left:
             self.engine.after(TICK * (0.5 + self.rng.random()), lambda: self.alone(name))
@@ -414,12 +416,14 @@
         acting = [
             name
             for name in self.plan.voters
-            if (seat := self.seats[name]).alive and seat.core.register and seat.core.register.acts(seat.now())
+            if (seat := self.seats[name]).alive
+            and seat.core.register
+            and seat.core.register.proposer.may_act(seat.now())
         ]
         if len(acting) > 1:
             self.breaks.append(f"{self.engine.now:.1f} s: the permit in two hands: {acting}")
         if not self.out and any(
-            seat.alive and seat.core.register and seat.core.finished(seat.core.register.table)
+            seat.alive and seat.core.register and seat.core.is_finished(seat.core.register.value)
             for seat in map(self.seats.get, self.plan.voters)
         ):
             self.ended = self.engine.now
--- a/brookhub/experiments/maintenance.py
+++ b/brookhub/experiments/maintenance.py
@@ -21,11 +21,19 @@
 from .jobs import keyed, play_all
 from .together import base
 
-STEPS = {"permitted": "leaving", "back": "filling", "brought back": "waits", "withdrawn": "waits"}
+# What `brookhub maintenance status` prints for the last event of a machine
+EVENT_STEPS = {
+    "machine drain started": "leaving",
+    "machine safe to work on": "safe to work on",
+    "machine back in service": "filling",
+    "machine work completed": "done",
+    "machine drain cancelled": "waits",
+    "machine release expired": "waits",
+}
 
 
 def read_status(paths: list[Path]) -> str:
-    """One line for each machine that the logs speak of, then the steward and why it is halted.
+    """One line for each machine that the logs speak of, then the leader and why the plan is halted.
 
     Lines by their time stamps.
     """
@@ -38,32 +46,24 @@
                     lines.append(line)
     lines.sort(key=lambda line: line.get("timestamp", ""))
     machines: dict[str, tuple[str, str]] = {}
-    steward = halted = plan = ""
+    leader = halted = plan = ""
     refused = []
     for line in lines:
         event, machine, at = line.get("event", ""), line.get("machine", ""), line.get("timestamp", "")
-        if event == "steward":
-            steward = line.get("steward", "")
-        elif event == "plan taken":
+        if event == "leadership acquired":
+            leader = line.get("leader", "")
+        elif event == "plan adopted":
             plan = f"version {line.get('version')}, digest {line.get('digest')}"
-        elif event == "plan refused":
+        elif event == "plan rejected":
             refused.append(
-                f"version {line.get('version')}, digest {line.get('digest')} (held: {line.get('held')})"
+                f"version {line.get('version')}, digest {line.get('digest')} (held: {line.get('current_digest')})"
             )
-        elif event in ("plan halted", "plan goes on"):
-            halted = line.get("why", "") if event == "plan halted" else ""
-        elif machine:
-            step = (
-                "safe to work on"
-                if event.startswith("safe to")
-                else "done"
-                if event.startswith("done")
-                else STEPS.get(event)
-            )
-            if step:
-                machines[machine] = (step, at)
+        elif event in ("plan halted", "plan resumed"):
+            halted = line.get("reason", "") if event == "plan halted" else ""
+        elif machine and event in EVENT_STEPS:
+            machines[machine] = (EVENT_STEPS[event], at)
     told = [f"{name}  {step}  since {at}" for name, (step, at) in machines.items()]
-    told += [f"plan: {plan or 'none taken'}", f"steward: {steward or 'none seen'}"]
+    told += [f"plan: {plan or 'none taken'}", f"steward: {leader or 'none seen'}"]
     told += [f"halted: {halted}"] if halted else []
     told += [f"refused: {one}" for one in dict.fromkeys(refused)]
     return "\n".join(told)
@@ -100,10 +100,10 @@
     def heard(self, limiter, line: dict) -> None:
         """A limiter logged a line."""
         event, machine = line.get("event", ""), line.get("machine", "")
-        hook: Callable | None = self.hooks.get(event.split(" ")[0])
+        hook: Callable | None = self.hooks.get(event)
         if hook:
             hook(limiter, line)
-        if event.startswith("safe to work on ") and not any(
+        if event == "machine safe to work on" and not any(
             one[0] == machine and not one[2] for one in self.outs
         ):
             self.outs.append([machine, monotonic(), 0.0])
@@ -169,10 +169,10 @@
         1,
         made,
         tuple(f"n{n}" for n in range(VOTERS)),
-        most_out=most,
-        most_zone=max(1, most - 1),
-        capacity_least=0.5,
-        **{"start_within_s": START, "fill_s": FILL, "pause_s": 0.0, **more},
+        max_out=most,
+        max_out_per_zone=max(1, most - 1),
+        min_capacity_share=0.5,
+        **{"start_within_s": START, "warm_up_s": FILL, "pause_s": 0.0, **more},
     )
 
 
@@ -228,7 +228,7 @@
     raw["duration_s"], raw["load"]["scale"] = 90.0, 1.0
     fleet = Fleet(Experiment.model_validate(raw), seed=job["seed"], keep_trail=False)
     if job["how"] != "none":
-        one = plan(job["most"], machines=8, servers=3, start_within_s=4.0, fill_s=5.0)
+        one = plan(job["most"], machines=8, servers=3, start_within_s=4.0, warm_up_s=5.0)
         site = Site(one, 40, job["seed"], job["how"], 6.0, fleet=fleet)
         site.faults(job["rate"], 60.0)
     metrics = fleet.run().metrics()
--- a/brookhub/experiments/plans.py
+++ b/brookhub/experiments/plans.py
@@ -21,10 +21,10 @@
 LONGEST = 110.0  # s until a plan counts as one that does not end
 MACHINES = {f"m{n}": [2 * n, 2 * n + 1] for n in range(4)}
 STEPS = {
-    "killed, permitted": "permitted",
-    "killed, open": "safe",
-    "killed, back": "back",
-    "killed, done": "done",
+    "killed, permitted": "machine drain started",
+    "killed, open": "machine safe to work on",
+    "killed, back": "machine back in service",
+    "killed, done": "machine work completed",
 }
 SCENARIOS = ("quiet", *STEPS, "stopped past its lease", "cut one way", "restart of all", "split", "two plans")
 
@@ -132,7 +132,7 @@
 
     for one in lab.limiters:
         lab.plan_path(one).write_text(plan(most))
-    workers.hooks[STEPS.get(scenario, "safe")] = fault
+    workers.hooks[STEPS.get(scenario, "machine safe to work on")] = fault
     if scenario in ("split", "two plans"):
         lab.limiters[0].hit(signal.SIGHUP)
         if scenario == "two plans":
@@ -149,17 +149,17 @@
         ]
 
     while monotonic() - began < LONGEST - 15.0:
-        if {line["machine"] for line in lines("done with")} == set(MACHINES):
+        if {line["machine"] for line in lines("machine work completed")} == set(MACHINES):
             break
         sleep(0.2)
     took = monotonic() - began
     workers.stop()
     return {
-        "ended": {line["machine"] for line in lines("done with")} == set(MACHINES),
+        "ended": {line["machine"] for line in lines("machine work completed")} == set(MACHINES),
         "took_s": round(took, 1),
         "most_out": workers.most_out(),
         "kept": workers.most_out() <= most,
-        "stewards": len(lines("steward")) - len(lines("steward no")),
-        "refused": len(lines("plan refused")),
+        "stewards": len(lines("leadership acquired")),
+        "refused": len(lines("plan rejected")),
         "faults": len(lines("fault")),
     }
--- a/brookhub/maintenance/__init__.py
+++ b/brookhub/maintenance/__init__.py
@@ -1,30 +1,45 @@
-"""Taking machines out for work in an order that the limiters settle among themselves, without I/O.
+"""Taking machines out for work in an order that the limiters agree on, without I/O (docs/maintenance.md).
 
-Design: docs/maintenance.md.
-
-`Maintenance(port, me, ...)` is told what arrives and what time it is, and acts through a
-MaintenancePort. Times in s.
+`Maintenance(port, name, ...)` is called with the messages that arrive and as time passes, and acts through a
+MaintenancePort. Times in seconds.
 """
 
-from .core import Maintenance, MaintenancePort, Settings
-from .messages import FILLING, LEAVING, OPEN, TOPIC, Report, Table, UnreadableError, pack, unpack
-from .plan import Machine, Plan, fits, order
+from .core import Maintenance
+from .errors import PlanRejectedError
+from .messages import (
+    TOPIC,
+    Message,
+    Phase,
+    PlanProgress,
+    Report,
+    TrafficSample,
+    UnreadableError,
+    pack,
+    unpack,
+)
+from .ordering import maintenance_order, may_go_out
+from .plan import Machine, Plan
+from .ports import MaintenancePort
+from .register import RegisterRoles
+from .settings import Settings
 
 __all__ = [
-    "FILLING",
-    "LEAVING",
     "Machine",
     "Maintenance",
     "MaintenancePort",
-    "OPEN",
+    "Message",
+    "Phase",
     "Plan",
+    "PlanProgress",
+    "PlanRejectedError",
+    "RegisterRoles",
     "Report",
     "Settings",
     "TOPIC",
-    "Table",
+    "TrafficSample",
     "UnreadableError",
-    "fits",
-    "order",
+    "maintenance_order",
+    "may_go_out",
     "pack",
     "unpack",
 ]
--- a/brookhub/maintenance/messages.py
+++ b/brookhub/maintenance/messages.py
@@ -1,180 +1,259 @@
-"""What the limiters tell each other about a plan: msgspec structs as msgpack, tagged.
+"""Messages of the maintenance protocol: msgspec structs, encoded as tagged msgpack arrays.
 
-What does not fit raises UnreadableError.
+Two protocols share the encoding. The quorum protocol (Prepare to FetchReply, Relay, Commit, CommitAck) keeps
+one PlanProgress at a majority of the voters. The plan transfer (PlanAnnouncement, ChunkRequest, PlanChunk)
+copies the operator's plan to every limiter.
+
+Fields are sent by position, so their names are free to change; tags are part of the wire format and are not.
 """
 
 from __future__ import annotations
 
-from typing import Annotated, Union
+from enum import IntEnum
+from typing import Annotated, NamedTuple, Union
 
 import msgspec
 
-TOPIC = 2  # of maintenance among membership's words
-# A machine's steps: permitted, safe to work on, back and filled as a cold one
-LEAVING, OPEN, FILLING = 1, 2, 3
-NOTHING_SAID = (0, "", 0)
-PIECE = 900  # bytes of a plan in a message, below membership.WORD_MOST with its head
-MOST_PIECES = 64
+TOPIC = 2  # maintenance's topic number among the payloads that membership carries
+CHUNK_BYTES = 900  # of a plan in one message; with its head it stays below membership's largest payload
+MAX_CHUNKS = 64
 
 Name = Annotated[str, msgspec.Meta(max_length=32)]
 Count = Annotated[int, msgspec.Meta(ge=0, le=2**40)]
 Digest = Annotated[str, msgspec.Meta(max_length=16)]
-Ballot = tuple[Count, Name]
-Mark = tuple[Count, Name, Count]  # ballot and serial: the order of tables
+HaltReason = Annotated[str, msgspec.Meta(max_length=120)]
+ChunkIndex = Annotated[int, msgspec.Meta(ge=0, le=MAX_CHUNKS)]
+ChunkCount = Annotated[int, msgspec.Meta(ge=1, le=MAX_CHUNKS)]
+ChunkData = Annotated[bytes, msgspec.Meta(max_length=CHUNK_BYTES)]
 
 
 class UnreadableError(ValueError):
-    """A word that is no message of maintenance."""
+    """The bytes are not a maintenance message."""
+
+
+class Phase(IntEnum):
+    """Where a machine that is out stands. The values are part of the wire format."""
+
+    DRAINING = 1  # limiters stop sending to it; not yet safe to work on
+    RELEASED = 2  # safe to work on
+    WARMING_UP = 3  # back in service, its slot not free yet
+
+
+class Ballot(NamedTuple):
+    """A ballot of the quorum protocol, ordered by number and then by the proposer's name."""
+
+    number: Count
+    proposer: Name
+
+
+class Revision(NamedTuple):
+    """The version of a replicated value: the leader's ballot and the serial of its write. Totally ordered."""
+
+    number: Count
+    proposer: Name
+    serial: Count
+
+    @property
+    def ballot(self) -> Ballot:
+        """The ballot under which the value was written."""
+        return Ballot(self.number, self.proposer)
+
+
+NO_BALLOT = Ballot(0, "")
+NO_REVISION = Revision(0, "", 0)
 
 
-class Struct(msgspec.Struct, frozen=True, array_like=True, tag=True):
-    """A message, told from others by its tag."""
+class MachineOut(NamedTuple):
+    """A machine that is out and its phase."""
 
+    name: Name
+    phase: Phase
 
-class Table(msgspec.Struct, frozen=True, array_like=True):
-    """What a majority holds.
 
-    The plan by version and digest, machines out with their step, those done (bits by their place in the
-    plan), why it is halted ("" where it goes on), who votes.
+class ZoneLoad(NamedTuple):
+    """Attempts in flight to a zone's servers."""
+
+    zone: Name
+    load: float
+
+
+class PlanProgress(msgspec.Struct, frozen=True, array_like=True):
+    """The replicated value: how far the plan is.
+
+    `done` is a bit mask by the machines' position in the plan; `halted` is the reason for a halt, "" where
+    the plan runs; `voters` is empty until the first leader fills it in; `resume` is the plan's `resume` count
+    that was last acted on; `zone_load` was measured when the plan began and fixes the machines' order.
     """
 
     version: Count = 0
     digest: Digest = ""
-    outs: tuple[tuple[Name, Annotated[int, msgspec.Meta(ge=1, le=3)]], ...] = ()
+    machines_out: tuple[MachineOut, ...] = ()
     done: Annotated[int, msgspec.Meta(ge=0)] = 0
-    halted: Annotated[str, msgspec.Meta(max_length=120)] = ""
+    halted: HaltReason = ""
     voters: tuple[Name, ...] = ()
     resume: Count = 0
-    load: tuple[
-        tuple[Annotated[str, msgspec.Meta(max_length=32)], float], ...
-    ] = ()  # by zone, when the plan began
+    zone_load: tuple[ZoneLoad, ...] = ()
 
-    def step(self, name: str) -> int:
-        """The step at which a machine is; 0: not out."""
-        return dict(self.outs).get(name, 0)
+    def phase(self, machine: str) -> Phase | None:
+        """The phase of a machine, None where it is not out."""
+        return next((phase for name, phase in self.machines_out if name == machine), None)
 
+    def names_out(self) -> set[str]:
+        """The names of all machines that are out."""
+        return {name for name, _ in self.machines_out}
 
-class Report(msgspec.Struct, frozen=True, array_like=True):
-    """One limiter's part: machines at which nothing of its own is out any more.
 
-    Calls asked, served, s they took, lately.
-    """
+class TrafficSample(NamedTuple):
+    """Recent requests, those that were served, and the seconds that the served ones took in all."""
+
+    requests: float
+    served: float
+    served_seconds: float
+
 
-    quiet: tuple[Name, ...] = ()
-    asked: float = 0.0
+class Report(msgspec.Struct, frozen=True, array_like=True):
+    """What a limiter reports of itself: machines to which it has no attempt in flight, and recent traffic."""
+
+    idle_machines: tuple[Name, ...] = ()
+    requests: float = 0.0
     served: float = 0.0
-    took: float = 0.0
+    served_seconds: float = 0.0
+
+    def traffic(self) -> TrafficSample:
+        """The traffic part of the report."""
+        return TrafficSample(self.requests, self.served, self.served_seconds)
+
 
+class TaggedMessage(msgspec.Struct, frozen=True, array_like=True, tag=True):
+    """A message; its tag tells its type."""
 
-class Ask(Struct, frozen=True):
-    """May I lead?"""
+
+class Prepare(TaggedMessage, frozen=True, tag="Ask"):
+    """Candidate to voters: promise this ballot to me."""
 
     ballot: Ballot
 
 
-class Grant(Struct, frozen=True):
-    """For a lease's time, with the table that I hold."""
+class Promise(TaggedMessage, frozen=True, tag="Grant"):
+    """Voter to candidate: promised for a lease, with the value that the voter holds."""
 
     ballot: Ballot
-    mark: Mark
-    table: Table
+    revision: Revision
+    value: PlanProgress
 
 
-class Deny(Struct, frozen=True):
-    """Another leads, or leads by a later ballot."""
+class Reject(TaggedMessage, frozen=True, tag="Deny"):
+    """Voter to candidate or leader: `ballot` is rejected, as `promised` holds."""
 
     ballot: Ballot
     promised: Ballot
 
 
-class Write(Struct, frozen=True):
-    """Hold this table, and the lease anew."""
+class Accept(TaggedMessage, frozen=True, tag="Write"):
+    """Leader to voters: accept this value, and renew the lease."""
 
-    mark: Mark
-    table: Table
+    revision: Revision
+    value: PlanProgress
 
 
-class Wrote(Struct, frozen=True):
-    """A voter holds what was written."""
+class Accepted(TaggedMessage, frozen=True, tag="Wrote"):
+    """Voter to leader: the revision is accepted."""
 
-    mark: Mark
+    revision: Revision
     report: Report
 
 
-class Read(Struct, frozen=True):
-    """What do you hold? Asked by one that started with nothing."""
+class FetchRequest(TaggedMessage, frozen=True, tag="Read"):
+    """A voter that restarted without state asks the others for theirs. `number` identifies the round."""
 
     number: Count
 
 
-class State(Struct, frozen=True):
-    """What a voter holds, for one that remembers nothing."""
+class FetchReply(TaggedMessage, frozen=True, tag="State"):
+    """The answer to a FetchRequest; `lease_granted`: a lease that this voter granted is running."""
 
     number: Count
     abstains: bool
     promised: Ballot
-    mark: Mark
-    table: Table
-    leased: bool
+    revision: Revision
+    value: PlanProgress
+    lease_granted: bool
 
 
-class Pass(Struct, frozen=True):
-    """Between two of which one does not hear the other: a third hands it on."""
+class Relay(TaggedMessage, frozen=True, tag="Pass"):
+    """A fetch message that a third limiter forwards, where the link between two voters is cut one way."""
 
     origin: Name
-    to: Name
-    message: Union[Read, State]
+    destination: Name
+    message: Union[FetchRequest, FetchReply]
 
 
-class Told(Struct, frozen=True):
-    """A table that a majority holds, for those that do not vote."""
+class Commit(TaggedMessage, frozen=True, tag="Told"):
+    """Leader to limiters without a vote: a majority holds this value."""
 
-    mark: Mark
-    table: Table
+    revision: Revision
+    value: PlanProgress
 
 
-class Heard(Struct, frozen=True):
-    """The answer to Told."""
+class CommitAck(TaggedMessage, frozen=True, tag="Heard"):
+    """The answer to Commit; `revision` is the newest committed one that the sender knows."""
 
-    mark: Mark
+    revision: Revision
     report: Report
 
 
-class Offer(Struct, frozen=True):
-    """I have this plan."""
+class PlanAnnouncement(TaggedMessage, frozen=True, tag="Offer"):
+    """The plan that the sender holds."""
 
     version: Count
     digest: Digest
 
 
-class Want(Struct, frozen=True):
-    """A piece of a plan is wanted."""
+class ChunkRequest(TaggedMessage, frozen=True, tag="Want"):
+    """Request for one chunk of a plan."""
 
     digest: Digest
-    piece: Annotated[int, msgspec.Meta(ge=0, le=MOST_PIECES)]
+    index: ChunkIndex
 
 
-class Piece(Struct, frozen=True):
-    """A piece of a plan."""
+class PlanChunk(TaggedMessage, frozen=True, tag="Piece"):
+    """One chunk of a plan's encoding; `count` chunks make the plan."""
 
     digest: Digest
-    piece: Annotated[int, msgspec.Meta(ge=0, le=MOST_PIECES)]
-    pieces: Annotated[int, msgspec.Meta(ge=1, le=MOST_PIECES)]
-    data: Annotated[bytes, msgspec.Meta(max_length=PIECE)]
-
-
-Message = Union[Ask, Grant, Deny, Write, Wrote, Read, State, Pass, Told, Heard, Offer, Want, Piece]
-_encoder, _decoder = msgspec.msgpack.Encoder(), msgspec.msgpack.Decoder(Message)
+    index: ChunkIndex
+    count: ChunkCount
+    data: ChunkData
+
+
+RegisterMessage = Union[Prepare, Promise, Reject, Accept, Accepted, FetchRequest, FetchReply]
+ExchangeMessage = Union[PlanAnnouncement, ChunkRequest, PlanChunk]
+Message = Union[
+    Prepare,
+    Promise,
+    Reject,
+    Accept,
+    Accepted,
+    FetchRequest,
+    FetchReply,
+    Relay,
+    Commit,
+    CommitAck,
+    PlanAnnouncement,
+    ChunkRequest,
+    PlanChunk,
+]
+_encoder = msgspec.msgpack.Encoder()
+_decoder: msgspec.msgpack.Decoder[Message] = msgspec.msgpack.Decoder(Message)
 
 
 def pack(message: Message) -> bytes:
-    """The message as a datagram's data."""
+    """The message as a datagram's payload."""
     return _encoder.encode(message)
 
 
 def unpack(data: bytes) -> Message:
-    """Raises UnreadableError."""
+    """The message of a datagram's payload. Raises UnreadableError."""
     try:
         return _decoder.decode(data)
-    except (msgspec.DecodeError, UnicodeDecodeError, RecursionError) as bad:
-        raise UnreadableError(str(bad)) from None
+    except (msgspec.DecodeError, UnicodeDecodeError, RecursionError) as error:
+        raise UnreadableError(str(error)) from None
--- a/brookhub/model_checker/__init__.py
+++ b/brookhub/model_checker/__init__.py
@@ -1,6 +1,20 @@
 """An explicit-state model checker, and the model of a maintenance plan that it runs on the real core."""
 
-from .explorer import Found, search
-from .maintenance import PLANTED, Model, Register
+from .explorer import SearchLimits, SearchResult, search
+from .model import Model
+from .planted_faults import PLANTED, sound_roles
+from .settings import ModelSettings
+from .state import Action, ActionKind, Fault
 
-__all__ = ["Found", "Model", "PLANTED", "Register", "search"]
+__all__ = [
+    "Action",
+    "ActionKind",
+    "Fault",
+    "Model",
+    "ModelSettings",
+    "PLANTED",
+    "SearchLimits",
+    "SearchResult",
+    "search",
+    "sound_roles",
+]
--- a/brookhub/model_checker/explorer.py
+++ b/brookhub/model_checker/explorer.py
@@ -1,78 +1,153 @@
-"""Search over the states of a model, by deviations from a plain schedule.
+"""Explicit-state search over a model, by deviations from its default schedule.
 
-That is delay-bounded scheduling (Emmi, Qadeer and Rakamaric 2011): at each step the schedule's own next thing
-is free, anything else costs one of a few deviations. Fewest deviations first, among those fewest steps: the
-trail that is found to a broken state has the fewest faults, and no shorter one has as few.
-
-A model has: `start()` -> state, `plain(state)` -> action or None, `others(state)` -> [(action, cost)],
-`after(state, action)` -> state, `broken(state)` -> text or "", `key(state)` -> hashable. States are
-immutable.
+This is delay-bounded scheduling (Emmi, Qadeer and Rakamaric 2011): at each step the schedule's own next
+action is free, any other action costs deviations, of which a trail has a few. States with fewer deviations
+are searched first, among those the ones with fewer steps: the trail to a violation has the fewest faults, and
+is the shortest with as few.
 """
 
 from __future__ import annotations
 
 from collections import deque
+from collections.abc import Hashable, Iterable
 from dataclasses import dataclass, field
 from time import monotonic
-from typing import Any
+from typing import Generic, NamedTuple, Protocol, TypeVar
+
+State = TypeVar("State")
+Action = TypeVar("Action")
+
+
+class SearchableModel(Protocol[State, Action]):
+    """What can be searched. States are immutable."""
+
+    def initial_state(self) -> State:
+        """The state in which each trail begins."""
+
+    def default_action(self, state: State) -> Action | None:
+        """The schedule's own next action, None where there is none."""
+
+    def other_actions(self, state: State) -> Iterable[tuple[Action, int]]:
+        """All other actions, each with its cost in deviations."""
+
+    def successor(self, state: State, action: Action) -> State:
+        """The state after an action."""
+
+    def violation(self, state: State) -> str | None:
+        """Which invariant a state violates, None where it violates none."""
+
+    def key(self, state: State) -> Hashable:
+        """Equal for states that need not be told apart."""
+
+
+@dataclass(frozen=True)
+class SearchLimits:
+    """Where a search ends, at the latest."""
+
+    deviations: int  # on one trail
+    depth: int  # actions on one trail
+    states: int = 1_000_000
+    seconds: float = 60.0
+    sample_every: int = 200  # states, of which one is kept for checks of liveness
 
 
 @dataclass
-class Found:
-    """What a search saw. `complete`: no state within the bounds was left out."""
+class SearchResult(Generic[State, Action]):
+    """What a search saw. `complete`: no state within the deviations and the depth was left out."""
 
     states: int = 0
-    deviations: int = 0  # the most that a state within `states` has used
+    deviations: int = 0  # the most that a searched state has used
     depth: int = 0
     seconds: float = 0.0
     complete: bool = True
-    broken: str = ""
-    trail: list = field(default_factory=list)
-    ends: list = field(default_factory=list)  # a sample of states seen, for what has to hold from each on
-
-
-def search(
-    model, deviations: int, depth: int, states: int = 1_000_000, seconds: float = 60.0, sample: int = 200
-) -> Found:
-    """All states within so many deviations and steps, up to a number of states and a time (s)."""
-    found, began = Found(), monotonic()
-    first = model.start()
-    seen: dict[int, int] = {
-        hash(model.key(first)): deviations
-    }  # state -> most deviations left when it was met
-    came: dict[int, tuple[int, Any]] = {}
-    queues = [deque() for _ in range(deviations + 1)]  # by deviations used
-    queues[0].append((first, hash(model.key(first)), deviations, 0))
-    while queue := next(filter(None, queues), None):
-        state, here, left, steps = queue.popleft()
-        if seen[here] > left:
-            continue  # met again since, with more left
-        found.states, found.depth = found.states + 1, max(found.depth, steps)
-        found.deviations = deviations - left
-        if found.states % sample == 0:
-            found.ends.append(state)
-        found.broken = model.broken(state)
-        if found.broken:
-            while here in came:
-                here, action = came[here]
-                found.trail.append(action)
-            found.trail.reverse()
-            break
-        if found.states >= states or monotonic() - began > seconds:
-            found.complete = False
-            break
-        if steps >= depth:
-            continue
-        plain = model.plain(state)
-        choices = ([(plain, 0)] if plain is not None else []) + [
-            one for one in model.others(state) if one[1] <= left
-        ]
-        for action, cost in choices:
-            following = model.after(state, action)
-            key = hash(model.key(following))
-            if seen.get(key, -1) < left - cost:
-                came[key] = (here, action)
-                seen[key] = left - cost
-                queues[deviations - left + cost].append((following, key, left - cost, steps + 1))
-    found.seconds = monotonic() - began
-    return found
+    violation: str | None = None
+    trail: list[Action] = field(default_factory=list)  # to the violation
+    samples: list[State] = field(default_factory=list)
+
+
+class Node(NamedTuple, Generic[State]):
+    """A state that waits to be searched."""
+
+    state: State
+    key: int
+    deviations_left: int
+    depth: int
+
+
+class Search(Generic[State, Action]):
+    """One search. `run` once."""
+
+    def __init__(self, model: SearchableModel[State, Action], limits: SearchLimits) -> None:
+        self.model = model
+        self.limits = limits
+        self.result: SearchResult[State, Action] = SearchResult()
+        self.deviations_left: dict[int, int] = {}  # by key of a state: the most with which it was reached
+        self.came_from: dict[int, tuple[int, Action]] = {}  # by key: the key before and the action
+        self.queues: list[deque[Node[State]]] = [deque() for _ in range(limits.deviations + 1)]  # by use
+
+    def run(self) -> SearchResult[State, Action]:
+        """Search until a violation, a limit, or the end."""
+        started_at = monotonic()
+        first = self.model.initial_state()
+        self._enqueue(Node(first, hash(self.model.key(first)), self.limits.deviations, 0))
+        while queue := next(filter(None, self.queues), None):
+            node = queue.popleft()
+            if self.deviations_left[node.key] > node.deviations_left:
+                continue  # reached again since, with more deviations left
+            self._visit(node)
+            if self.result.violation is not None:
+                self.result.trail = self._trail_to(node.key)
+                break
+            if self.result.states >= self.limits.states or monotonic() - started_at > self.limits.seconds:
+                self.result.complete = False
+                break
+            if node.depth < self.limits.depth:
+                self._expand(node)
+        self.result.seconds = monotonic() - started_at
+        return self.result
+
+    def _enqueue(self, node: Node[State]) -> None:
+        """Have a state searched later."""
+        self.deviations_left[node.key] = node.deviations_left
+        self.queues[self.limits.deviations - node.deviations_left].append(node)
+
+    def _visit(self, node: Node[State]) -> None:
+        """Count a state and check its invariants."""
+        result = self.result
+        result.states += 1
+        result.depth = max(result.depth, node.depth)
+        result.deviations = self.limits.deviations - node.deviations_left
+        if result.states % self.limits.sample_every == 0:
+            result.samples.append(node.state)
+        result.violation = self.model.violation(node.state)
+
+    def _expand(self, node: Node[State]) -> None:
+        """Enqueue all successors that are new, or reached with more deviations left than before."""
+        for action, cost in self._actions(node):
+            following = self.model.successor(node.state, action)
+            key = hash(self.model.key(following))
+            left = node.deviations_left - cost
+            if self.deviations_left.get(key, -1) < left:
+                self.came_from[key] = (node.key, action)
+                self._enqueue(Node(following, key, left, node.depth + 1))
+
+    def _actions(self, node: Node[State]) -> list[tuple[Action, int]]:
+        """The actions that a state's deviations allow, the default one first."""
+        default = self.model.default_action(node.state)
+        actions = [] if default is None else [(default, 0)]
+        others = self.model.other_actions(node.state)
+        return actions + [(action, cost) for action, cost in others if cost <= node.deviations_left]
+
+    def _trail_to(self, key: int) -> list[Action]:
+        """The actions that lead to a state."""
+        trail = []
+        while key in self.came_from:
+            key, action = self.came_from[key]
+            trail.append(action)
+        trail.reverse()
+        return trail
+
+
+def search(model: SearchableModel[State, Action], limits: SearchLimits) -> SearchResult[State, Action]:
+    """Search the states of a model within limits."""
+    return Search(model, limits).run()
--- a/brookhub/program/run.py
+++ b/brookhub/program/run.py
@@ -215,7 +215,9 @@
         from ..maintenance import Settings
         from ..routing.maintenance import Keeper
 
-        keeper = Keeper(self.port, self.log, self.peers, self.discovery, Settings(ends_in=self.longest))
+        keeper = Keeper(
+            self.port, self.log, self.peers, self.discovery, Settings(request_timeout_s=self.longest)
+        )
         if given:
             self.port.run(monotonic(), self.given, keeper, given)
         return keeper
--- a/brookhub/program/start_file.py
+++ b/brookhub/program/start_file.py
@@ -148,8 +148,22 @@
     machines = tuple(
         Machine(one.name, one.zone, one.capacity, tuple(one.servers), one.limiter) for one in spec.machines
     )
-    figures = spec.model_dump(exclude={"machines", "voters", "voters_next"})
-    return Plan(**figures, machines=machines, voters=tuple(spec.voters), voters_next=tuple(spec.voters_next))
+    return Plan(
+        version=spec.version,
+        machines=machines,
+        voters=tuple(spec.voters),
+        max_out=spec.most_out,
+        max_out_per_zone=spec.most_zone,
+        min_capacity_share=spec.capacity_least,
+        min_served_share=spec.served_least,
+        max_response_s=spec.answer_most_s,
+        max_work_s=spec.work_most_s,
+        start_within_s=spec.start_within_s,
+        warm_up_s=spec.fill_s,
+        pause_s=spec.pause_s,
+        next_voters=tuple(spec.voters_next),
+        resume=spec.resume,
+    )
 
 
 def read(environment: Mapping[str, str], again: bool = False) -> Start:
--- a/brookhub/routing/maintenance.py
+++ b/brookhub/routing/maintenance.py
@@ -7,7 +7,19 @@
 
 from time import monotonic
 
-from ..maintenance import TOPIC, Machine, Maintenance, Plan, Settings, UnreadableError, pack, unpack
+from ..maintenance import (
+    TOPIC,
+    Machine,
+    Maintenance,
+    Message,
+    Plan,
+    PlanRejectedError,
+    Settings,
+    TrafficSample,
+    UnreadableError,
+    pack,
+    unpack,
+)
 
 TICK = 0.25  # s between looks: far below a lease
 LATELY = 10.0  # s over which served calls and their times are told
@@ -34,8 +46,12 @@
         self.port.later(TICK, self.start)
 
     def give(self, plan: Plan) -> str:
-        """Take a plan; why it is refused, else an empty text."""
-        return self.core.give(plan)
+        """Submit a plan; the reason where it is rejected, else an empty text."""
+        try:
+            self.core.submit_plan(plan)
+        except PlanRejectedError as error:
+            return str(error)
+        return ""
 
     def heard(self, peer: str, data: bytes) -> None:
         """A peer's message came."""
@@ -61,34 +77,35 @@
         """Seconds on this limiter's clock."""
         return max(self.port.now, monotonic())
 
-    def present(self) -> list[str]:
+    def present_peers(self) -> list[str]:
         """The peers that are there, by name."""
         return sorted(self.peers.core.present)
 
-    def listed(self) -> list[str]:
-        """The servers that discovery lists, by name."""
+    def listed_peers(self) -> list[str]:
+        """All other limiters of the fleet, by name."""
         return self.peers.core.names
 
-    def send(self, peer: str, message) -> None:
+    def send(self, peer: str, message: Message) -> None:
         """Send a message to a peer."""
         if peer in self.peers.core.members:
             self.peers.core.say(TOPIC, pack(message), [peer])
 
-    def up(self, machine: Machine) -> bool:
+    def machine_is_up(self, machine: Machine) -> bool:
         """Whether its limiter is there and discovery lists all its servers as ready, held back or not."""
         here = (
             not machine.limiter
-            or machine.limiter == self.core.me
+            or machine.limiter == self.core.name
             or machine.limiter in self.peers.core.present
         )
         return here and all(self.discovery.lists(name) for name in machine.servers)
 
-    def hold(self, names: tuple[str, ...]) -> None:
-        """Send nothing to these servers, whatever the list says."""
-        machines = [one for one in map(self.core.plan.machine, names) if one]
-        self.discovery.hold({server for one in machines for server in one.servers})
+    def withhold_traffic(self, machines: tuple[str, ...]) -> None:
+        """Send nothing to the servers of these machines, whatever the list says."""
+        plan = self.core.adopted.plan
+        withheld = [machine for machine in map(plan.machine, machines) if machine]
+        self.discovery.hold({server for machine in withheld for server in machine.servers})
 
-    def quiet(self, machine: Machine) -> bool:
+    def machine_is_idle(self, machine: Machine) -> bool:
         """Whether nothing of this limiter is out at the machine's servers.
 
         A limiter on it ends as planned (SIGTERM) when work begins: its clients' connections end between calls
@@ -97,12 +114,12 @@
         out = {one.server.id for one in self.port.servers.out}
         return not any(self.discovery.ident(name) in out for name in machine.servers)
 
-    def lately(self) -> tuple[float, float, float]:
+    def recent_traffic(self) -> TrafficSample:
         """Requests, served ones, and seconds that the served ones took in all, over the last while."""
         fresh = [one for one in self.seconds if one[0] > self.port.now - LATELY]
-        return tuple(sum(one[place] for one in fresh) for place in (1, 2, 3))
+        return TrafficSample(*(sum(one[place] for one in fresh) for place in (1, 2, 3)))
 
-    def load(self) -> dict[str, float]:
+    def zone_load(self) -> dict[str, float]:
         """Tries out by zone name, as a picture of the load: all limiters take the leader's."""
         found: dict[str, float] = {}
         for one in self.port.servers.out:
--- a/tests/test_emulator.py
+++ b/tests/test_emulator.py
@@ -255,11 +255,11 @@
         1,
         made,
         ("n0", "n1", "n2"),
-        most_out=most,
-        most_zone=1,
-        capacity_least=0.4,
+        max_out=most,
+        max_out_per_zone=1,
+        min_capacity_share=0.4,
         start_within_s=5.0,
-        fill_s=3.0,
+        warm_up_s=3.0,
         pause_s=0.0,
     )
 
@@ -320,15 +320,17 @@
     while not site.out:
         site.engine.run(site.engine.now + 0.5)
     first = set(site.out)
-    marks = site.seats["n5"].core.told_mark
+    known_before = site.seats["n5"].core.follower.committed_revision
     for name in ("n0", "n1", "n2"):
         site.kill(name, 0.5)
     site.engine.run(site.engine.now + 15.0)
-    held = next(
-        seat.core.register for seat in map(site.seats.get, site.plan.voters) if seat.core.register.leads
+    leader = next(
+        seat.core.register
+        for seat in map(site.seats.get, site.plan.voters)
+        if seat.core.register.proposer.is_leader
     )
-    assert {name for name, _ in held.table.outs} == first and held.ballot > marks[:2]
-    assert site.seats["n5"].core.told_mark[:2] == held.ballot  # heeded again
+    assert leader.value.names_out() == first and leader.proposer.ballot > known_before.ballot
+    assert site.seats["n5"].core.follower.committed_revision.ballot == leader.proposer.ballot  # heeded again
     assert not site.run(900.0).breaks and site.ended
 
 
@@ -342,13 +344,13 @@
     site = Site(plan, limiters=10, seed=seed, work_s=8.0)
     while not site.done:
         site.engine.run(site.engine.now + 1.0)
-    following = msgspec.structs.replace(plan, version=2, voters_next=("n2", "n4", "n5"))
-    assert site.seats["n7"].core.give(following) == ""  # to one without a vote
+    following = msgspec.structs.replace(plan, version=2, next_voters=("n2", "n4", "n5"))
+    site.seats["n7"].core.submit_plan(following)  # to one without a vote
     site.plan = msgspec.structs.replace(plan, voters=("n0", "n1", "n2", "n4", "n5"))  # whom the site looks at
     site.faults(10.0, site.engine.now + 60.0)
     site.run(1500.0)
     assert not site.breaks, site.breaks[:3]
-    assert site.ended and site.seats["n4"].core.register.table.voters == ("n2", "n4", "n5")
+    assert site.ended and site.seats["n4"].core.register.value.voters == ("n2", "n4", "n5")
 
 
 class WatchedFleet(Fleet):
--- a/tests/test_maintenance_processes.py
+++ b/tests/test_maintenance_processes.py
@@ -41,45 +41,48 @@
     return text
 
 
-def said(lab, *events):
-    """Lines of maintenance in all logs, as (limiter, line)."""
+def log_lines(lab, *prefixes):
+    """Maintenance lines in all logs whose event starts with one of the prefixes, as (limiter, line)."""
     return [
-        (one, line)
-        for one in lab.limiters
-        for line in one.lines()
-        if line.get("what") == "maintenance" and any(line["event"].startswith(event) for event in events)
+        (limiter, line)
+        for limiter in lab.limiters
+        for line in limiter.lines()
+        if line.get("what") == "maintenance" and any(line["event"].startswith(prefix) for prefix in prefixes)
     ]
 
 
-def done(lab):
-    return {line["machine"] for _, line in said(lab, "done with")}
+def machines_done(lab):
+    return {line["machine"] for _, line in log_lines(lab, "machine work completed")}
 
 
-def steward(lab):
-    lines = sorted(said(lab, "steward"), key=lambda one: one[1]["timestamp"])
-    led = [one for one, line in lines if line["event"] == "steward"]
-    return led[-1] if led else None
+def last_leader(lab):
+    """The limiter that acquired leadership last, None before any did."""
+    acquired = log_lines(lab, "leadership acquired")
+    return max(acquired, key=lambda entry: entry[1]["timestamp"])[0] if acquired else None
 
 
 LARGE = {"servers": 12, "rate": 60.0, "load": {"give_up_share": 0.0}}
 
 
-def test_a_plan_of_two_at_once_through_a_stopped_and_a_killed_steward(lab):
+def test_a_plan_of_two_at_once_through_a_stopped_and_a_killed_last_leader(lab):
     def script(lab):
         assert until(all_hold(lab, 5), 6)
         workers = Workers(lab, MACHINES, 1.0, 1.0)
         lab.give_plan(lab.limiters[4], plan(most=2))  # to one that has no vote
-        assert until(lambda: len(said(lab, "plan taken")) == 5, 10), said(lab, "plan")
-        assert until(lambda: workers.outs, 15), said(lab, "")
-        stopped = steward(lab)
+        assert until(lambda: len(log_lines(lab, "plan adopted")) == 5, 10), log_lines(lab, "plan")
+        assert until(lambda: workers.outs, 15), log_lines(lab, "")
+        stopped = last_leader(lab)
         threading.Thread(
             target=lab.stall, args=(stopped, 5.0), daemon=True
         ).start()  # past its lease, with machines open
-        assert until(lambda: steward(lab) is not stopped, 10), said(lab, "steward")
-        assert until(lambda: done(lab), 15), said(lab, "")
-        killed = steward(lab)
+        assert until(lambda: last_leader(lab) is not stopped, 10), log_lines(lab, "leadership")
+        assert until(lambda: machines_done(lab), 15), log_lines(lab, "")
+        killed = last_leader(lab)
         lab.kill(killed, 0.5)
-        assert until(lambda: done(lab) == set(MACHINES), 40), (done(lab), said(lab, ""))
+        assert until(lambda: machines_done(lab) == set(MACHINES), 40), (
+            machines_done(lab),
+            log_lines(lab, ""),
+        )
         workers.stop()
         assert workers.most_out() == 2  # at once, and never more
         # Used again
@@ -96,9 +99,9 @@
         workers = Workers(lab, MACHINES, 0.5, 1.0)
         lab.split([lab.limiters[0], lab.limiters[4]], True)
         lab.give_plan(lab.limiters[0], plan())  # one voter of three is on this side
-        assert until(lambda: len(said(lab, "plan taken")) == 2, 8), said(lab, "plan")
+        assert until(lambda: len(log_lines(lab, "plan adopted")) == 2, 8), log_lines(lab, "plan")
         time.sleep(6.0)
-        assert not said(lab, "permitted", "steward") and not workers.outs
+        assert not log_lines(lab, "machine drain started", "leadership") and not workers.outs
         # Another operator, the same version
         lab.give_plan(lab.limiters[1], plan(machines={"m0": [0], "m1": [2]}))
         time.sleep(1.0)
@@ -108,15 +111,19 @@
         # mostly passed.)
         for way in ("n1", "n2"):
             lab.mesh.set("n0", way, cut=True)
-        assert until(lambda: said(lab, "plan refused"), 10)
-        line = said(lab, "plan refused")[0][1]
-        assert line["digest"] != line["held"] and len(line["digest"]) == len(line["held"]) == 12
+        assert until(lambda: log_lines(lab, "plan rejected"), 10)
+        line = log_lines(lab, "plan rejected")[0][1]
+        assert line["digest"] != line["current_digest"]
+        assert len(line["digest"]) == len(line["current_digest"]) == 12
         for one in lab.limiters:
             if one.index in (0, 1, 2):
                 lab.give_plan(one, plan(version=2))  # settled between the two
-        assert until(lambda: len(done(lab)) >= 1, 30), said(lab, "")
+        assert until(lambda: len(machines_done(lab)) >= 1, 30), log_lines(lab, "")
         lab.mesh.clear()
-        assert until(lambda: done(lab) == set(MACHINES), 45), (done(lab), said(lab, "")[-6:])
+        assert until(lambda: machines_done(lab) == set(MACHINES), 45), (
+            machines_done(lab),
+            log_lines(lab, "")[-6:],
+        )
         workers.stop()
         assert workers.most_out() == 1
 
@@ -130,7 +137,7 @@
         assert until(all_hold(lab, 5), 6)
         workers = Workers(lab, machines, 1.0, 1.0)
         lab.give_plan(lab.limiters[0], plan(machines=machines))
-        assert until(lambda: done(lab) == set(machines), 50), said(lab, "")[-6:]
+        assert until(lambda: machines_done(lab) == set(machines), 50), log_lines(lab, "")[-6:]
         workers.stop()
         # limiters' machines last
         assert workers.most_out() == 1 and [one[0] for one in workers.outs][0] == "m0"
@@ -148,14 +155,14 @@
         for one in lab.limiters:
             lab.plan_path(one).write_text(plan())  # also for their next life
         lab.limiters[2].hit(signal.SIGHUP)
-        assert until(lambda: workers.outs, 15), said(lab, "")
+        assert until(lambda: workers.outs, 15), log_lines(lab, "")
         time.sleep(1.5)  # it is down by now, and being worked on
         gone = [threading.Thread(target=lab.kill, args=(one, 0.2)) for one in lab.limiters]
         for one in gone:
             one.start()
         for one in gone:
             one.join()
-        assert until(lambda: len(workers.outs) > 1, 25), said(lab, "")
+        assert until(lambda: len(workers.outs) > 1, 25), log_lines(lab, "")
         first, second = workers.outs[0], workers.outs[1]
         assert first[2] and second[1] >= first[2]  # the next went out only once the first was back
         workers.stop()
@@ -189,7 +196,7 @@
             return [
                 json.loads(line)
                 for line in program.log_path.read_text().splitlines()
-                if '"plan taken"' in line
+                if '"plan adopted"' in line
             ]
 
         assert bool(until(taken, 3.0 if kept else 0.5)) is kept
