--- a/brookhub/experiments/maintenance.py
+++ b/brookhub/experiments/maintenance.py
@@ -30,6 +30,35 @@
     "machine drain cancelled": "waits",
     "machine release expired": "waits",
 }
+# Events of version 0.11 and before: logs outlive an upgrade, and a fleet may run both versions
+EVENTS_OF_0_11 = {
+    "plan taken": "plan adopted",
+    "plan refused": "plan rejected",
+    "plan goes on": "plan resumed",
+    "steward": "leadership acquired",
+    "steward no more": "leadership lost",
+    "permitted": "machine drain started",
+    "back": "machine back in service",
+    "brought back": "machine drain cancelled",
+    "withdrawn": "machine release expired",
+    "work takes long": "machine work overdue",
+}
+# Those that ended in the machine's name
+EVENT_PREFIXES_OF_0_11 = {
+    "safe to work on ": "machine safe to work on",
+    "done with ": "machine work completed",
+}
+FACTS_OF_0_11 = {"steward": "leader", "why": "reason", "held": "current_digest"}
+
+
+def with_current_names(line: dict) -> dict:
+    """A maintenance log line with the names of this version, whichever version wrote it."""
+    event = line.get("event", "")
+    for prefix, current in EVENT_PREFIXES_OF_0_11.items():
+        if event.startswith(prefix):
+            event = current
+    renamed = {FACTS_OF_0_11.get(name, name): value for name, value in line.items()}
+    return renamed | {"event": EVENTS_OF_0_11.get(event, event)}
 
 
 def read_status(paths: list[Path]) -> str:
@@ -43,7 +72,7 @@
             with suppress(ValueError):
                 line = json.loads(text)
                 if isinstance(line, dict) and line.get("what") == "maintenance":
-                    lines.append(line)
+                    lines.append(with_current_names(line))
     lines.sort(key=lambda line: line.get("timestamp", ""))
     machines: dict[str, tuple[str, str]] = {}
     leader = halted = plan = ""
--- a/tests/test_maintenance_processes.py
+++ b/tests/test_maintenance_processes.py
@@ -1,6 +1,6 @@
-"""Plans of work on processes of the program: several limiters, 12 servers under load, faults between.
+"""Maintenance plans on processes of the program: several limiters, 12 servers under load, faults meanwhile.
 
-Judged by the stand-ins' records and by those of the people who work.
+Judged by the records of the fakes and of the people who work.
 """
 
 import json
@@ -17,7 +17,7 @@
 from helpers import Program, until
 from test_fleet_processes import PEERS, all_hold
 
-# Two labs at a time are what this machine carries; each has addresses of its own
+# Two process labs at a time are what this machine carries; each has addresses of its own
 pytestmark = pytest.mark.xdist_group("second process lab")
 
 PLAN = """version = %d
@@ -33,11 +33,13 @@
 MACHINES = {f"m{n}": [2 * n, 2 * n + 1] for n in range(4)}  # of two servers each; servers 8 to 11 are on none
 
 
-def plan(version=1, most=1, machines=MACHINES):
-    text = PLAN % (version, most)
-    for name, own in machines.items():
-        text += f'[[machines]]\nname = "{name}"\nservers = {json.dumps([f"s-{one}" for one in own if isinstance(one, int)])}\n'
-        text += "".join(f'limiter = "{one}"\n' for one in own if isinstance(one, str))
+def plan_file(version=1, max_out=1, machines=MACHINES):
+    """The text of a plan file. A machine has servers by their numbers and limiters by their names."""
+    text = PLAN % (version, max_out)
+    for name, contents in machines.items():
+        servers = [f"s-{server}" for server in contents if isinstance(server, int)]
+        text += f'[[machines]]\nname = "{name}"\nservers = {json.dumps(servers)}\n'
+        text += "".join(f'limiter = "{limiter}"\n' for limiter in contents if isinstance(limiter, str))
     return text
 
 
@@ -64,11 +66,11 @@
 LARGE = {"servers": 12, "rate": 60.0, "load": {"give_up_share": 0.0}}
 
 
-def test_a_plan_of_two_at_once_through_a_stopped_and_a_killed_last_leader(lab):
+def test_plan_of_two_at_once_ends_through_a_stopped_and_a_killed_leader(lab):
     def script(lab):
         assert until(all_hold(lab, 5), 6)
         workers = Workers(lab, MACHINES, 1.0, 1.0)
-        lab.give_plan(lab.limiters[4], plan(most=2))  # to one that has no vote
+        lab.give_plan(lab.limiters[4], plan_file(max_out=2))  # to one that has no vote
         assert until(lambda: len(log_lines(lab, "plan adopted")) == 5, 10), log_lines(lab, "plan")
         assert until(lambda: workers.outs, 15), log_lines(lab, "")
         stopped = last_leader(lab)
@@ -86,38 +88,40 @@
         workers.stop()
         assert workers.most_out() == 2  # at once, and never more
         # Used again
-        assert until(lambda: [one for one in lab.seen if one.server == 0 and one.at > workers.outs[0][2]], 5)
-        assert "m3  done" in read_status([one.log_path for one in lab.limiters])
+        assert until(
+            lambda: [call for call in lab.seen if call.server == 0 and call.at > workers.outs[0][2]], 5
+        )
+        assert "m3  done" in read_status([limiter.log_path for limiter in lab.limiters])
 
     outcome = lab(script, 90.0, limiters=5, **LARGE)
     assert outcome.result.proxied > 0.9 * (outcome.result.calls - outcome.verdict.excused)
 
 
-def test_a_minority_starts_nothing_and_two_plans_of_one_version_are_refused_with_both_digests(lab):
+def test_minority_drains_nothing_and_two_plans_of_one_version_are_rejected_with_both_digests(lab):
     def script(lab):
         assert until(all_hold(lab, 5), 6)
         workers = Workers(lab, MACHINES, 0.5, 1.0)
         lab.split([lab.limiters[0], lab.limiters[4]], True)
-        lab.give_plan(lab.limiters[0], plan())  # one voter of three is on this side
+        lab.give_plan(lab.limiters[0], plan_file())  # one voter of three is on this side
         assert until(lambda: len(log_lines(lab, "plan adopted")) == 2, 8), log_lines(lab, "plan")
         time.sleep(6.0)
         assert not log_lines(lab, "machine drain started", "leadership") and not workers.outs
         # Another operator, the same version
-        lab.give_plan(lab.limiters[1], plan(machines={"m0": [0], "m1": [2]}))
+        lab.give_plan(lab.limiters[1], plan_file(machines={"m0": [0], "m1": [2]}))
         time.sleep(1.0)
         lab.split([], False)
-        # And now drop what one voter sends, one way. None of the three remembers anything yet: they need each
-        # other's answers, and get them by a third. (Cut some moments after the heal this test once failed and
+        # And now drop what one voter sends, one way. None of the three has state yet: they need each
+        # other's replies, and get them by a relay. (Cut some moments after the heal this test once failed and
         # mostly passed.)
-        for way in ("n1", "n2"):
-            lab.mesh.set("n0", way, cut=True)
+        for destination in ("n1", "n2"):
+            lab.mesh.set("n0", destination, cut=True)
         assert until(lambda: log_lines(lab, "plan rejected"), 10)
         line = log_lines(lab, "plan rejected")[0][1]
         assert line["digest"] != line["current_digest"]
         assert len(line["digest"]) == len(line["current_digest"]) == 12
-        for one in lab.limiters:
-            if one.index in (0, 1, 2):
-                lab.give_plan(one, plan(version=2))  # settled between the two
+        for limiter in lab.limiters:
+            if limiter.index in (0, 1, 2):
+                lab.give_plan(limiter, plan_file(version=2))  # settled between the two
         assert until(lambda: len(machines_done(lab)) >= 1, 30), log_lines(lab, "")
         lab.mesh.clear()
         assert until(lambda: machines_done(lab) == set(MACHINES), 45), (
@@ -130,17 +134,17 @@
     lab(script, 110.0, limiters=5, **LARGE)
 
 
-def test_a_limiter_s_own_machine_and_a_host_with_both_go_out_in_turn_and_no_call_is_lost(lab):
+def test_machines_with_limiters_go_out_one_after_another_and_no_request_is_lost(lab):
     machines = {"m0": [0], "host": [1, "n4"], "box": ["n3"]}
 
     def script(lab):
         assert until(all_hold(lab, 5), 6)
         workers = Workers(lab, machines, 1.0, 1.0)
-        lab.give_plan(lab.limiters[0], plan(machines=machines))
+        lab.give_plan(lab.limiters[0], plan_file(machines=machines))
         assert until(lambda: machines_done(lab) == set(machines), 50), log_lines(lab, "")[-6:]
         workers.stop()
         # limiters' machines last
-        assert workers.most_out() == 1 and [one[0] for one in workers.outs][0] == "m0"
+        assert workers.most_out() == 1 and [machine for machine, _, _ in workers.outs][0] == "m0"
         assert lab.limiters[3].starts == lab.limiters[4].starts == 2
 
     outcome = lab(script, 80.0, limiters=5, **LARGE)
@@ -148,20 +152,20 @@
     assert outcome.result.lost == 0 and outcome.verdict.excused == 0
 
 
-def test_all_limiters_restarted_in_mid_plan_remember_nothing_and_take_no_second_machine(lab):
+def test_all_limiters_restarted_in_mid_plan_release_no_second_machine(lab):
     def script(lab):
         assert until(all_hold(lab, 5), 6)
         workers = Workers(lab, MACHINES, 8.0, 1.0)
-        for one in lab.limiters:
-            lab.plan_path(one).write_text(plan())  # also for their next life
+        for limiter in lab.limiters:
+            lab.plan_path(limiter).write_text(plan_file())  # also for their next start
         lab.limiters[2].hit(signal.SIGHUP)
         assert until(lambda: workers.outs, 15), log_lines(lab, "")
         time.sleep(1.5)  # it is down by now, and being worked on
-        gone = [threading.Thread(target=lab.kill, args=(one, 0.2)) for one in lab.limiters]
-        for one in gone:
-            one.start()
-        for one in gone:
-            one.join()
+        restarts = [threading.Thread(target=lab.kill, args=(limiter, 0.2)) for limiter in lab.limiters]
+        for restart in restarts:
+            restart.start()
+        for restart in restarts:
+            restart.join()
         assert until(lambda: len(workers.outs) > 1, 25), log_lines(lab, "")
         first, second = workers.outs[0], workers.outs[1]
         assert first[2] and second[1] >= first[2]  # the next went out only once the first was back
@@ -172,10 +176,10 @@
 
 
 @pytest.mark.parametrize(
-    "named, allowed, kept", [(False, True, False), (True, False, False), (True, True, True)]
+    "named, allowed, active", [(False, True, False), (True, False, False), (True, True, True)]
 )
-def test_run_knows_no_maintenance_but_where_a_plan_is_named_and_peers_are_allowed(
-    tmp_path, named, allowed, kept
+def test_run_has_maintenance_only_where_a_plan_is_named_and_peer_messages_are_allowed(
+    tmp_path, named, allowed, active
 ):
     """On the operators' platform peer messages are not allowed and no plan is named: `run` is as it was."""
     with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as probe:
@@ -183,7 +187,7 @@
         port = probe.getsockname()[1]
     peers, path = tmp_path / "membership.toml", tmp_path / "plan.toml"
     peers.write_text(PEERS % port)
-    path.write_text(plan())
+    path.write_text(plan_file())
     start = {"membership": str(peers)} | ({"maintenance": str(path)} if named else {})
     program = Program(
         tmp_path,
@@ -192,16 +196,16 @@
     )
     try:
 
-        def taken():
+        def adopted():
             return [
                 json.loads(line)
                 for line in program.log_path.read_text().splitlines()
                 if '"plan adopted"' in line
             ]
 
-        assert bool(until(taken, 3.0 if kept else 0.5)) is kept
-        if kept:
-            path.write_text(plan() + "typo = 1\n")
+        assert bool(until(adopted, 3.0 if active else 0.5)) is active
+        if active:
+            path.write_text(plan_file() + "typo = 1\n")
             os.kill(program.process.pid, signal.SIGHUP)
             # One line, and the old plan goes on
             assert until(lambda: "not reloaded" in program.log_path.read_text(), 3)
@@ -210,25 +214,27 @@
         program.close()
 
 
-def test_a_plan_that_cannot_be_used_is_told_in_one_line_with_exit_2(tmp_path):
+def test_unusable_plan_file_is_reported_in_one_line_with_exit_code_2(tmp_path):
     from click.testing import CliRunner
 
     from brookhub.cli import main
 
     path = tmp_path / "plan.toml"
-    for text, word in (
-        (plan().replace("version = 1", "version = 0"), "version"),
-        (plan() + "wrong = 1\n", "unknown key"),
-        (plan(machines={"m0": [0, 0]}), "the server s-0 is there twice"),
-        (plan(machines={"m0": []}), "servers, a limiter, or both"),
-        (plan(machines={"m0": [0]}), "can never go out"),
+    for text, expected in (
+        (plan_file().replace("version = 1", "version = 0"), "version"),
+        (plan_file() + "wrong = 1\n", "unknown key"),
+        (plan_file(machines={"m0": [0, 0]}), "the server s-0 is there twice"),
+        (plan_file(machines={"m0": []}), "servers, a limiter, or both"),
+        (plan_file(machines={"m0": [0]}), "can never go out"),
     ):
         path.write_text(text)
-        ended = CliRunner().invoke(main, ["maintenance", "check", str(path)])
+        result = CliRunner().invoke(main, ["maintenance", "check", str(path)])
         assert (
-            ended.exit_code == 2 and word in ended.output and len(ended.output.strip().splitlines()) == 1
-        ), ended.output
-    path.write_text(plan())
+            result.exit_code == 2
+            and expected in result.output
+            and len(result.output.strip().splitlines()) == 1
+        ), result.output
+    path.write_text(plan_file())
     assert "digest" in CliRunner().invoke(main, ["maintenance", "check", str(path)]).output
     assert "at least" in CliRunner().invoke(main, ["maintenance", "plan", str(path)]).output
     assert Path(path).exists()
