--- a/brookhub/model_checker/settings.py
+++ b/brookhub/model_checker/settings.py
@@ -25,10 +25,6 @@
 }
 
 
-def _default_faults() -> Mapping[Fault, int]:
-    return DEFAULT_FAULTS
-
-
 @dataclass(frozen=True)
 class ModelSettings:
     """Times in whole seconds."""
@@ -39,14 +35,14 @@
     max_out_per_zone: int = UNLIMITED
     zones: int = UNLIMITED
     last_voter_joins: bool = False  # the last voter joins while the plan runs
-    faults: Mapping[Fault, int] = field(default_factory=_default_faults)  # how many of each kind
+    faults: Mapping[Fault, int] = field(default_factory=lambda: DEFAULT_FAULTS)  # how many of each kind
     roles: RolesOfPlan = sound_roles  # the register's classes
     # One step of the schedule is all messages and then the clock, so that longer trails are reached; else
     # each message is a step.
     rounds: bool = False
     cut_off: str = ""  # a limiter that is cut off at the start
     single_leader: bool = True  # whether two that may act at once are a violation by themselves
-    # A leader sees of machines that it does not know to be out nothing: no list tells it
+    # A limiter sees that a machine is down only if it knows the machine to be out, as without a server list
     sees_only_machines_out: bool = False
     work_s: int = 2
 
