--- a/brookhub/maintenance/machine_phases.py
+++ b/brookhub/maintenance/machine_phases.py
@@ -28,7 +28,8 @@
         self.reports = reports
         self.phase_since: dict[str, float] = {}  # when this leader saw the machine enter its phase
         self.went_down: dict[str, bool] = {}  # whether the machine was down since it was released
-        self.work_overdue: dict[str, bool] = {}  # for each machine whose release is logged
+        # Whether work takes too long; a machine has an entry from the moment that its release is logged.
+        self.work_overdue: dict[str, bool] = {}
         self.slot_free_since = started_at - LONG_AGO_S
 
     def begin_term(self, progress: PlanProgress, now: float) -> None:
