--- a/benchmarks/rolling_upgrade.py
+++ b/benchmarks/rolling_upgrade.py
@@ -81,16 +81,17 @@
     counter_changed: tuple[str, ...] = ("counter changed",)
     counter_sure: tuple[str, ...] = ("counter sure",)
     ledger_read: tuple[str, ...] = ("ledger read",)
-    plan_taken: tuple[str, ...] = ("plan taken",)
-    plan_refused: tuple[str, ...] = ("plan refused",)
-    leads_plan: tuple[str, ...] = ("steward",)
-    safe_to_work: tuple[str, ...] = ("safe to work on ",)  # followed by the machine's name
-    machine_done: tuple[str, ...] = ("done with ",)  # followed by the machine's name
+    plan_taken: tuple[str, ...] = ("plan taken", "plan adopted")
+    plan_refused: tuple[str, ...] = ("plan refused", "plan rejected")
+    leads_plan: tuple[str, ...] = ("steward", "leadership acquired")
+    # Up to 0.11 followed by the machine's name
+    safe_to_work: tuple[str, ...] = ("safe to work on ", "machine safe to work on")
+    machine_done: tuple[str, ...] = ("done with ", "machine work completed")
     fault: tuple[str, ...] = ("fault",)
 
 
 LOG_EVENTS = LogEvents()
-FOLLOWED_EVENT = LOG_EVENTS.safe_to_work[0]  # what this checkout's `Workers` look for
+FOLLOWED_EVENT = LOG_EVENTS.safe_to_work[-1]  # what this checkout's `Workers` look for
 
 
 @dataclass(frozen=True)
@@ -132,9 +133,8 @@
     def heard(self, limiter: Limiter, line: dict[str, Any]) -> None:
         """Take a line under the name that this checkout gives its event."""
         event = line.get("event", "")
-        for prefix in LOG_EVENTS.safe_to_work:
-            if event.startswith(prefix):
-                line = line | {"event": FOLLOWED_EVENT + event.removeprefix(prefix)}
+        if event.startswith(LOG_EVENTS.safe_to_work):
+            line = line | {"event": FOLLOWED_EVENT}
         super().heard(limiter, line)
 
 
--- a/tests/test_golden_bytes.py
+++ b/tests/test_golden_bytes.py
@@ -233,24 +233,24 @@
 
 
 READ, STATE = (
-    maintenance.Read(7),
-    maintenance.State(7, True, PROMISED, MARK, maintenance.Table(*TABLE), False),
+    maintenance.FetchRequest(7),
+    maintenance.FetchReply(7, True, PROMISED, MARK, maintenance.PlanProgress(*TABLE), False),
 )
 MAINTENANCE_MESSAGES = {
-    "ask": maintenance.Ask(BALLOT),
-    "grant": maintenance.Grant(BALLOT, MARK, maintenance.Table(*TABLE)),
-    "deny": maintenance.Deny(BALLOT, PROMISED),
-    "write": maintenance.Write(MARK, maintenance.Table()),
-    "wrote": maintenance.Wrote(MARK, maintenance.Report(*REPORT)),
+    "ask": maintenance.Prepare(BALLOT),
+    "grant": maintenance.Promise(BALLOT, MARK, maintenance.PlanProgress(*TABLE)),
+    "deny": maintenance.Reject(BALLOT, PROMISED),
+    "write": maintenance.Accept(MARK, maintenance.PlanProgress()),
+    "wrote": maintenance.Accepted(MARK, maintenance.Report(*REPORT)),
     "read": READ,
     "state": STATE,
-    "pass read": maintenance.Pass("n0", "n2", READ),
-    "pass state": maintenance.Pass("n0", "n2", STATE),
-    "told": maintenance.Told(MARK, maintenance.Table(*TABLE)),
-    "heard": maintenance.Heard(MARK, maintenance.Report()),
-    "offer": maintenance.Offer(4, "0123456789ab"),
-    "want": maintenance.Want("0123456789ab", 1),
-    "piece": maintenance.Piece("0123456789ab", 1, 2, b"\x00plan\xff"),
+    "pass read": maintenance.Relay("n0", "n2", READ),
+    "pass state": maintenance.Relay("n0", "n2", STATE),
+    "told": maintenance.Commit(MARK, maintenance.PlanProgress(*TABLE)),
+    "heard": maintenance.CommitAck(MARK, maintenance.Report()),
+    "offer": maintenance.PlanAnnouncement(4, "0123456789ab"),
+    "want": maintenance.ChunkRequest("0123456789ab", 1),
+    "piece": maintenance.PlanChunk("0123456789ab", 1, 2, b"\x00plan\xff"),
 }
 MAINTENANCE_FIELDS = {
     "ask": ["Ask", BALLOT],
