--- a/brookhub/program/run.py
+++ b/brookhub/program/run.py
@@ -146,7 +146,7 @@
         from ..routing.peers import Peers
 
         try:
-            return Peers(self.port, self.log, file, self.start.seed)
+            return Peers(self.port, self.log, start_file.peer_settings(file), self.start.seed)
         except OSError as error:
             raise StartError(f"membership: can't listen at {file.listen}: {error.strerror}") from None
 
@@ -186,7 +186,7 @@
         from ..maintenance import Settings
         from ..routing.maintenance import MaintenanceDriver
 
-        settings = Settings(ends_in=self.max_client_timeout)
+        settings = Settings(request_timeout_s=self.max_client_timeout)
         driver = MaintenanceDriver(self.port, self.log, self.peers, self.discovery, settings)
         if plan:
             self.port.run(monotonic(), self.submit_plan, driver, plan)
@@ -262,7 +262,7 @@
             start = start_file.read(os.environ, reload=True)
             peers = None
             if self.peers and start.membership_path:
-                peers = start_file.read_membership_file(start.membership_path)
+                peers = start_file.peer_settings(start_file.read_membership_file(start.membership_path))
             plan = None
             if self.maintenance and start.maintenance_path:
                 plan = start_file.read_plan_if_present(start.maintenance_path)
--- a/brookhub/routing/maintenance.py
+++ b/brookhub/routing/maintenance.py
@@ -9,7 +9,19 @@
 from dataclasses import dataclass
 from time import monotonic
 
-from ..maintenance import TOPIC, Machine, Maintenance, Plan, Settings, UnreadableError, pack, unpack
+from ..maintenance import (
+    TOPIC,
+    Machine,
+    Maintenance,
+    Message,
+    Plan,
+    PlanRejectedError,
+    Settings,
+    TrafficSample,
+    UnreadableError,
+    pack,
+    unpack,
+)
 from ..model import Request
 from .discovery import DiscoveryClient
 from .log import EventLogger
@@ -49,10 +61,10 @@
             current.served += 1
             current.served_duration += duration
 
-    def totals(self, now: float) -> tuple[float, float, float]:
+    def totals(self, now: float) -> TrafficSample:
         """Requests, served ones, and seconds of the served ones together, over the window."""
         recent = [entry for entry in self._seconds if entry.second > now - TRAFFIC_WINDOW]
-        return (
+        return TrafficSample(
             sum(entry.requests for entry in recent),
             sum(entry.served for entry in recent),
             sum(entry.served_duration for entry in recent),
@@ -89,7 +101,11 @@
 
     def submit_plan(self, plan: Plan) -> str:
         """Submit a plan; returns why it is rejected, else an empty text."""
-        return self.core.give(plan)
+        try:
+            self.core.submit_plan(plan)
+        except PlanRejectedError as error:
+            return str(error)
+        return ""
 
     def on_payload(self, peer: str, data: bytes) -> None:
         """A peer's message came. One that is malformed is dropped."""
@@ -109,34 +125,36 @@
         """Seconds on this limiter's clock."""
         return max(self.port.now, monotonic())
 
-    def present(self) -> list[str]:
+    def present_peers(self) -> list[str]:
         """The peers that are there, by name."""
         return sorted(self.peers.core.present)
 
-    def listed(self) -> list[str]:
-        """The servers that discovery lists, by name."""
+    def listed_peers(self) -> list[str]:
+        """All other limiters of the fleet, by name."""
         return self.peers.core.names
 
-    def send(self, peer: str, message) -> None:
+    def send(self, peer: str, message: Message) -> None:
         """Send a message to a peer."""
         if peer in self.peers.core.members:
             self.peers.core.say(TOPIC, pack(message), [peer])
 
-    def up(self, machine: Machine) -> bool:
+    def machine_is_up(self, machine: Machine) -> bool:
         """Whether its limiter is there and discovery lists all its servers as ready, held back or not."""
         here = (
             not machine.limiter
-            or machine.limiter == self.core.me
+            or machine.limiter == self.core.name
             or machine.limiter in self.peers.core.present
         )
         return here and all(self.discovery.is_listed_ready(name) for name in machine.servers)
 
-    def hold(self, names: tuple[str, ...]) -> None:
-        """Send nothing to these servers, whatever the list says."""
-        machines = [one for one in map(self.core.plan.machine, names) if one]
-        self.discovery.hold_back({server for one in machines for server in one.servers})
+    def withhold_traffic(self, machines: tuple[str, ...]) -> None:
+        """Send nothing to the servers of these machines, whatever the list says."""
+        adopted = self.core.adopted
+        assert adopted is not None  # machines are known by an adopted plan only
+        withheld = [machine for machine in map(adopted.plan.machine, machines) if machine]
+        self.discovery.hold_back({server for machine in withheld for server in machine.servers})
 
-    def quiet(self, machine: Machine) -> bool:
+    def machine_is_idle(self, machine: Machine) -> bool:
         """Whether no attempt of this limiter is in flight at the machine's servers.
 
         A limiter on it is shut down (SIGTERM) when work begins: its clients' connections end between requests
@@ -145,11 +163,11 @@
         in_flight = {attempt.server.id for attempt in self.port.upstreams.in_flight}
         return not any(self.discovery.server_id(name) in in_flight for name in machine.servers)
 
-    def lately(self) -> tuple[float, float, float]:
+    def recent_traffic(self) -> TrafficSample:
         """Requests, served ones, and seconds of the served ones together, over the last while."""
         return self.traffic.totals(self.port.now)
 
-    def load(self) -> dict[str, float]:
+    def zone_load(self) -> dict[str, float]:
         """Attempts in flight by zone name, as a measure of the load: all limiters use the leader's."""
         zones = self.discovery.zones
         load: dict[str, float] = {}
--- a/brookhub/routing/peers.py
+++ b/brookhub/routing/peers.py
@@ -9,7 +9,7 @@
 import socket
 from contextlib import suppress
 from time import monotonic, time
-from typing import TYPE_CHECKING, Callable
+from typing import Callable
 
 from xxhash import xxh3_64_intdigest
 
@@ -18,24 +18,15 @@
 from ..transport.threads import start_thread
 from .fleet_log import DroppedDatagramLog, EjectionLog, FleetLog
 from .log import EventLogger
+from .peer_settings import Address, PeerSettings
 from .port import SocketGatewayPort
 
-if TYPE_CHECKING:  # the program has imported it by then, other users of this module need not
-    from ..config import MembershipFile
-
-Address = tuple[str, int]
 PayloadHandler = Callable[[str, bytes], None]
 """Called under the lock with the sender's name and the payload."""
 
 RECEIVE_BUFFER_BYTES = 256 * 1024  # of datagrams not yet read: a burst comes when a split heals
 
 
-def parse_address(text: str) -> Address:
-    """Host and port of a text of the form HOST:PORT."""
-    host, _, port = text.rpartition(":")
-    return host, int(port)
-
-
 class Peers:
     """The membership of one limiter on sockets. Implements `membership.MembershipPort`.
 
@@ -43,25 +34,28 @@
     lock, which guards all fields but those of `dropped`.
     """
 
-    def __init__(self, port: SocketGatewayPort, logger: EventLogger, file: MembershipFile, seed: int):
+    def __init__(self, port: SocketGatewayPort, logger: EventLogger, settings: PeerSettings, seed: int):
         """Raises OSError where the address to listen at cannot be had."""
         self.port = port
         self.logger = logger
-        self.fleet = file.fleet
-        self.sock = open_socket(parse_address(file.listen))
+        self.fleet = settings.fleet
+        self.sock = open_socket(settings.listen)
         self.addresses: dict[str, Address] = {}  # of the peers, by name
         self.names: dict[Address, str] = {}
-        self._set_peers(file)
-        self.core = Membership(self, file.fleet, file.name, self.addresses, seed, file.period_s)
+        self._set_peers(settings.peers)
+        self.core = Membership(self, settings.fleet, settings.name, self.addresses, seed, settings.period)
         self.fleet_log = FleetLog(port, logger, self.core)
         self.dropped = DroppedDatagramLog(port, logger, self.core)
         self.clock_offset = time() - monotonic()  # of the calendar from the monotonic clock
-        self.turns = Turns(xxh3_64_intdigest(file.fleet), file.name)  # the same key for the whole fleet
+        # The key is the same for the whole fleet
+        self.turns = Turns(xxh3_64_intdigest(settings.fleet), settings.name)
         self.payload_handlers: dict[int, PayloadHandler] = {}  # of other parts, by topic
-        self.ejections = SharedEjections(ByPeers(self, self.core), self.turns) if file.signals else None
-        self.parts = (
-            Parts(self.turns.key, file.name, self.addresses, self.core.counted) if file.subsets else None
-        )
+        self.ejections: SharedEjections | None = None
+        if settings.shares_ejections:
+            self.ejections = SharedEjections(ByPeers(self, self.core), self.turns)
+        self.parts: Parts | None = None
+        if settings.uses_subsets:
+            self.parts = Parts(self.turns.key, settings.name, self.addresses, self.core.counted)
         if self.ejections or self.parts:
             port.gateway.use_coordination(Shared(self.ejections, self.parts))
         if self.ejections:
@@ -74,12 +68,12 @@
         self.port.run(monotonic(), self.core.start)
         self.port.run(monotonic(), self.dropped.start)
 
-    def update_peers(self, file: MembershipFile) -> None:
-        """Take in the peers of the file, which was read again.
+    def update_peers(self, settings: PeerSettings) -> None:
+        """Use the peers of the settings, which were read again.
 
         This limiter's own name and address hold until the next start.
         """
-        self._set_peers(file)
+        self._set_peers(settings.peers)
         self.core.relist(self.addresses)
         if self.parts:
             self.parts.relist(self.addresses)
@@ -158,10 +152,10 @@
 
     # steps of the above
 
-    def _set_peers(self, file: MembershipFile) -> None:
-        """Use the peers of a file."""
-        self.addresses = {peer.name: parse_address(peer.address) for peer in file.peers}
-        self.names = {address: name for name, address in self.addresses.items()}
+    def _set_peers(self, addresses: dict[str, Address]) -> None:
+        """Use other peers, given by name."""
+        self.addresses = addresses
+        self.names = {address: name for name, address in addresses.items()}
 
     def _check_ejections(self) -> None:
         """Log changed ejections and set the calendar anew. Repeats itself by a timer."""
