--- a/brookhub/emulator/fleet.py
+++ b/brookhub/emulator/fleet.py
@@ -187,7 +187,7 @@
             told=lambda live, rank, sure: (
                 seat.gateway.on_membership_changed(live, rank, sure if spec.hard_by == "sure" else live)
                 or seat.recovery
-                and seat.recovery.fleet(sure)
+                and seat.recovery.set_fleet_size(sure)
             ),
         )
         ejections = parts = None
--- a/brookhub/emulator/limiter.py
+++ b/brookhub/emulator/limiter.py
@@ -12,8 +12,7 @@
 
 from ..model import Attempt, Outcome, Request, Server, ServerState
 from ..ports import CounterCallback
-from ..recovery import Ledger, Recovery
-from ..recovery import Settings as RecoverySettings
+from ..recovery import Ledger, Recovery, RecoverySettings
 from ..registry import CustomerRegistry, ServerRegistry
 from ..site import GatewaySettings
 
@@ -24,22 +23,22 @@
     """Recovery's port at a seat: one calendar for all, the simulated time."""
 
     def __init__(self, seat: "Seat", rng: random.Random):
-        self.seat, self.chance = seat, rng.random
-        self.add, self.later = seat.add, seat.later
+        self.seat, self.random = seat, rng.random
+        self.add_to_counter, self.later = seat.add, seat.later
 
     def now(self) -> float:
         """Simulated seconds."""
         return self.seat.now
 
-    clock = now
+    wall_clock = now
 
-    def grant(self, part: float) -> None:
-        """Tell the decisions which part of each quota is granted."""
-        self.seat.gateway.on_granted_share_changed(part)
+    def grant_share(self, share: float) -> None:
+        """Have the decisions grant a share of each quota."""
+        self.seat.gateway.on_granted_share_changed(share)
 
-    def log(self, event: str, **facts) -> None:
+    def log(self, event: str, **fields: object) -> None:
         """Note an event."""
-        self.seat.fleet.heard.append((self.seat.now, self.seat.index, event, facts))
+        self.seat.fleet.heard.append((self.seat.now, self.seat.index, event, fields))
 
 
 class Seat:
--- a/brookhub/experiments/recovery.py
+++ b/brookhub/experiments/recovery.py
@@ -91,16 +91,16 @@
     keeper, sums = fleet.counter.keepers[0], {}
     seats = [seat for seat in fleet.seats if seat.alive]
     epochs = {seat.recovery.epochs.epoch for seat in seats}
-    if len(fleet.counter.keepers) > 1 or len(epochs) > 1 or not all(seat.recovery.sure() for seat in seats):
+    if len(fleet.counter.keepers) > 1 or len(epochs) > 1 or not all(seat.recovery.is_reconciled() for seat in seats):
         return False
     now, running = fleet.engine.now, set()
     for seat in seats:
         for name, entry in seat.recovery.ledger.entries.items():
-            sums[name] = sums.get(name, 0.0) + entry.own
-            if entry.own and entry.dies - now > 2 / 3 * entry.lives:  # of three windows' life
+            sums[name] = sums.get(name, 0.0) + entry.units
+            if entry.units and entry.expires_at - now > 2 / 3 * entry.lifetime:  # of three windows' life
                 running.add(name)
     found = seats[0].recovery.epochs
-    return all(abs(keeper.counts.get(found.name(name), [0.0])[0] - sums[name]) < 1e-3 for name in running)
+    return all(abs(keeper.counts.get(found.count_name(name), [0.0])[0] - sums[name]) < 1e-3 for name in running)
 
 
 ACTIONS = {
@@ -239,7 +239,7 @@
         "epochs": len({facts["epoch"] for _, _, event, facts in fleet.heard if "epoch" in facts}),
         "twice": sum(len(calls) > 1 for calls in watch.ran.values()),
         "both_sides": sum(len(them) > 1 for them in watch.sides.values()),
-        "resent": sum(seat.recovery.resent for seat in fleet.seats if seat.recovery),
+        "resent": sum(seat.recovery.replay.replayed_counts for seat in fleet.seats if seat.recovery),
         "counter_calls": fleet.counter.calls,
     }
 
--- a/brookhub/program/run.py
+++ b/brookhub/program/run.py
@@ -194,19 +194,17 @@
         if not start.counter:
             self.log.warning("recovery refused", why="the settings have no counter")
             return None
-        from ..recovery import Settings
-        from ..routing.recovery import Recovering
+        from ..recovery import RecoverySettings
+        from ..routing.recovery import RecoveryDriver, RecoveryDriverSettings
 
-        made = Recovering(
-            self.port,
-            self.log,
+        settings = RecoveryDriverSettings(
             start.gateway_settings.index,
             start.gateway_settings.gateways,
-            Settings(spec.beat_s, spec.missing_most),
+            RecoverySettings(spec.beat_s, spec.missing_most),
             Path(spec.ledger) if spec.ledger else None,
-            Random(start.seed ^ 1).random,
         )
-        self.port.recovery = made.core
+        made = RecoveryDriver(self.port, self.log, settings, Random(start.seed ^ 1).random)
+        self.port.recovery = made.recovery
         return made
 
     def keep(self, start: Start):
--- /dev/null
+++ b/brookhub/recovery/epoch_register.py
@@ -0,0 +1,111 @@
+"""Writes the register of an era: installs a new epoch, and copies the epoch into the next era."""
+
+from __future__ import annotations
+
+from enum import StrEnum
+from typing import Callable
+
+from ..model import Outcome
+from .epochs import MAX_TOKEN, Epochs, RegisterState
+from .ledger import MAX_LIFETIME_S
+from .ports import RecoveryPort, ignore_answer
+
+CLAIM_RETRY_INTERVALS = 0.5  # heartbeat intervals until a limiter whose claim came second reads again
+FIRST_CLAIM_BELOW = 1.5  # a claim whose total is below this is the first one (1, but for rounding)
+
+
+class EpochChangeReason(StrEnum):
+    """Why an epoch was entered; the `reason` of the log events."""
+
+    REGISTER_EMPTY = "register empty"
+    FORMER_EPOCH_RETURNED = "former epoch returned"
+    UNITS_LOST = "units lost"
+    NEW_EPOCH_READ = "new epoch read"
+
+
+EpochListener = Callable[[float, EpochChangeReason, float], None]
+"""Called with the register's value, the reason and the shared clock (s) when a new epoch was installed."""
+
+
+class EpochRegister:
+    """Writes to the registers of this era and the next one, each time after winning a claim.
+
+    `on_claim_lost` is called some time after another limiter won a claim: it will have written the register.
+    """
+
+    def __init__(
+        self,
+        port: RecoveryPort,
+        epochs: Epochs,
+        on_epoch_installed: EpochListener,
+        on_claim_lost: Callable[[], None],
+    ):
+        self._port = port
+        self._epochs = epochs
+        self._heartbeat_interval = epochs.heartbeat_interval
+        self._on_epoch_installed = on_epoch_installed
+        self._on_claim_lost = on_claim_lost
+
+    def claim(self, clock: float, value: float, reason: EpochChangeReason) -> None:
+        """Install a new epoch in place of a register's value, unless another limiter claimed that first.
+
+        A claim expires after one heartbeat interval.
+        """
+
+        def on_answer(outcome: Outcome, total: float, seconds: float) -> None:
+            if outcome is Outcome.OK and total < FIRST_CLAIM_BELOW:
+                self._install_epoch(clock, reason)
+            else:
+                self._port.later(CLAIM_RETRY_INTERVALS * self._heartbeat_interval, self._on_claim_lost)
+
+        name = self._epochs.claim_name(clock, value)
+        self._port.add_to_counter(name, 1.0, self._heartbeat_interval, on_answer)
+
+    def _install_epoch(self, clock: float, reason: EpochChangeReason) -> None:
+        """Add a random token to the register."""
+        token = 1 + int(self._port.random() * MAX_TOKEN)
+
+        def on_answer(outcome: Outcome, total: float, seconds: float) -> None:
+            if outcome is not Outcome.OK or self._epochs.classify(total) is not RegisterState.NEW:
+                return
+            self._on_epoch_installed(total, reason, clock)
+            if self._epochs.next_register_may_exist(clock):
+                self._correct_next_register(clock)
+
+        self._port.add_to_counter(self._epochs.register_name(clock), token, MAX_LIFETIME_S, on_answer)
+
+    def _correct_next_register(self, clock: float) -> None:
+        """Replace the old epoch by the current one where it was already copied into the next era."""
+        name = self._epochs.register_name(clock, 1)
+        epoch = self._epochs.epoch
+
+        def on_answer(outcome: Outcome, total: float, seconds: float) -> None:
+            copied = round(total)
+            is_copied = outcome is Outcome.OK and total > 0.5
+            if is_copied and epoch == self._epochs.epoch and epoch != copied:
+                self._port.add_to_counter(name, epoch - copied, MAX_LIFETIME_S, ignore_answer)
+
+        self._port.add_to_counter(name, 0.0, MAX_LIFETIME_S, on_answer)
+
+    def copy_to_next_era(self, clock: float) -> None:
+        """Copy the epoch into the next era's register if this limiter is due and the register is empty.
+
+        The claim keeps two limiters that are due at once from both adding the epoch: the sum of the two would
+        be another epoch.
+        """
+        if not self._epochs.is_due_to_copy(clock):
+            return
+        name = self._epochs.register_name(clock, 1)
+        epoch = self._epochs.epoch
+
+        def on_claimed(outcome: Outcome, total: float, seconds: float) -> None:
+            is_first = outcome is Outcome.OK and total < FIRST_CLAIM_BELOW
+            if is_first and epoch == self._epochs.epoch:
+                self._port.add_to_counter(name, epoch, MAX_LIFETIME_S, ignore_answer)
+
+        def on_read(outcome: Outcome, total: float, seconds: float) -> None:
+            if outcome is Outcome.OK and round(total) == 0:
+                claim_name = self._epochs.claim_name(clock, epoch, 1)
+                self._port.add_to_counter(claim_name, 1.0, self._heartbeat_interval, on_claimed)
+
+        self._port.add_to_counter(name, 0.0, MAX_LIFETIME_S, on_read)
--- a/brookhub/recovery/epochs.py
+++ b/brookhub/recovery/epochs.py
@@ -1,110 +1,157 @@
-"""Which keeper is this, and who else sees it?
+"""The epoch of the counter instance that this limiter sees, and the names that the epoch gives to counts.
 
-Two kinds of names at the counter itself tell: a register and a roll.
+All state that limiters share is kept at the counter itself, under three kinds of names:
 
-The *register* of an era (ERA s of the shared calendar) holds the keeper's epoch: a random token that whoever
-found nothing there added. A wiped or another keeper has none, or another one. It is carried into the next era
-before that begins, by whose turn it is (a name can't outlive 60 s). An epoch that had been left and comes
-back has a token added, which makes it a new one. The *roll* of a beat counts who added 1 to it: the limiters
-that see this keeper.
+- The *register* of an era (a stretch of `ERA_S` on the shared clock) holds the epoch number: a random token,
+  added by the limiter that found the register empty. A wiped or another counter instance has no token or
+  another one. As a name lives at most 60 s, the epoch is copied into the next era's register before that era
+  begins. When a former epoch comes back, a token is added to it, which makes it a new epoch.
+- The *claim* on a register's value elects the limiter that adds the token or copies the epoch: the first one
+  that adds to the claim.
+- The *membership* of an epoch counts, for each heartbeat interval, the limiters that registered in it: those
+  that see this counter instance.
 
-Whoever adds a token has *claimed* it before: the first one on a name of its own, so that one does it where
-all see the same.
+Nothing here calls the counter; `epoch_register` and `epoch_membership` do.
 """
 
 from __future__ import annotations
 
+from enum import Enum, auto
 from math import floor
+from typing import NewType
 
-from .ledger import LIVES
+from .ledger import MAX_LIFETIME_S
+from .ports import CounterKey
 
-ERA = LIVES / 3  # s of a register, so that two are alive in its second half
-TOKEN = 99_999  # the largest token: a few add up to seven digits at most, which the counter keeps exactly
-# Names beyond the decisions' 64 bits; where an epoch stands in one
-REGISTER, ROLL, CLAIM, EPOCH = 1 << 100, 2 << 100, 3 << 100, 70
+EpochNumber = NewType("EpochNumber", int)
+"""The number of an epoch; `NO_EPOCH` before the first one is known."""
 
+NO_EPOCH = EpochNumber(0)
+ERA_S = MAX_LIFETIME_S / 3  # so that in an era's second half its register and the next one are both alive
+MAX_TOKEN = 99_999  # the sum of a few has at most seven digits, which the counter keeps exactly
+MAX_FORMER_EPOCHS = 32
+MEMBERSHIP_MAX_AGE_INTERVALS = 3  # how far back a membership still says who sees the counter
 
-class Epochs:
-    """`slot` of `limiters` (settings' numbers), `beat` s.
+# Names are wider than the decisions' 64 bits; the kind of name, the epoch number and the rest are bit fields
+REGISTER_KIND = 1 << 100
+MEMBERSHIP_KIND = 2 << 100
+CLAIM_KIND = 3 << 100
+COUNT_EPOCH_SHIFT = 70
+MEMBERSHIP_EPOCH_SHIFT = 40
+MEMBERSHIP_INTERVAL_MASK = (1 << MEMBERSHIP_EPOCH_SHIFT) - 1
+CLAIM_ERA_SHIFT = 33
+CLAIM_AHEAD_SHIFT = 32
+CLAIM_VALUE_MASK = 0xFFFFFFFF
 
-    The caller reads and adds; this says what, and what the answer means.
-    """
 
-    def __init__(self, slot: int, limiters: int, beat: float):
-        self.slot, self.limiters, self.beat = slot, max(1, limiters), beat
-        self.epoch = 0  # 0: none known yet
-        self.past: list[int] = []  # epochs that were left, the last ones
-        self.rolls: dict[int, int] = {}  # beat -> limiters on its roll, the last two that are whole
-        self.since = 0  # the beat in which this epoch was entered: its own roll is not whole
+class RegisterState(Enum):
+    """What the value of a register means to this limiter."""
 
-    # names
+    EMPTY = auto()
+    CURRENT = auto()
+    NEW = auto()
+    FORMER = auto()
+    """An epoch that was left; it needs a token, so that no limiter takes its counts for complete."""
 
-    def register(self, clock: float, ahead: int = 0) -> int:
-        """The name of an era's register."""
-        return REGISTER | floor(clock / ERA) + ahead
 
-    def roll(self, clock: float, behind: int = 0) -> int:
-        """The name of a beat's roll under this epoch."""
-        return ROLL | self.epoch << 40 | floor(clock / self.beat) - behind & (1 << 40) - 1
+class Epochs:
+    """Epochs as one limiter knows them.
 
-    def claim(self, clock: float, value: float, ahead: int = 0) -> int:
-        """Whoever is the first to add here changes a register that holds `value`, or carries it `ahead`."""
-        return CLAIM | floor(clock / ERA) + ahead << 33 | ahead << 32 | round(value) & 0xFFFFFFFF
+    `slot` of `limiters` as numbered by the settings; `heartbeat_interval` in s. `clock` is always in s of the
+    shared clock.
+    """
 
-    def name(self, name: int) -> int:
-        """A count's name under this epoch.
+    def __init__(self, slot: int, limiters: int, heartbeat_interval: float):
+        self.slot = slot
+        self.limiters = max(1, limiters)
+        self.heartbeat_interval = heartbeat_interval
+        self.epoch = NO_EPOCH
+        self._former_epochs: list[EpochNumber] = []
+        self._entered_in = 0  # interval in which this epoch was entered: its membership is incomplete
+        self._member_counts: dict[int, int] = {}  # by interval, of the last two that are complete
 
-        What another keeper holds under another epoch's never mixes with it.
-        """
-        return self.epoch << EPOCH | name
+    def era_number(self, clock: float) -> int:
+        """The number of the era."""
+        return floor(clock / ERA_S)
 
-    # the register
+    def interval_number(self, clock: float) -> int:
+        """The number of the heartbeat interval."""
+        return floor(clock / self.heartbeat_interval)
 
-    def late_half(self, clock: float) -> bool:
-        """Whether the next era's register may be there already."""
-        return clock % ERA >= ERA / 2
+    # names at the counter
 
-    def carries(self, clock: float) -> bool:
-        """Whether it is this limiter's turn, or past it, to carry the epoch into the next era.
+    def register_name(self, clock: float, eras_ahead: int = 0) -> CounterKey:
+        """The name of an era's register."""
+        return CounterKey(REGISTER_KIND | self.era_number(clock) + eras_ahead)
 
-        One after another, so that one that is gone is made up for.
-        """
-        turn = (self.slot - floor(clock / ERA)) % self.limiters
-        return self.epoch > 0 and clock % ERA >= ERA / 2 * (1 + (turn + 1) / (self.limiters + 1))
+    def membership_name(self, clock: float, intervals_ago: int = 0) -> CounterKey:
+        """The name of this epoch's membership in a heartbeat interval."""
+        interval = self.interval_number(clock) - intervals_ago & MEMBERSHIP_INTERVAL_MASK
+        return CounterKey(MEMBERSHIP_KIND | self.epoch << MEMBERSHIP_EPOCH_SHIFT | interval)
 
-    def read(self, value: float) -> str:
-        """What a register's value means.
+    def claim_name(self, clock: float, value: float, eras_ahead: int = 0) -> CounterKey:
+        """The name of the claim on a register that holds `value`.
 
-        "same", "new", "empty" (a token is to be added) or "left" (an epoch that was left came back: a token
-        is to be added, so that nobody takes it for what it was).
+        `eras_ahead` is 1 for the claim on copying the value into the next era.
         """
-        value = round(value)
-        if value <= 0:
-            return "empty"
-        if value == self.epoch:
-            return "same"
-        return "left" if value in self.past else "new"
+        era = self.era_number(clock) + eras_ahead
+        field = round(value) & CLAIM_VALUE_MASK
+        return CounterKey(CLAIM_KIND | era << CLAIM_ERA_SHIFT | eras_ahead << CLAIM_AHEAD_SHIFT | field)
 
-    def enter(self, value: float, clock: float) -> None:
-        """This epoch begins; the one before is remembered."""
-        if self.epoch:
-            self.past = [*self.past[-31:], self.epoch]
-        self.epoch, self.rolls, self.since = round(value), {}, floor(clock / self.beat)
+    def count_name(self, name: int) -> CounterKey:
+        """A count's name under this epoch: counts of two epochs never mix, whichever instance has them."""
+        return CounterKey(self.epoch << COUNT_EPOCH_SHIFT | name)
 
-    # the roll
+    # the register
 
-    def rolled(self, clock: float, value: float) -> None:
-        """The roll of the beat before that of `clock`, which is whole by now."""
-        number = floor(clock / self.beat) - 1
-        if number > self.since:
-            self.rolls = {at: many for at, many in self.rolls.items() if at >= number - 1} | {
-                number: round(value)
-            }
+    def next_register_may_exist(self, clock: float) -> bool:
+        """Whether the next era's register may have been written: in an era's second half."""
+        return clock % ERA_S >= ERA_S / 2
 
-    def here(self, clock: float) -> int | None:
-        """Limiters that see this keeper: the larger of the last two whole beats' rolls.
+    def is_due_to_copy(self, clock: float) -> bool:
+        """Whether this limiter should copy the epoch into the next era's register.
 
-        None while none is known of a beat that began since this epoch was entered, or none lately.
+        Limiters become due one after another, in an order that rotates with the era, so that the next one
+        makes up for one that is down.
+        """
+        if self.epoch == NO_EPOCH:
+            return False
+        position = (self.slot - self.era_number(clock)) % self.limiters
+        return clock % ERA_S >= ERA_S / 2 * (1 + (position + 1) / (self.limiters + 1))
+
+    def classify(self, value: float) -> RegisterState:
+        """What a register's value means."""
+        number = round(value)
+        if number <= 0:
+            return RegisterState.EMPTY
+        if number == self.epoch:
+            return RegisterState.CURRENT
+        return RegisterState.FORMER if number in self._former_epochs else RegisterState.NEW
+
+    def enter(self, value: float, clock: float) -> None:
+        """Make a register's value the current epoch; the one before becomes a former epoch."""
+        if self.epoch != NO_EPOCH:
+            self._former_epochs = [*self._former_epochs[1 - MAX_FORMER_EPOCHS :], self.epoch]
+        self.epoch = EpochNumber(round(value))
+        self._member_counts = {}
+        self._entered_in = self.interval_number(clock)
+
+    # the membership
+
+    def record_member_count(self, clock: float, count: float) -> None:
+        """Record how many limiters registered in the interval before that of `clock`."""
+        interval = self.interval_number(clock) - 1
+        if interval <= self._entered_in:
+            return
+        recent = {number: value for number, value in self._member_counts.items() if number >= interval - 1}
+        self._member_counts = recent | {interval: round(count)}
+
+    def member_count(self, clock: float) -> int | None:
+        """Limiters that see this counter instance: the larger of the last two complete memberships.
+
+        None while no membership is known of an interval that began after this epoch was entered, or none of
+        the last `MEMBERSHIP_MAX_AGE_INTERVALS` intervals.
         """
-        number = floor(clock / self.beat)
-        return max((many for at, many in self.rolls.items() if at >= number - 3), default=None)
+        oldest = self.interval_number(clock) - MEMBERSHIP_MAX_AGE_INTERVALS
+        counts = [count for number, count in self._member_counts.items() if number >= oldest]
+        return max(counts, default=None)
--- a/brookhub/recovery/ledger.py
+++ b/brookhub/recovery/ledger.py
@@ -1,74 +1,79 @@
-"""Units that this limiter added to the counter, by name.
+"""The units that this limiter added to the counter, by count.
 
-In all, and of those the ones that the keeper of this epoch has.
+Per count, all of them and those that the counter instance of the current epoch has.
 """
 
 from __future__ import annotations
 
 from dataclasses import dataclass
 
-LIVES = 60.0  # s, the most that the counter keeps a name
-EXACT = 1e-6  # share by which a total may be off: the counter's are exact to seven digits
+MAX_LIFETIME_S = 60.0  # the longest that the counter keeps a name
+TOTAL_TOLERANCE = 1e-6  # relative error of a total: the counter's are exact to seven digits
 
 
 @dataclass(slots=True)
-class Entry:
-    """One name.
-
-    `own`: units added in all, net of what was given back; `held`: those sent under this epoch; `doubt`: of
-    these, added ones that no answer came for; `unseen`: noted ones, which the decisions were told no total
-    of: they must not be taken for another limiter's.
+class LedgerEntry:
+    """The units (as the counter's) of one count.
+
+    `lifetime`: s; `expires_at`: s on the limiter's monotonic clock. `units`: all that were added, net of what
+    was given back, never below 0 by this limiter's own counts. `sent`: of these, the ones sent under the
+    current epoch. `unconfirmed`: of the sent ones, those whose answer was lost: the counter may have them.
+    `deferred`: counted while totals were withheld from the decisions. No total has reported them, so they are
+    taken off later totals, or the decisions would take them for another limiter's.
     """
 
-    lives: float
-    dies: float
-    own: float = 0.0
-    held: float = 0.0
-    doubt: float = 0.0
-    unseen: float = 0.0
+    lifetime: float
+    expires_at: float
+    units: float = 0.0
+    sent: float = 0.0
+    unconfirmed: float = 0.0
+    deferred: float = 0.0
 
-    def owed(self) -> float:
-        """Units that the keeper lacks; below 0 it has some too many."""
-        return self.own - self.held
+    def outstanding(self) -> float:
+        """Units that have yet to be sent under the current epoch; below 0 too many were sent."""
+        return self.units - self.sent
 
 
 class Ledger:
-    """Names die `lives` s after their first unit here, as they do at the counter.
-
-    Times s, units as the counter's.
-    """
+    """Entries by name of the count; they expire `lifetime` s after the first add, as at the counter."""
 
     def __init__(self) -> None:
-        self.entries: dict[int, Entry] = {}
-
-    def entry(self, name: int, lives: float, now: float) -> Entry:
-        """The entry of a name, a new one where there is none or its time is over."""
-        held = self.entries.get(name)
-        if held is None or held.dies <= now:
-            held = self.entries[name] = Entry(lives, now + lives)
-        return held
-
-    def sweep(self, now: float) -> None:
-        """Forget the names whose time is over."""
-        self.entries = {name: one for name, one in self.entries.items() if one.dies > now}
-
-    def forgotten(self) -> None:
-        """Another keeper: it has nothing of this limiter's under the new epoch's names."""
-        for one in self.entries.values():
-            one.held = one.doubt = 0.0
-
-    def owing(self, now: float) -> list[int]:
-        """Names of which the keeper lacks units or has some too many, the most first, then by name."""
-        return sorted(
-            (name for name, one in self.entries.items() if one.dies > now and abs(one.owed()) > EXACT),
-            key=lambda name: (-abs(self.entries[name].owed()), name),
-        )
-
-    def lost(self, entry: Entry, held: float, total: float) -> bool:
-        """Whether this total proves that the keeper lost units.
-
-        Each limiter's net part of a name is above 0 and a name's calls come in order, so a total below what
-        this one had sent by then, without what is in doubt, can't be. Names that the counter drops before
-        their time prove nothing.
+        self.entries: dict[int, LedgerEntry] = {}
+
+    def entry(self, name: int, lifetime: float, now: float) -> LedgerEntry:
+        """The entry of a count; a new one where there is none or it has expired."""
+        entry = self.entries.get(name)
+        if entry is None or entry.expires_at <= now:
+            entry = self.entries[name] = LedgerEntry(lifetime, now + lifetime)
+        return entry
+
+    def remove_expired(self, now: float) -> None:
+        """Remove the entries that have expired."""
+        self.entries = {name: entry for name, entry in self.entries.items() if entry.expires_at > now}
+
+    def mark_all_unsent(self) -> None:
+        """Another epoch began: under it the counter has none of this limiter's units."""
+        for entry in self.entries.values():
+            entry.sent = 0.0
+            entry.unconfirmed = 0.0
+
+    def outstanding_names(self, now: float) -> list[int]:
+        """Counts with outstanding units, the largest amounts first, equal ones by name."""
+        names = [
+            name
+            for name, entry in self.entries.items()
+            if entry.expires_at > now and abs(entry.outstanding()) > TOTAL_TOLERANCE
+        ]
+        return sorted(names, key=lambda name: (-abs(self.entries[name].outstanding()), name))
+
+    def proves_lost_units(self, entry: LedgerEntry, sent: float, total: float) -> bool:
+        """Whether a total proves that the counter lost units.
+
+        `sent` is what this limiter had sent when the total was taken. Each limiter's net units are not below
+        0 and calls for one name come in order, so no correct total is below `sent` without the unconfirmed
+        units. A name that lives as long as the counter keeps any proves nothing: it may have been dropped.
         """
-        return entry.lives < LIVES and total < held - entry.doubt - EXACT * max(1.0, abs(total), held)
+        if entry.lifetime >= MAX_LIFETIME_S:
+            return False
+        tolerance = TOTAL_TOLERANCE * max(1.0, abs(total), sent)
+        return total < sent - entry.unconfirmed - tolerance
--- a/brookhub/routing/peers.py
+++ b/brookhub/routing/peers.py
@@ -140,7 +140,7 @@
         self.numbers = (live, rank, sure)
         self.port.gateway.on_membership_changed(live, rank, sure)
         if self.port.recovery:
-            self.port.recovery.fleet(sure)
+            self.port.recovery.set_fleet_size(sure)
         self.soon()
 
     def changed(self, member: str, state: int) -> None:
--- a/brookhub/routing/recovery.py
+++ b/brookhub/routing/recovery.py
@@ -1,151 +1,156 @@
-"""Recovery's driver.
+"""Recovery on sockets: the counter behind it, the clocks, the log, and the ledger's file.
 
-The counter on sockets behind it, a calendar, and the ledger's file where a disk lasts.
+The file's methods block; they are deferred until the port's lock is free.
 """
 
 from __future__ import annotations
 
-import os
+from dataclasses import dataclass
 from pathlib import Path
 from time import monotonic, time
-from typing import Callable
+from typing import Any, Callable, Protocol
 
 from ..ports import CounterCallback
-from ..recovery import Record, Recovery, Settings, UnusableError, append, scan, snapshot
+from ..recovery import (
+    CounterKey,
+    Ledger,
+    LogRecord,
+    Recovery,
+    RecoverySettings,
+    encode_record,
+    encode_snapshot,
+)
+from .ledger_file import LedgerFile, Logger
 
-WRITE = 0.1  # s between two writes of what was counted: the most that a crash loses
-SNAPSHOT = 20.0  # s between two writings of the whole ledger: names die within 60 s, and the file stays small
+APPEND_INTERVAL_S = 0.1  # between two appends to the file: the most that a crash loses
+SNAPSHOT_INTERVAL_S = 20.0  # between two snapshots: entries expire within 60 s, so the file stays small
 
 
-class Recovering:
-    """The recovery of one limiter on sockets: Port.count goes through `core`.
+class CounterClient(Protocol):
+    """The connection to the counter."""
 
-    All methods run under the port's lock, but for those that write, which the port carries out after it. A
-    recovery.RecoveryPort.
+    def count(self, name: int, amount: float, lives: float, told: CounterCallback, /) -> None:
+        """Add to a name at the counter."""
 
-    `path`: of the ledger's file, None where no disk lasts.
+
+class ShareListener(Protocol):
+    """The decisions, as far as recovery acts on them."""
+
+    def on_granted_share_changed(self, share: float, /) -> None:
+        """Grant a share (0 to 1) of each quota."""
+
+
+class SocketPort(Protocol):
+    """What recovery uses of `routing.port.SocketPort`, whose lock guards all of it."""
+
+    now: float
+    counter: CounterClient
+    gateway: ShareListener
+    todo: list[tuple[Any, ...]]  # functions with their arguments, called when the lock is free
+
+    def later(self, seconds: float, callback: Callable[[], None], /) -> None:
+        """Call back after so many seconds, under the lock."""
+
+
+@dataclass(frozen=True)
+class RecoveryDriverSettings:
+    """Settings of a limiter's recovery.
+
+    `slot` of `limiters` as numbered by the settings. `ledger_path`: the ledger's file, None where there is no
+    disk that outlives the process.
+    """
+
+    slot: int
+    limiters: int
+    recovery: RecoverySettings
+    ledger_path: Path | None = None
+
+
+class RecoveryDriver:
+    """Drives the recovery of one limiter (`recovery`) on sockets; implements `RecoveryPort`.
+
+    All methods but `start` and the constructor run under the port's lock, which guards `_unwritten`. `random`
+    returns random numbers in [0, 1).
     """
 
     def __init__(
         self,
-        port,
-        log,
-        slot: int,
-        limiters: int,
-        settings: Settings,
-        path: Path | None,
-        chance: Callable[[], float],
+        port: SocketPort,
+        logger: Logger,
+        settings: RecoveryDriverSettings,
+        random: Callable[[], float],
     ):
-        self.port, self.out, self.chance, self.path = port, log, chance, path
-        self.file, self.unwritten, self.broken = None, [], False
-        self.core = Recovery(self, slot, limiters, settings, self.read() if path else None)
-        if path:
-            self.core.on_unit = self.unit
+        self._port = port
+        self._logger = logger
+        self.random = random
+        self._unwritten: list[bytes] = []
+        self._file: LedgerFile | None = None
+        ledger: Ledger | None = None
+        if settings.ledger_path:
+            self._file = LedgerFile(settings.ledger_path, logger)
+            contents = self._file.load(monotonic(), time())
+            ledger = contents.ledger if contents else None
+        self.recovery = Recovery(
+            self, settings.slot, settings.limiters, settings.recovery, ledger, self._on_units_added
+        )
 
     def start(self) -> None:
-        """Begin to beat."""
-        self.core.start()
-        if self.path:
-            self.renew()
-            self.flush()
+        """Start the heartbeats and the writing of the ledger."""
+        self.recovery.start()
+        if self._file:
+            self._write_snapshot(self._file)
+            self._append_unwritten(self._file)
 
     # the port of recovery
 
     def now(self) -> float:
-        """Seconds on this limiter's clock."""
-        return max(self.port.now, monotonic())
+        """Seconds on this limiter's monotonic clock."""
+        return max(self._port.now, monotonic())
 
-    def clock(self) -> float:
+    def wall_clock(self) -> float:
         """Seconds on the clock that all limiters share."""
         return time()
 
-    def add(self, name: int, amount: float, lives: float, told: CounterCallback) -> None:
-        """Add to a count."""
-        self.port.counter.count(name, amount, lives, told)
+    def add_to_counter(
+        self, key: CounterKey, amount: float, lifetime: float, callback: CounterCallback
+    ) -> None:
+        """Add to a name at the counter."""
+        self._port.counter.count(key, amount, lifetime, callback)
 
     def later(self, seconds: float, callback: Callable[[], None]) -> None:
         """Call back after so many seconds."""
-        self.port.later(seconds, callback)
+        self._port.later(seconds, callback)
 
-    def grant(self, part: float) -> None:
-        """Tell the decisions which part of each quota is granted."""
-        self.port.gateway.on_granted_share_changed(part)
+    def grant_share(self, share: float) -> None:
+        """Have the decisions grant a share of each quota."""
+        self._port.gateway.on_granted_share_changed(share)
 
-    def log(self, event: str, **facts) -> None:
-        """Log an event of the recovery."""
-        self.port.todo.append((lambda: self.out.info(event, **{"what": "recovery", **facts}),))
+    def log(self, event: str, **fields: object) -> None:
+        """Write a log event when the lock is free."""
+        self._port.todo.append((lambda: self._logger.info(event, **{"what": "recovery", **fields}),))
 
     # the ledger's file
 
-    def read(self):
-        """What an earlier life counted; what can't be read is told, and the rest stands."""
-        try:
-            data = self.path.read_bytes()
-        except FileNotFoundError:
-            return None
-        except OSError as broken:
-            self.out.error("ledger not read", path=str(self.path), why=broken.strerror)
-            return None
-        try:
-            found = scan(data, monotonic(), time())
-        except UnusableError as bad:
-            self.out.error("ledger not read", path=str(self.path), why=str(bad))
-            return None
-        self.out.info(
-            "ledger read",
-            names=len(found.ledger.entries),
-            records=found.records,
-            skipped=found.skipped,
-            torn=found.torn,
-        )
-        return found.ledger
-
-    def unit(self, name: int, amount: float, lives: float) -> None:
-        """Note units that were added to a count."""
-        dies = self.core.ledger.entries[name].dies - self.now() + time()
-        self.unwritten.append(append(Record(str(name), amount, lives, dies)))
-
-    def flush(self) -> None:
-        """Have what was noted written, again and again."""
-        self.port.later(WRITE, self.flush)
-        if self.unwritten:
-            data, self.unwritten = b"".join(self.unwritten), []
-            self.port.todo.append((self.write, data))
-
-    def renew(self) -> None:
-        """The whole ledger in a new file, in place of the old."""
-        self.port.later(SNAPSHOT, self.renew)
-        self.unwritten = []
-        self.port.todo.append((self.replace, snapshot(self.core.ledger, self.now(), time())))
-
-    # outside the lock, by one thread at a time: the timers'
-
-    def replace(self, data: bytes) -> None:
-        """Put a whole new ledger in the place of the old file."""
-        try:
-            fresh = self.path.with_name(self.path.name + ".new")
-            with open(fresh, "wb") as file:
-                file.write(data)
-                file.flush()
-                os.fsync(file.fileno())
-            os.replace(fresh, self.path)
-            old, self.file = self.file, open(self.path, "ab", buffering=0)
-            if old:
-                old.close()
-            self.broken = False
-        except OSError as broken:
-            self.failed(broken)
-
-    def write(self, data: bytes) -> None:
-        """Append records to the file."""
-        try:
-            if self.file:
-                self.file.write(data)
-        except OSError as broken:
-            self.failed(broken)
-
-    def failed(self, broken: OSError) -> None:
-        """The disk does not take it: tell so once, and go on."""
-        if not self.broken:  # once, until it works again
-            self.broken = True
-            self.out.error("ledger not written", path=str(self.path), why=broken.strerror)
+    def _on_units_added(self, name: int, amount: float, lifetime: float) -> None:
+        """Keep a record of a change of the ledger until the next append."""
+        if not self._file:
+            return
+        entry = self.recovery.ledger.entries[name]
+        expires_at = entry.expires_at - self.now() + time()
+        self._unwritten.append(encode_record(LogRecord(str(name), amount, lifetime, expires_at)))
+
+    def _append_unwritten(self, file: LedgerFile) -> None:
+        """Append the records that were kept, and schedule the next append."""
+        self._port.later(APPEND_INTERVAL_S, lambda: self._append_unwritten(file))
+        if not self._unwritten:
+            return
+        data = b"".join(self._unwritten)
+        self._unwritten = []
+        self._port.todo.append((file.append, data))
+
+    def _write_snapshot(self, file: LedgerFile) -> None:
+        """Replace the file by a snapshot, which has all records that were kept; schedule the next one."""
+        self._port.later(SNAPSHOT_INTERVAL_S, lambda: self._write_snapshot(file))
+        self._unwritten = []
+        snapshot = encode_snapshot(self.recovery.ledger, self.now(), time())
+        self._port.todo.append((file.replace, snapshot))
--- a/tests/test_golden_bytes.py
+++ b/tests/test_golden_bytes.py
@@ -131,13 +131,13 @@
 
 
 def test_commands_to_the_counter_have_the_golden_bytes() -> None:
-    epochs = Epochs(slot=1, limiters=3, beat=1.0)
+    epochs = Epochs(slot=1, limiters=3, heartbeat_interval=1.0)
     epochs.epoch = 4711
     names = {
-        "register": epochs.register(1000.0, 1),
-        "roll": epochs.roll(1000.0, 1),
-        "claim": epochs.claim(1000.0, 99_999.0, 1),
-        "name in an epoch": epochs.name(7 << 31 | 5),
+        "register": epochs.register_name(1000.0, 1),
+        "roll": epochs.membership_name(1000.0, 1),
+        "claim": epochs.claim_name(1000.0, 99_999.0, 1),
+        "name in an epoch": epochs.count_name(7 << 31 | 5),
         "ejection report": ejection_reports.ByCounter(FixedClock(), 99).name(12),
     }
     commands = {name: counts.add(number, 1.0, 10.0) for name, number in names.items()}
--- a/tests/test_golden_files.py
+++ b/tests/test_golden_files.py
@@ -9,8 +9,7 @@
 
 from brookhub.config import Experiment, loads
 from brookhub.experiments import jobs, plot, sweep
-from brookhub.recovery import disk
-from brookhub.recovery.ledger import Entry, Ledger
+from brookhub.recovery import Ledger, LedgerEntry, LogRecord, encode_record, encode_snapshot, read_log
 from golden_cases import assert_golden, golden_bytes, golden_text
 
 EXPERIMENT, RESULTS = "experiment.toml", "results.jsonl"
@@ -18,10 +17,10 @@
 NOW, CALENDAR = 50.0, 1_700_000_000.0
 NAME, WIDE_NAME = 7 << 31 | 5, 4711 << 70 | 7 << 31 | 5  # a count's name, and the same in an epoch
 ENTRIES = {
-    NAME: Entry(60.0, NOW + 30.0, 12.5, 10.0, 1.0, 2.0),
-    WIDE_NAME: Entry(20.0, NOW + 5.0, -0.5),
-    1: Entry(20.0, NOW - 1.0, 3.0),  # its time is over
-    2: Entry(20.0, NOW + 9.0, 0.0),  # nothing was added
+    NAME: LedgerEntry(60.0, NOW + 30.0, 12.5, 10.0, 1.0, 2.0),
+    WIDE_NAME: LedgerEntry(20.0, NOW + 5.0, -0.5),
+    1: LedgerEntry(20.0, NOW - 1.0, 3.0),  # its time is over
+    2: LedgerEntry(20.0, NOW + 9.0, 0.0),  # nothing was added
 }
 
 
@@ -30,18 +29,21 @@
     ledger = Ledger()
     ledger.entries = dict(ENTRIES)
     return {
-        "snapshot": disk.snapshot(ledger, NOW, CALENDAR),
-        "added": disk.append(disk.Record(str(NAME), 2.0, 60.0, CALENDAR + 30.0)),
-        "given back": disk.append(disk.Record(str(NAME), -0.25, 60.0, CALENDAR + 30.0)),
-        "new name": disk.append(disk.Record("3", 1.0, 10.0, CALENDAR + 10.0)),
+        "snapshot": encode_snapshot(ledger, NOW, CALENDAR),
+        "added": encode_record(LogRecord(str(NAME), 2.0, 60.0, CALENDAR + 30.0)),
+        "given back": encode_record(LogRecord(str(NAME), -0.25, 60.0, CALENDAR + 30.0)),
+        "new name": encode_record(LogRecord("3", 1.0, 10.0, CALENDAR + 10.0)),
     }
 
 
 def ledger_content(data: bytes) -> tuple[list[tuple[int, float, float, float]], int, int, int]:
     """A file's names, each with its lifetime, end and units; records read, records skipped, bytes torn."""
-    scanned = disk.scan(data, 150.0, CALENDAR + 1.0)
-    names = [(name, entry.lives, entry.dies, entry.own) for name, entry in scanned.ledger.entries.items()]
-    return names, scanned.records, scanned.skipped, scanned.torn
+    contents = read_log(data, 150.0, CALENDAR + 1.0)
+    names = [
+        (name, entry.lifetime, entry.expires_at, entry.units)
+        for name, entry in contents.ledger.entries.items()
+    ]
+    return names, contents.records, contents.corrupt_records, contents.truncated_bytes
 
 
 def test_the_ledger_is_written_as_the_golden_records() -> None:
--- a/tests/test_recovery.py
+++ b/tests/test_recovery.py
@@ -15,15 +15,16 @@
 from brookhub.recovery import (
     Epochs,
     Ledger,
-    Record,
+    LogRecord,
     Recovery,
-    Settings,
-    UnusableError,
-    append,
-    scan,
-    snapshot,
+    RecoverySettings,
+    RegisterState,
+    UnusableLogError,
+    encode_record,
+    encode_snapshot,
+    read_log,
 )
-from brookhub.recovery.epochs import ERA
+from brookhub.recovery.epochs import ERA_S
 
 BEAT = 1.0
 
@@ -34,7 +35,7 @@
     def __init__(self, count=4, seed=1, **settings):
         self.now, self.order, self.events, self.rng = 100.0, 0, [], random.Random(seed)
         self.keepers, self.seen, self.lost = [Keeper()], {}, 0.0
-        self.logs, self.parts, self.settings = [], {}, Settings(BEAT, **settings)
+        self.logs, self.parts, self.settings = [], {}, RecoverySettings(BEAT, **settings)
         self.seats = [self.launch(n, count) for n in range(count)]
 
     def launch(self, index, count, ledger=None):
@@ -68,10 +69,10 @@
         """What the keeper holds under the epoch of who sees it."""
         seats = [one for one in self.seats if self.keeper(one.port.index) is self.keepers[keeper]]
         assert len({one.epochs.epoch for one in seats}) == 1
-        return self.keepers[keeper].counts.get(seats[0].epochs.name(name), [0.0])[0]
+        return self.keepers[keeper].counts.get(seats[0].epochs.count_name(name), [0.0])[0]
 
     def own(self, name):
-        return sum(one.ledger.entries[name].own for one in self.seats if name in one.ledger.entries)
+        return sum(one.ledger.entries[name].units for one in self.seats if name in one.ledger.entries)
 
     def said(self, event):
         return [facts for _, what, facts in self.logs if what == event]
@@ -81,14 +82,14 @@
     """Recovery's port."""
 
     def __init__(self, world, index):
-        self.world, self.index, self.chance = world, index, random.Random(index).random
+        self.world, self.index, self.random = world, index, random.Random(index).random
 
     def now(self):
         return self.world.now
 
-    clock = now
+    wall_clock = now
 
-    def add(self, name, amount, lives, told):
+    def add_to_counter(self, name, amount, lives, told):
         world = self.world
         total = world.keeper(self.index).add(name, amount, lives, world.now)
         took = 0.002 + 0.004 * world.rng.random()
@@ -99,7 +100,7 @@
     def later(self, seconds, act):
         self.world.at(self.world.now + seconds, act)
 
-    def grant(self, part):
+    def grant_share(self, part):
         self.world.parts[self.index] = part
 
     def log(self, event, **facts):
@@ -108,7 +109,7 @@
 
 def settled(world, seconds=4.5 * BEAT):
     world.run(seconds)
-    assert all(one.sure() for one in world.seats)
+    assert all(one.is_reconciled() for one in world.seats)
 
 
 @pytest.mark.parametrize("seed", range(6))
@@ -117,8 +118,8 @@
     settled(world)
     epochs = {one.epochs.epoch for one in world.seats}
     assert len(epochs) == 1 and 0 not in epochs
-    world.run(4.5 * ERA)
-    assert {one.epochs.epoch for one in world.seats} == epochs and not world.said("counter changed")
+    world.run(4.5 * ERA_S)
+    assert {one.epochs.epoch for one in world.seats} == epochs and not world.said("counter epoch changed")
     assert set(world.parts.values()) == {1.0}
 
 
@@ -127,19 +128,19 @@
     # both carried the epoch there: a false change for the whole fleet.
     world = World(60, 2)
     settled(world)
-    world.run(ERA - world.now % ERA + 0.45 * ERA)
+    world.run(ERA_S - world.now % ERA_S + 0.45 * ERA_S)
     for one in world.seats:
-        one.epochs.carries = lambda clock: True
-        one.carry(world.now)
-    world.run(2 * ERA)
-    assert not world.said("counter changed") and len({one.epochs.epoch for one in world.seats}) == 1
+        one.epochs.is_due_to_copy = lambda clock: True
+        one.register.copy_to_next_era(world.now)
+    world.run(2 * ERA_S)
+    assert not world.said("counter epoch changed") and len({one.epochs.epoch for one in world.seats}) == 1
 
 
 @pytest.mark.parametrize("at", [2.0, 8.0, 12.0, 19.5])
 @pytest.mark.parametrize("what", ["lose", "back"])
 def test_a_change_late_in_an_era_is_one_change_and_the_next_era_begins_with_it(at, what):
     world, chance = World(6, 9), random.Random(9)
-    world.run(2 * ERA - 100.0 % ERA + ERA + at - 10.0)  # so far into an era, less the faults below
+    world.run(2 * ERA_S - 100.0 % ERA_S + ERA_S + at - 10.0)  # so far into an era, less the faults below
     for _ in range(60):
         world.count(chance.randrange(6), chance.randrange(8))
         world.run(0.004)
@@ -155,10 +156,10 @@
         world.count(chance.randrange(6), chance.randrange(8))
         world.run(0.004)
     settled(world)
-    changes = len({facts["epoch"] for facts in world.said("counter changed")})
-    world.run(2 * ERA)
+    changes = len({facts["epoch"] for facts in world.said("counter epoch changed")})
+    world.run(2 * ERA_S)
     assert (
-        len({facts["epoch"] for facts in world.said("counter changed")})
+        len({facts["epoch"] for facts in world.said("counter epoch changed")})
         == changes
         == (1 if what == "lose" else 2)
     )
@@ -169,8 +170,8 @@
     settled(world)
     epoch = world.seats[0].epochs.epoch
     for gone in (0, 1, 2):
-        world.seats[gone].beat = lambda: None
-    world.run(3 * ERA)
+        world.seats[gone].heartbeat = lambda: None
+    world.run(3 * ERA_S)
     assert world.seats[3].epochs.epoch == epoch
 
 
@@ -202,7 +203,10 @@
         world.keepers[0] = old
         spend(200)
         settled(world)
-        assert world.said("counter changed")[-1]["why"] in ("another", "one that was left came back")
+        assert world.said("counter epoch changed")[-1]["reason"] in (
+            "new epoch read",
+            "former epoch returned",
+        )
         assert [world.total(name) for name in names] == pytest.approx([world.own(name) for name in names])
     spend(50)
     world.run(0.1)
@@ -233,14 +237,14 @@
     world = World(20, 2)
     settled(world)
     for gone in (3, 4):
-        world.seats[gone].beat = lambda: None
+        world.seats[gone].heartbeat = lambda: None
     world.run(6 * BEAT)
     assert world.parts[0] == 1.0
-    world.seats[5].beat = lambda: None
+    world.seats[5].heartbeat = lambda: None
     world.run(6 * BEAT)
     assert world.parts[0] == pytest.approx(17 / 20)
     for one in world.seats:
-        one.fleet(17)  # membership: three have left
+        one.set_fleet_size(17)  # membership: three have left
     assert world.parts[0] == 1.0
 
 
@@ -270,7 +274,7 @@
         world.count(chance.randrange(4), chance.randrange(5))
         world.run(0.004)
     world.lost = 0.0
-    assert not world.said("count lost") and not world.said("counter changed")
+    assert not world.said("counter lost units") and not world.said("counter epoch changed")
     world.keepers[0].counts.clear()  # what was in doubt at the old one is whole at the new one
     settled(world)
     assert [world.total(name) for name in range(5)] == [world.own(name) for name in range(5)]
@@ -289,17 +293,17 @@
     heard = world.count(1, 9, 0.0)
     world.run(2 * BEAT)
     assert heard == [(Outcome.OK, 2.0)] and world.total(9) == world.own(9) == 2.0
-    assert not world.said("count lost") and not world.said("counter changed")
+    assert not world.said("counter lost units") and not world.said("counter epoch changed")
 
 
 def test_units_that_the_counter_turned_away_are_not_the_ledger_s():
     world = World(2, 1)
     settled(world)
-    one, add = world.seats[0], world.seats[0].port.add
-    one.port.add = lambda name, amount, lives, told: told(Outcome.BUSY, 0.0, 0.0)
+    one, add = world.seats[0], world.seats[0].port.add_to_counter
+    one.port.add_to_counter = lambda name, amount, lives, told: told(Outcome.BUSY, 0.0, 0.0)
     assert world.count(0, 5, 3.0) == [(Outcome.BUSY, 0.0)]
-    one.port.add = add
-    assert one.ledger.entries[5].own == 0 == one.ledger.entries[5].owed()
+    one.port.add_to_counter = add
+    assert one.ledger.entries[5].units == 0 == one.ledger.entries[5].outstanding()
 
 
 def test_a_ledger_read_from_disk_is_added_again_where_the_counter_was_wiped_meanwhile():
@@ -307,13 +311,13 @@
     settled(world)
     world.count(1, 4, 6.0)
     world.run(0.1)
-    kept = snapshot(world.seats[1].ledger, world.now, 1e9)
-    world.seats[1].beat = world.seats[1].stroke = lambda: None  # it is gone
+    kept = encode_snapshot(world.seats[1].ledger, world.now, 1e9)
+    world.seats[1].heartbeat = world.seats[1].replay.send_batch = lambda: None  # it is gone
     world.keepers[0].counts.clear()
     world.run(4.5 * BEAT)
     # Its units are lost, unless they were kept
-    assert world.keepers[0].counts.get(world.seats[0].epochs.name(4), [0.0])[0] == 0.0
-    world.seats[1] = world.launch(1, 3, scan(kept, world.now, 1e9 + 5.0).ledger)
+    assert world.keepers[0].counts.get(world.seats[0].epochs.count_name(4), [0.0])[0] == 0.0
+    world.seats[1] = world.launch(1, 3, read_log(kept, world.now, 1e9 + 5.0).ledger)
     world.run(BEAT)
     assert world.total(4) == 6.0
 
@@ -325,23 +329,23 @@
     one = Epochs(0, 3, 1.0)
     one.enter(99_999 * 20, 50.0)
     names = [
-        one.name((2**33 - 1) << 31 | 2**31 - 1),
-        one.name(0),
-        one.register(1.8e9),
-        one.register(1.8e9, 1),
-        one.roll(1.8e9),
-        one.roll(1.8e9, 1),
-        one.claim(1.8e9, 0),
-        one.claim(1.8e9, 99_999),
+        one.count_name((2**33 - 1) << 31 | 2**31 - 1),
+        one.count_name(0),
+        one.register_name(1.8e9),
+        one.register_name(1.8e9, 1),
+        one.membership_name(1.8e9),
+        one.membership_name(1.8e9, 1),
+        one.claim_name(1.8e9, 0),
+        one.claim_name(1.8e9, 99_999),
     ]
     assert len(set(names)) == len(names) and all(len(str(name)) <= 64 for name in names)
-    before = one.name(5)
+    before = one.count_name(5)
     one.enter(7, 60.0)
     assert (
-        one.name(5) != before
-        and one.read(99_999 * 20) == "left"
-        and one.read(7) == "same"
-        and one.read(0) == "empty"
+        one.count_name(5) != before
+        and one.classify(99_999 * 20) is RegisterState.FORMER
+        and one.classify(7) is RegisterState.CURRENT
+        and one.classify(0) is RegisterState.EMPTY
     )
 
 
@@ -404,7 +408,7 @@
 def written(count=20, seed=1):
     chance = random.Random(seed)
     return [
-        Record(str((n + 1) << 71 | n), chance.choice([1.0, 2.5, -1.0]), 30.0, 1000.0 + n)
+        LogRecord(str((n + 1) << 71 | n), chance.choice([1.0, 2.5, -1.0]), 30.0, 1000.0 + n)
         for n in range(count)
     ]
 
@@ -418,43 +422,43 @@
 
 def test_a_torn_last_record_is_skipped_at_every_byte_and_nothing_else_is_lost():
     records = written(5)
-    whole = b"".join(map(append, records))
-    last = len(append(records[-1]))
+    whole = b"".join(map(encode_record, records))
+    last = len(encode_record(records[-1]))
     for cut in range(1, last):
-        found = scan(whole[:-cut], 0.0, 0.0)
-        assert {name: one.own for name, one in found.ledger.entries.items()} == sums(records[:-1])
-        assert found.torn == last - cut and found.skipped == 0
-    assert scan(whole, 0.0, 0.0).records == 5
+        found = read_log(whole[:-cut], 0.0, 0.0)
+        assert {name: one.units for name, one in found.ledger.entries.items()} == sums(records[:-1])
+        assert found.truncated_bytes == last - cut and found.corrupt_records == 0
+    assert read_log(whole, 0.0, 0.0).records == 5
 
 
 @pytest.mark.parametrize("seed", range(3))
 def test_a_record_spoilt_at_any_byte_is_skipped_and_the_others_are_read(seed):
     records, chance = written(12, seed), random.Random(seed)
-    parts = [append(one) for one in records]
+    parts = [encode_record(one) for one in records]
     for number in range(len(records) - 1):
         for place in range(len(parts[number])):
             spoilt = bytearray(parts[number])
             spoilt[place] ^= 1 << chance.randrange(8)
             data = b"".join(parts[:number]) + bytes(spoilt) + b"".join(parts[number + 1 :])
-            found = scan(data, 0.0, 0.0)
-            assert {name: one.own for name, one in found.ledger.entries.items()} == sums(
+            found = read_log(data, 0.0, 0.0)
+            assert {name: one.units for name, one in found.ledger.entries.items()} == sums(
                 records[:number] + records[number + 1 :]
             )
-            assert found.skipped
+            assert found.corrupt_records
 
 
 def test_a_snapshot_goes_before_what_is_appended_after_it_and_the_dead_are_left_out():
     ledger = Ledger()
-    ledger.entry(3, 10.0, 0.0).own = 4.0
-    ledger.entry(4, 2.0, 0.0).own = 1.0
-    data = snapshot(ledger, 1.0, 500.0) + append(Record("3", 2.0, 10.0, 509.0))
-    found = scan(data, 0.0, 503.0)
-    assert {name: one.own for name, one in found.ledger.entries.items()} == {3: 6.0} and found.ledger.entries[
-        3
-    ].dies == 6.0
-    with pytest.raises(UnusableError):
-        scan(b"not a ledger at all", 0.0, 0.0)
-    assert scan(b"", 0.0, 0.0).records == 0
+    ledger.entry(3, 10.0, 0.0).units = 4.0
+    ledger.entry(4, 2.0, 0.0).units = 1.0
+    data = encode_snapshot(ledger, 1.0, 500.0) + encode_record(LogRecord("3", 2.0, 10.0, 509.0))
+    found = read_log(data, 0.0, 503.0)
+    assert {name: one.units for name, one in found.ledger.entries.items()} == {
+        3: 6.0
+    } and found.ledger.entries[3].expires_at == 6.0
+    with pytest.raises(UnusableLogError):
+        read_log(b"not a ledger at all", 0.0, 0.0)
+    assert read_log(b"", 0.0, 0.0).records == 0
 
 
 def test_debt_is_the_most_over_any_span():
--- a/tests/test_recovery_processes.py
+++ b/tests/test_recovery_processes.py
@@ -11,7 +11,7 @@
 from brookhub.config import ConfigError, Experiment, RecoveryFile, loads
 from brookhub.experiments.processes import ProcessLab
 from brookhub.experiments.recovery import Debt, bound
-from brookhub.recovery import scan
+from brookhub.recovery import read_log
 from helpers import play_script, until
 
 # Two labs at a time are what this machine carries; each has addresses of its own
@@ -70,9 +70,11 @@
         for one in lab.limiters:
             lines = [line["event"] for line in one.lines() if line.get("what") == "recovery"]
             states = [
-                event for event in lines if event in ("counter changed", "counter split", "counter sure")
+                event
+                for event in lines
+                if event in ("counter epoch changed", "counter split detected", "counter reconciled")
             ]
-            if lines.count("counter changed") < changes or states[-1:] != ["counter sure"]:
+            if lines.count("counter epoch changed") < changes or states[-1:] != ["counter reconciled"]:
                 return False
         return True
 
@@ -115,15 +117,15 @@
     experiment = spec(6)
 
     def script(lab):
-        assert until(lambda: len(said(lab, "counter known")) == 6, 8)
+        assert until(lambda: len(said(lab, "counter epoch joined")) == 6, 8)
         time.sleep(3.0)
         lab.counter.wipe()
-        assert until(sure(lab, 1), 8), said(lab, "counter changed", "counter sure")
+        assert until(sure(lab, 1), 8), said(lab, "counter epoch changed", "counter reconciled")
         time.sleep(2.0)
 
     lab, outcome, over = play(experiment, script)
     within(over, experiment, "wipe")
-    assert len({line["epoch"] for line in said(lab, "counter changed")}) == 1
+    assert len({line["epoch"] for line in said(lab, "counter epoch changed")}) == 1
     assert outcome.result.proxied > 100
 
 
@@ -131,14 +133,14 @@
     experiment = spec(6)
 
     def script(lab):
-        assert until(lambda: len(said(lab, "counter known")) == 6, 8)
+        assert until(lambda: len(said(lab, "counter epoch joined")) == 6, 8)
         time.sleep(2.5)
         lab.counter.swap()
-        assert until(sure(lab, 1), 8), said(lab, "counter changed", "counter sure")
+        assert until(sure(lab, 1), 8), said(lab, "counter epoch changed", "counter reconciled")
         time.sleep(1.0)
         lab.counter.restore()
-        assert until(sure(lab, 2), 8), said(lab, "counter changed", "counter sure")
-        assert any(line["why"] == "one that was left came back" for line in said(lab, "counter changed"))
+        assert until(sure(lab, 2), 8), said(lab, "counter epoch changed", "counter reconciled")
+        assert any(line["reason"] == "former epoch returned" for line in said(lab, "counter epoch changed"))
         time.sleep(1.5)
 
     within(play(experiment, script)[2], experiment, "swap")
@@ -148,16 +150,17 @@
     experiment = spec(6)
 
     def script(lab):
-        assert until(lambda: len(said(lab, "counter known")) == 6, 8)
+        assert until(lambda: len(said(lab, "counter epoch joined")) == 6, 8)
         time.sleep(2.0)
         far = {one.address for one in lab.limiters[:2]}
         lab.counter.split(lambda limiter: int(limiter in far))
-        assert until(lambda: {line["part"] for line in said(lab, "counter split")} >= {0.333, 0.667}, 8), (
-            said(lab, "counter split")
-        )
+        assert until(
+            lambda: {line["granted_share"] for line in said(lab, "counter split detected")} >= {0.333, 0.667},
+            8,
+        ), said(lab, "counter split detected")
         time.sleep(3.0)
         lab.counter.heal()
-        assert until(sure(lab, 1), 10), said(lab, "counter changed", "counter sure")
+        assert until(sure(lab, 1), 10), said(lab, "counter epoch changed", "counter reconciled")
         time.sleep(1.5)
 
     lab, outcome, over = play(experiment, script)
@@ -180,7 +183,7 @@
     experiment = spec(4, rate=20.0, ledgers_last=True)
 
     def script(lab):
-        assert until(lambda: len(said(lab, "counter known")) == 4, 8)
+        assert until(lambda: len(said(lab, "counter epoch joined")) == 4, 8)
         time.sleep(2.0)
         killed = lab.limiters[1]
         kill = threading.Thread(target=lab.kill, args=(killed, 0.8), daemon=True)
@@ -188,18 +191,18 @@
         assert until(lambda: not killed.alive(), 2)
         lab.counter.wipe()
         kill.join(10.0)
-        assert until(lambda: [line["event"] for line in killed.lines()].count("counter known") == 2, 8)
-        line = [line for line in killed.lines() if line["event"] == "ledger read"][-1]
-        assert line["names"] and line["records"] and not line["skipped"]
-        assert until(lambda: len({one["node"] for one in said(lab, "counter changed")}) >= 3, 8)
+        assert until(lambda: [line["event"] for line in killed.lines()].count("counter epoch joined") == 2, 8)
+        line = [line for line in killed.lines() if line["event"] == "ledger loaded"][-1]
+        assert line["entries"] and line["records"] and not line["corrupt_records"]
+        assert until(lambda: len({one["node"] for one in said(lab, "counter epoch changed")}) >= 3, 8)
         time.sleep(2.0)
-        known = [line for line in killed.lines() if line["event"] == "counter known"][-1]
+        known = [line for line in killed.lines() if line["event"] == "counter epoch joined"][-1]
         assert (
-            known["names"]
-            and len({one["epoch"] for one in said(lab, "counter changed")} | {known["epoch"]}) == 1
+            known["entries"]
+            and len({one["epoch"] for one in said(lab, "counter epoch changed")} | {known["epoch"]}) == 1
         )
-        held = scan((tmp_path / "n1.ledger").read_bytes(), 0.0, time.time())
-        assert held.ledger.entries and not held.skipped
+        held = read_log((tmp_path / "n1.ledger").read_bytes(), 0.0, time.time())
+        assert held.ledger.entries and not held.corrupt_records
 
     lab, _, over = play(experiment, script)
     within(over, experiment, "wipe")
