--- /dev/null
+++ b/tests/test_recovery_bounds.py
@@ -0,0 +1,70 @@
+"""What customers get beyond their quotas while the counter fails, in an emulated fleet, against the bound."""
+
+import pytest
+
+from brookhub.experiments import recovery as experiment
+from brookhub.experiments.recovery import Debt
+
+
+@pytest.mark.parametrize("fault, duration_s", [("wipe", 0.0), ("lose", 0.0), ("swap", 4.0), ("split", 4.0)])
+def test_two_hundred_limiters_stay_within_the_bound_and_agree_after_the_fault(fault, duration_s):
+    """Six customers send one and a half times their quota.
+
+    Counts agree once all limiters have read the register and replayed their ledgers.
+    """
+    row = experiment.play(
+        {
+            "kind": fault,
+            "way": "on",
+            "limiters": 200,
+            "for_s": duration_s,
+            "seed": 5,
+            "few": 10,
+            "tokened": True,
+        }
+    )
+    assert not row["broken"] and row["of_bound"] <= 1.0 and row["ceiling_over"] == 0.0
+    assert row["agreed_s"] is not None and row["agreed_s"] <= 6.0
+    assert 2 <= row["epochs"] <= 5 and row["served"] > 0.5
+    # Rejected requests are sent again with their idempotency key, to any limiter
+    assert row["twice"] == 0 and (fault != "split" or row["both_sides"] > 3)
+
+
+def test_hard_ceiling_of_a_soft_plan_holds_on_both_sides_of_a_split():
+    """A customer borrows beyond its quota and sends two and a half times its ceiling.
+
+    Only the ceiling limits it, which two counter instances grant in full each. (Customers of hard plans reach
+    their quota before their ceiling, and would show nothing.)
+    """
+    rows = {
+        recovery: experiment.play(
+            {
+                "kind": "split",
+                "way": recovery,
+                "limiters": 200,
+                "for_s": 4.0,
+                "seed": 5,
+                "few": 10,
+                "plans": "national",
+            }
+        )
+        for recovery in ("off", "on")
+    }
+    assert rows["off"]["ceiling_over"] > 0.3 and rows["off"]["of_ceiling"] > 1.0
+    assert rows["on"]["ceiling_over"] == 0.0 and rows["on"]["of_bound"] <= 1.0
+    assert rows["on"]["of_ceiling"] > 0.7
+    assert not rows["on"]["broken"]
+
+
+def test_bound_follows_from_rate_burst_and_settings():
+    assert experiment.bound(20.0, 40.0, "none", 30.0, 1.0, 0.05) == 0.0
+    assert experiment.bound(20.0, 40.0, "wipe", 30.0, 1.0, 0.05) == pytest.approx(30.0 * 1.15)
+    assert experiment.bound(20.0, 40.0, "wipe", 900.0, 1.0, 0.05) == 40.0  # at most a burst
+    assert experiment.bound(20.0, 40.0, "split", 900.0, 1.0, 0.05) == pytest.approx(80.0 + 20.0 * 4.05)
+
+
+def test_debt_is_the_maximum_excess_over_any_span():
+    debt = Debt(1.0, 2.0)
+    for time in (0.0, 0.0, 0.0, 10.0, 10.0, 10.5):
+        debt.take(time, 1.0)
+    assert debt.worst == 1.0
--- a/tests/test_recovery_processes.py
+++ b/tests/test_recovery_processes.py
@@ -1,10 +1,11 @@
-"""The counter wiped, swapped, split and back again under processes of the program.
+"""Recovery of processes of the program while the counter is wiped, swapped and split.
 
-Judged by clients, servers and the counter's own record.
+Checked against the records of clients, servers and the counter.
 """
 
 import threading
 import time
+from pathlib import Path
 
 import pytest
 
@@ -30,11 +31,11 @@
         "share": 2,
     },
 ]
-BEAT = 0.5
+HEARTBEAT_INTERVAL = 0.5  # s
 
 
-def spec(limiters, rate=30.0, recovery=True, **counter):
-    """Three customers that ask for twice their quota all the time; refused ones come again, anywhere."""
+def make_experiment(limiters, rate=30.0, recovery=True, **counter):
+    """Three customers that send twice their quota; half of the rejected requests are sent again."""
     return Experiment.model_validate(
         {
             "name": "recovery",
@@ -43,7 +44,7 @@
             "fleet": {
                 "limiters": limiters,
                 "servers": {"count": 6, "places": 16, "service_s": 0.01, "warm_after_s": 1.0},
-                "counter": {"wait_s": 0.2, "recovery": recovery, "beat_s": BEAT} | counter,
+                "counter": {"wait_s": 0.2, "recovery": recovery, "beat_s": HEARTBEAT_INTERVAL} | counter,
                 "routes": ROUTES,
                 "plans": [
                     {
@@ -59,131 +60,147 @@
     )
 
 
-def said(lab, *events):
-    return [line for one in lab.limiters for line in one.lines() if line["event"] in events]
+def logged(lab, *events):
+    """The lines of log events, limiter by limiter."""
+    return [line for limiter in lab.limiters for line in limiter.lines() if line["event"] in events]
 
 
-def sure(lab, changes):
-    """All of them are sure, and each has changed its epoch so many times."""
+def logged_epochs(lab):
+    """The epochs that limiters changed to."""
+    return {line["epoch"] for line in logged(lab, "counter epoch changed")}
 
-    def look():
-        for one in lab.limiters:
-            lines = [line["event"] for line in one.lines() if line.get("what") == "recovery"]
-            states = [
-                event
-                for event in lines
-                if event in ("counter epoch changed", "counter split detected", "counter reconciled")
-            ]
-            if lines.count("counter epoch changed") < changes or states[-1:] != ["counter reconciled"]:
-                return False
-        return True
 
-    return look
+def all_joined(lab, limiters):
+    """A condition: as many limiters have joined their first epoch."""
+    return lambda: len(logged(lab, "counter epoch joined")) == limiters
+
+
+def all_reconciled(lab, changes):
+    """A condition: all limiters are reconciled, after at least so many changes of the epoch each."""
+    states = ("counter epoch changed", "counter split detected", "counter reconciled")
+
+    def is_reconciled(limiter):
+        events = [line["event"] for line in limiter.lines() if line.get("what") == "recovery"]
+        last_state = [event for event in events if event in states][-1:]
+        return events.count("counter epoch changed") >= changes and last_state == ["counter reconciled"]
+
+    return lambda: all(is_reconciled(limiter) for limiter in lab.limiters)
 
 
 @pytest.fixture
 def play(tmp_path):
-    """Plays a script beside the load; returns the outcome and units over the quota by customer."""
-    made = []
+    """Play a script beside the load; returns lab, outcome and the units beyond quota of each customer."""
+    labs = []
 
-    def begin(experiment, script):
+    def play_experiment(experiment, script):
         lab = ProcessLab(experiment, tmp_path, seed=1)
-        made.append(lab)
+        labs.append(lab)
         outcome = play_script(lab, script)
-        debts, plan = {}, experiment.fleet.plans[0]
-        for at, customer in sorted(
-            (one.answers[0][0], one.customer)
-            for one in lab.load.asked
-            if one.answers and one.answers[0][1] == "proxied"
+        plan = experiment.fleet.plans[0]
+        debts = {}
+        for time_served, customer in sorted(
+            (request.answers[0][0], request.customer)
+            for request in lab.load.asked
+            if request.answers and request.answers[0][1] == "proxied"
         ):
-            debts.setdefault(customer, Debt(plan.rate, plan.burst)).take(at, 1.0)
+            debts.setdefault(customer, Debt(plan.rate, plan.burst)).take(time_served, 1.0)
         return lab, outcome, {customer: debt.worst for customer, debt in debts.items()}
 
-    yield begin
-    for one in made:
-        one.close()
+    yield play_experiment
+    for lab in labs:
+        lab.close()
 
 
-def within(over, experiment, kind):
+def assert_within_bound(excess, experiment, fault):
+    """No customer got more beyond its quota than the bound of a fault."""
     fleet = experiment.fleet
     plan = fleet.plans[0]
-    most = bound(
-        plan.rate, plan.burst, kind, plan.calls_per_s * 1.5, fleet.counter.beat_s, fleet.counter.wait_s
+    max_excess = bound(
+        plan.rate, plan.burst, fault, plan.calls_per_s * 1.5, fleet.counter.beat_s, fleet.counter.wait_s
     )
-    assert over and max(over.values()) <= most, (over, most)
+    assert excess and max(excess.values()) <= max_excess, (excess, max_excess)
+
 
+def assert_reconciled(lab, changes, seconds=8):
+    """All limiters are reconciled within some seconds, after at least so many changes of the epoch each."""
+    assert until(all_reconciled(lab, changes), seconds), logged(
+        lab, "counter epoch changed", "counter reconciled"
+    )
 
-def test_a_wiped_counter_is_told_counted_again_and_no_quota_is_passed_beyond_the_bound(play):
-    experiment = spec(6)
+
+def test_wiped_counter_gets_one_new_epoch_and_no_quota_is_exceeded_beyond_the_bound(play):
+    experiment = make_experiment(6)
 
     def script(lab):
-        assert until(lambda: len(said(lab, "counter epoch joined")) == 6, 8)
+        assert until(all_joined(lab, 6), 8)
         time.sleep(3.0)
         lab.counter.wipe()
-        assert until(sure(lab, 1), 8), said(lab, "counter epoch changed", "counter reconciled")
+        assert_reconciled(lab, 1)
         time.sleep(2.0)
 
-    lab, outcome, over = play(experiment, script)
-    within(over, experiment, "wipe")
-    assert len({line["epoch"] for line in said(lab, "counter epoch changed")}) == 1
+    lab, outcome, excess = play(experiment, script)
+    assert_within_bound(excess, experiment, "wipe")
+    assert len(logged_epochs(lab)) == 1
     assert outcome.result.proxied > 100
 
 
-def test_swapped_for_an_empty_one_that_goes_again_and_the_old_counts_come_back(play):
-    experiment = spec(6)
+def test_counter_swapped_for_an_empty_one_and_back_stays_within_the_bound(play):
+    experiment = make_experiment(6)
 
     def script(lab):
-        assert until(lambda: len(said(lab, "counter epoch joined")) == 6, 8)
+        assert until(all_joined(lab, 6), 8)
         time.sleep(2.5)
         lab.counter.swap()
-        assert until(sure(lab, 1), 8), said(lab, "counter epoch changed", "counter reconciled")
+        assert_reconciled(lab, 1)
         time.sleep(1.0)
         lab.counter.restore()
-        assert until(sure(lab, 2), 8), said(lab, "counter epoch changed", "counter reconciled")
-        assert any(line["reason"] == "former epoch returned" for line in said(lab, "counter epoch changed"))
+        assert_reconciled(lab, 2)
+        reasons = [line["reason"] for line in logged(lab, "counter epoch changed")]
+        assert "former epoch returned" in reasons
         time.sleep(1.5)
 
-    within(play(experiment, script)[2], experiment, "swap")
+    assert_within_bound(play(experiment, script)[2], experiment, "swap")
 
 
-def test_a_split_gives_each_side_its_part_while_tokened_calls_come_again_on_either(play):
-    experiment = spec(6)
+def test_split_grants_each_side_its_share_and_retries_on_both_sides_are_served_once(play):
+    experiment = make_experiment(6)
 
     def script(lab):
-        assert until(lambda: len(said(lab, "counter epoch joined")) == 6, 8)
+        assert until(all_joined(lab, 6), 8)
         time.sleep(2.0)
-        far = {one.address for one in lab.limiters[:2]}
-        lab.counter.split(lambda limiter: int(limiter in far))
-        assert until(
-            lambda: {line["granted_share"] for line in said(lab, "counter split detected")} >= {0.333, 0.667},
-            8,
-        ), said(lab, "counter split detected")
+        far_side = {limiter.address for limiter in lab.limiters[:2]}
+        lab.counter.split(lambda limiter: int(limiter in far_side))
+
+        def both_shares_granted():
+            shares = {line["granted_share"] for line in logged(lab, "counter split detected")}
+            return shares >= {0.333, 0.667}
+
+        assert until(both_shares_granted, 8), logged(lab, "counter split detected")
         time.sleep(3.0)
         lab.counter.heal()
-        assert until(sure(lab, 1), 10), said(lab, "counter epoch changed", "counter reconciled")
+        assert_reconciled(lab, 1, seconds=10)
         time.sleep(1.5)
 
-    lab, outcome, over = play(experiment, script)
-    within(over, experiment, "split")
-    asked: dict[int, list] = {}  # by token: refused calls come again with it, through any limiter
-    for one in lab.load.asked:
-        if one.route == 2:
-            asked.setdefault(one.token, []).append(one)
-    # On both sides of the split
-    assert sum(len({one.limiter < 2 for one in them}) == 2 for them in asked.values()) > 5
-    ran: dict[bytes, set] = {}
-    for one in lab.seen:
-        if one.key and one.ran:
-            ran.setdefault(one.key, set()).add(one.call)
-    # A refused call had no effect, whichever side refused it
-    assert ran and all(len(calls) == 1 for calls in ran.values())
-
-
-def test_a_ledger_on_disk_outlives_a_kill_and_a_wipe_meanwhile(play, tmp_path):
-    experiment = spec(4, rate=20.0, ledgers_last=True)
+    lab, outcome, excess = play(experiment, script)
+    assert_within_bound(excess, experiment, "split")
+    limiters_by_token: dict[int, set] = {}  # rejected requests are sent again to any limiter
+    for request in lab.load.asked:
+        if request.route == 2:
+            limiters_by_token.setdefault(request.token, set()).add(request.limiter < 2)
+    assert sum(len(sides) == 2 for sides in limiters_by_token.values()) > 5
+    served_by_key: dict[bytes, set] = {}
+    for call in lab.seen:
+        if call.key and call.ran:
+            served_by_key.setdefault(call.key, set()).add(call.call)
+    # A rejected request had no effect, whichever side rejected it
+    assert served_by_key and all(len(calls) == 1 for calls in served_by_key.values())
+
+
+def test_ledger_on_disk_survives_a_kill_while_the_counter_is_wiped(play, tmp_path):
+    experiment = make_experiment(4, rate=20.0, ledgers_last=True)
 
     def script(lab):
-        assert until(lambda: len(said(lab, "counter epoch joined")) == 4, 8)
+        assert until(all_joined(lab, 4), 8)
         time.sleep(2.0)
         killed = lab.limiters[1]
         kill = threading.Thread(target=lab.kill, args=(killed, 0.8), daemon=True)
@@ -191,29 +208,30 @@
         assert until(lambda: not killed.alive(), 2)
         lab.counter.wipe()
         kill.join(10.0)
-        assert until(lambda: [line["event"] for line in killed.lines()].count("counter epoch joined") == 2, 8)
-        line = [line for line in killed.lines() if line["event"] == "ledger loaded"][-1]
-        assert line["entries"] and line["records"] and not line["corrupt_records"]
-        assert until(lambda: len({one["node"] for one in said(lab, "counter epoch changed")}) >= 3, 8)
-        time.sleep(2.0)
-        known = [line for line in killed.lines() if line["event"] == "counter epoch joined"][-1]
-        assert (
-            known["entries"]
-            and len({one["epoch"] for one in said(lab, "counter epoch changed")} | {known["epoch"]}) == 1
-        )
-        held = read_log((tmp_path / "n1.ledger").read_bytes(), 0.0, time.time())
-        assert held.ledger.entries and not held.corrupt_records
 
-    lab, _, over = play(experiment, script)
-    within(over, experiment, "wipe")
+        def lines_of_killed(event):
+            return [line for line in killed.lines() if line["event"] == event]
+
+        assert until(lambda: len(lines_of_killed("counter epoch joined")) == 2, 8)
+        loaded = lines_of_killed("ledger loaded")[-1]
+        assert loaded["entries"] and loaded["records"] and not loaded["corrupt_records"]
+        assert until(
+            lambda: len({line["node"] for line in logged(lab, "counter epoch changed")}) >= 3,
+            8,
+        )
+        time.sleep(2.0)
+        joined = lines_of_killed("counter epoch joined")[-1]
+        assert joined["entries"] and len(logged_epochs(lab) | {joined["epoch"]}) == 1
+        contents = read_log((tmp_path / "n1.ledger").read_bytes(), 0.0, time.time())
+        assert contents.ledger.entries and not contents.corrupt_records
 
+    lab, _, excess = play(experiment, script)
+    assert_within_bound(excess, experiment, "wipe")
 
-def test_without_the_operator_s_file_the_counter_hears_the_decisions_names_alone(play):
-    """`run` on the operators' platform names no such file.
 
-    No register, no roll, no epochs, and nothing of it in the log.
-    """
-    experiment = spec(3, recovery=False)
+def test_without_a_recovery_file_the_counter_gets_only_the_names_of_the_decisions(play):
+    """The operators' platform names no recovery file: no register, no membership, no epochs, no log event."""
+    experiment = make_experiment(3, recovery=False)
 
     def script(lab):
         time.sleep(4.0)
@@ -221,21 +239,21 @@
     lab, _, _ = play(experiment, script)
     names = [int(name) for name in lab.counter.totals]
     assert names and max(names) < 2**64
-    assert not [line for one in lab.limiters for line in one.lines() if line.get("what") == "recovery"]
+    assert not [
+        line for limiter in lab.limiters for line in limiter.lines() if line.get("what") == "recovery"
+    ]
 
 
 @pytest.mark.parametrize(
     "text, key",
     [("beat_s = 0.0\n", "beat_s"), ("missing_most = 1.0\n", "missing_most"), ("bet_s = 1.0\n", "bet_s")],
 )
-def test_a_file_that_cannot_be_used_is_told_with_its_key(text, key):
-    with pytest.raises(ConfigError) as refused:
+def test_invalid_recovery_file_is_rejected_with_key_and_line(text, key):
+    with pytest.raises(ConfigError) as rejected:
         loads(text, RecoveryFile, "recovery.toml")
-    assert refused.value.key == key and refused.value.line == 1
-
+    assert rejected.value.key == key and rejected.value.line == 1
 
-def test_the_example_file_is_one_that_can_be_used():
-    from pathlib import Path
 
+def test_example_recovery_file_is_valid():
     text = (Path(__file__).parent.parent / "deploy" / "recovery.example.toml").read_text()
     assert loads(text, RecoveryFile, "recovery.example.toml").beat_s == 1.0
