--- a/brookhub/recovery/counting.py
+++ b/brookhub/recovery/counting.py
@@ -15,9 +15,9 @@
 from .replay import NEVER_ADDED, LedgerReplay
 
 
-@dataclass(frozen=True, slots=True)
+@dataclass(slots=True)
 class PendingCount:
-    """A count whose answer is awaited.
+    """A count whose answer is awaited; not changed once made (frozen costs 1 to 2 us on each count).
 
     `amount`: units of this count. `sent_amount`: these and the entry's outstanding ones, in one call.
     `entry_sent`: the entry's sent units right after the call.
