--- a/brookhub/experiments/recovery.py
+++ b/brookhub/experiments/recovery.py
@@ -91,7 +91,11 @@
     keeper, sums = fleet.counter.keepers[0], {}
     seats = [seat for seat in fleet.seats if seat.alive]
     epochs = {seat.recovery.epochs.epoch for seat in seats}
-    if len(fleet.counter.keepers) > 1 or len(epochs) > 1 or not all(seat.recovery.is_reconciled() for seat in seats):
+    if (
+        len(fleet.counter.keepers) > 1
+        or len(epochs) > 1
+        or not all(seat.recovery.is_reconciled() for seat in seats)
+    ):
         return False
     now, running = fleet.engine.now, set()
     for seat in seats:
@@ -100,7 +104,9 @@
             if entry.units and entry.expires_at - now > 2 / 3 * entry.lifetime:  # of three windows' life
                 running.add(name)
     found = seats[0].recovery.epochs
-    return all(abs(keeper.counts.get(found.count_name(name), [0.0])[0] - sums[name]) < 1e-3 for name in running)
+    return all(
+        abs(keeper.counts.get(found.count_name(name), [0.0])[0] - sums[name]) < 1e-3 for name in running
+    )
 
 
 ACTIONS = {
