--- a/brookhub/recovery/ledger.py
+++ b/brookhub/recovery/ledger.py
@@ -16,7 +16,7 @@
     """The units (as the counter's) of one count.
 
     `lifetime`: s; `expires_at`: s on the limiter's monotonic clock. `units`: all that were added, net of what
-    was given back, never below 0 by this limiter's own counts. `sent`: of these, the ones sent under the
+    was given back (`counting` gives back at most these). `sent`: of these, the ones sent under the
     current epoch. `unconfirmed`: of the sent ones, those whose answer was lost: the counter may have them.
     `deferred`: counted while totals were withheld from the decisions. No total has reported them, so they are
     taken off later totals, or the decisions would take them for another limiter's.
--- a/brookhub/routing/recovery.py
+++ b/brookhub/routing/recovery.py
@@ -29,7 +29,7 @@
 class CounterClient(Protocol):
     """The connection to the counter."""
 
-    def count(self, name: int, amount: float, lives: float, told: CounterCallback, /) -> None:
+    def count(self, name: int, amount: float, lifetime: float, callback: CounterCallback, /) -> None:
         """Add to a name at the counter."""
 
 
