--- a/brookhub/routing/peers.py
+++ b/brookhub/routing/peers.py
@@ -130,7 +130,7 @@
         """Membership tells how many are there."""
         self.port.gateway.on_membership_changed(live, rank, sure)
         if self.port.recovery:
-            self.port.recovery.fleet(sure)
+            self.port.recovery.set_fleet_size(sure)
         self.fleet_log.on_membership_changed(live, rank, sure)
 
     def changed(self, member: str, state: int) -> None:
