--- a/brookhub/routing/clients.py
+++ b/brookhub/routing/clients.py
@@ -1,261 +1,284 @@
-"""All connections of clients: who may connect, who is closed for whom, and how many requests are open."""
+"""All connections of clients: which are accepted and closed, and how many requests may be open."""
 
 from __future__ import annotations
 
+import socket
 from dataclasses import dataclass
-from itertools import islice
 from time import monotonic
 from typing import Callable
 
 from ..protocol import request_codec, resp
+from ..protocol.request_codec import ParsedRequest
 from ..registry import CustomerRegistry
 from ..site import GatewaySettings
 from ..transport.close_reason import CloseReason
 from ..transport.sockets import set_blocking_timeouts
 from ..transport.threads import start_thread
-from .client_connection import LATEST, ClientConnection, ClientRequest, PendingResponse
+from .client_connection import MAX_RESPONSE_DELAY, ClientConnection
+from .client_request import ClientRequest, PendingResponse
+from .client_table import ClientTable, OrderedConnections
+from .connections import ConnectionLog
+from .port import SocketGatewayPort
+from .request_decoder import RequestDecoder
+from .suspension import SuspensionDetector
 
-STOPPED = 1.0  # s that a look at the connections may come late before the process counts as stopped
-LOOKS = 8  # idle connections looked at for one that can be closed, at a time
+CHECKS_PER_TIMEOUT = 8  # checks for stale connections during the time a first request may take
+MEMORY_OVERRUN = 1.5  # of `max_unread_bytes`, from which clients that do not read are disconnected
 
 
 @dataclass(frozen=True)
 class ClientLimits:
-    """What clients may take of the program. Times in seconds."""
+    """Limits of what clients may use. Times in seconds."""
 
     max_connections: int
-    spare_connections: int  # beyond that, while those that make room are being closed
+    spare_connections: int  # beyond that, while the connections that were evicted are closed
     max_open_requests: int
-    max_unread_bytes_per_client: int  # of answers that one client has not read, behind the first
-    max_unread_bytes: int  # of all clients, and of requests' bodies
-    write_timeout: float  # that a client may leave its answers unread
-    linger_time: float  # for a client to hear that its connection ends
-    first_request_timeout: float  # until a connection is closed on which nothing whole came
-    idle_timeout: float  # until one is closed on which nothing is open
+    max_unread_bytes_per_client: int  # of responses behind the one that is being written
+    max_unread_bytes: int  # of the responses and open requests of all clients
+    write_timeout: float  # that a client may leave its responses unread
+    linger_time: float  # from a graceful shutdown of a connection to its end
+    first_request_timeout: float  # from accept to the first complete command
+    idle_timeout: float  # without an open request
+
+
+@dataclass
+class ClientUsage:
+    """What the open requests of all clients use. Guarded by the event loop's lock."""
+
+    request_bytes: int = 0  # of open requests
+    response_bytes: int = 0  # of responses not yet passed to a stream
 
 
 class Clients:
-    """All client connections. Its methods but for `on_accepted` are called under the port's lock."""
+    """All connections of clients. Implements `client_connection.ClientConnectionOwner`.
+
+    Its methods but `on_accepted`, `start` and `_refuse` are called under the event loop's lock, which guards
+    all fields; the settings, `decoder` and the callbacks never change.
+    """
 
     def __init__(
         self,
-        port,
-        log_end: Callable,
+        port: SocketGatewayPort,
+        log_closed: ConnectionLog,
         settings: GatewaySettings,
-        fit: Callable[[], bool],
+        is_ready: Callable[[], bool],
         limits: ClientLimits,
-    ):
-        """`fit`: whether the program can serve; `log_end`: told of each connection's end."""
-        self.port, self.log_end, self.fit, self.limits = port, log_end, fit, limits
-        self.routes = {route.name.encode(): route for route in settings.routes}
-        self.plans = {plan.name.encode(): plan for plan in settings.plans}
-        self.gateways, self.largest = settings.gateways, settings.max_request_units
-        self.held = 0  # bytes of answers not yet written
-        self.customers = CustomerRegistry()
-        self.connections: dict[ClientConnection, None] = {}
-        self.idle: dict[ClientConnection, None] = {}  # those without an open command, the longest idle first
-        self.mute: dict[ClientConnection, None] = {}  # those that never sent a whole one, the oldest first
-        # No idle one is closed for another or for its age; each after its answer
-        self.stopping = self.closing = False
-        self.ids: set[int] = set()  # of the calls that are open
-        self.sweeps_at = port.now + limits.first_request_timeout  # when the next look at them is due
-        self.woke_at = (
-            self.slept_for
-        ) = -1.0  # when this process last was found to have been stopped, and how long
-        # Descriptors not yet given back; API calls, bytes of them
-        self.living = self.open_calls = self.asked = 0
-
-    def on_accepted(self, sock) -> None:
-        """A client connected. Called by the thread that accepts, without the lock."""
+    ) -> None:
+        """`is_ready`: whether this gateway can serve; `log_closed`: called without the lock."""
+        self.loop = port
+        self.log_closed = log_closed
+        self.is_ready = is_ready
+        self.limits = limits
+        self.decoder = RequestDecoder(settings)
+        self.table = ClientTable()
+        self.usage = ClientUsage()
+        self.open_request_ids: set[int] = set()
+        self._customers = CustomerRegistry()
+        self._check_interval = limits.first_request_timeout / CHECKS_PER_TIMEOUT
+        self._suspension = SuspensionDetector(
+            self._check_interval, first_check_by=port.now + limits.first_request_timeout
+        )
+        self._is_shutting_down = False  # no idle connection is closed for another or for its age
+        self._is_draining = False  # each connection is closed once it has no open request
+
+    @property
+    def connections(self) -> OrderedConnections:
+        """All open connections."""
+        return self.table.connections
+
+    # Accepting and closing connections
+
+    def on_accepted(self, sock: socket.socket) -> None:
+        """Take in an accepted socket. Called by the listener's thread without the lock."""
         try:
             set_blocking_timeouts(sock, writing=self.limits.write_timeout)
         except OSError:
-            return sock.close()
-        client = ClientConnection(self, sock)
-        self.port.run(monotonic(), self.welcome, client)
-
-    def welcome(self, client: ClientConnection) -> None:
-        """Take a connection in, make room for it, or turn it away."""
-        if self.living >= self.limits.max_connections:
-            oldest = self.to_leave()
-            if not oldest or self.living >= self.limits.max_connections + self.limits.spare_connections:
-                self.port.defer(self.turn_away, client)
-                return
-            self.leave(oldest, CloseReason.EVICTED)
-        self.living += 1
-        self.woken()
-        if self.port.now - self.woke_at < LATEST:
-            client.waited = client.stream.oldest_unread_age(
-                self.slept_for
-            )  # it may have come up while nobody accepted
-        client.idle_at = self.port.now
-        self.connections[client] = self.mute[client] = None
-        self.port.defer(self.start, client)
-
-    def to_leave(self) -> ClientConnection | None:
-        """Whom to close for another.
-
-        First who had time and said nothing, so that a flood of such costs the others nothing, then who is
-        idle longest.
-        """
-        mute = self.longest(self.mute)
-        if mute and (self.stopping or self.port.now - mute.idle_at > self.limits.first_request_timeout / 8):
-            return mute
-        return mute if self.stopping else self.longest(self.idle) or mute
+            sock.close()
+            return
+        connection = ClientConnection(self, sock)
+        self.loop.run(monotonic(), self.admit, connection)
+
+    def admit(self, connection: ClientConnection) -> None:
+        """Take a new connection in; at the limit, evict another for it or refuse it."""
+        if self.table.open_descriptors >= self.limits.max_connections and not self._evict():
+            self.loop.defer(self._refuse, connection)
+            return
+        self.table.open_descriptors += 1
+        self.check_suspension()
+        if self.loop.now - self._suspension.last_ended_at < MAX_RESPONSE_DELAY:
+            # It may have been established, and its request sent, during the suspension
+            connection.suspension_delay = connection.stream.oldest_unread_age(self._suspension.last_duration)
+        self.table.add(connection, self.loop.now)
+        self.loop.defer(self.start, connection)
+
+    def _evict(self) -> bool:
+        """Close a connection for a new one, unless too many are being closed already; whether one is."""
+        evictable = self.table.find_evictable(self.loop.now, self._check_interval, self._is_shutting_down)
+        descriptor_limit = self.limits.max_connections + self.limits.spare_connections
+        if evictable is None or self.table.open_descriptors >= descriptor_limit:
+            return False
+        self.disconnect(evictable, CloseReason.EVICTED)
+        return True
+
+    def _refuse(self, connection: ClientConnection) -> None:
+        """Close a connection that was not taken in. Called without the lock."""
+        connection.stream.close()
+        self.log_closed("client", CloseReason.CONNECTION_LIMIT, None, 0.0, 0)
+
+    def start(self, connection: ClientConnection) -> None:
+        """Start the thread of a connection. Called without the lock."""
+        if not start_thread("client", connection.run):
+            connection.stream.close()
+            self.loop.run(monotonic(), connection.on_closed)
+            self.log_closed("client", CloseReason.NO_THREAD, None, 0.0, 0)
+
+    def disconnect(self, connection: ClientConnection, reason: CloseReason) -> None:
+        """Close a connection at once; the client sends what it now may send on another."""
+        connection.is_closing = True
+        self.table.remove(connection)
+        self.loop.defer(connection.stream.abort, reason)
+
+    def _shutdown_gracefully(self, connection: ClientConnection) -> None:
+        """Close a connection without an open request, leaving the client some time to close it itself."""
+        connection.is_closing = True
+        self.loop.defer(connection.stream.shutdown_gracefully, CloseReason.DRAINING)
+        self.loop.later(
+            self.limits.linger_time,
+            lambda: self.loop.defer(connection.stream.abort, CloseReason.DRAINING),
+        )
 
-    def longest(self, held: dict[ClientConnection, None]) -> ClientConnection | None:
-        """Those that have asked, though their thread has not come to it, begin anew.
+    def on_closed(self, connection: ClientConnection) -> None:
+        """A connection is closed: its client waits for nothing any more."""
+        self.table.open_descriptors -= 1
+        self.table.remove(connection)
+        self.fail_requests_of(connection)
+        self.usage.response_bytes -= connection.pending_bytes()
 
-        Not so in midst of a command.
-        """
-        for client in list(islice(held, LOOKS)):
-            if len(client.stream.inbound) or not client.stream.has_unread_bytes():
-                return client
-            del held[client]
-            held[client] = None
-            client.idle_at = self.port.now
-        return None
-
-    def leave(self, client: ClientConnection, reason: CloseReason) -> None:
-        """Close it between two commands. What it now may ask crosses the end: it asks again elsewhere."""
-        client.parting = True
-        self.forget(client)
-        self.port.defer(client.stream.abort, reason)
-
-    def woken(self) -> None:
-        """See whether this process was stopped for a while (a signal, a paused machine).
-
-        What came to its connections meanwhile has lain there: a call whose time that cost is not begun and
-        its connection ends, others have so much less.
+    # Regular checks
+
+    def check_suspension(self) -> None:
+        """Find out whether this process was suspended; if so, see since when each connection may be unread.
+
+        A request whose time has passed unread is not begun and its connection is closed; others have so much
+        less time left.
         """
-        late = self.port.now - self.sweeps_at
-        if late > STOPPED:
-            self.sweeps_at = self.port.now
-            self.woke_at, self.slept_for = self.port.now, late + self.limits.first_request_timeout / 8
-            for client in list(self.connections):
-                client.waited = client.stream.oldest_unread_age(self.slept_for)
-            self.port.defer(self.port.log_suspension, self.slept_for)
+        if self._suspension.is_resumed(self.loop.now):
+            duration = self._suspension.last_duration
+            for connection in self.table.connections:
+                connection.suspension_delay = connection.stream.oldest_unread_age(duration)
+            self.loop.defer(self.loop.log_suspension, duration)
 
     def close_stale_connections(self) -> None:
-        """Close who connected and sent nothing whole, and who has been idle for long."""
-        self.woken()
-        self.sweeps_at = self.port.now + self.limits.first_request_timeout / 8
-        self.port.later(self.limits.first_request_timeout / 8, self.close_stale_connections)
-        kinds = [
-            (self.mute, self.limits.first_request_timeout, CloseReason.NO_REQUEST),
-            (self.idle, self.limits.idle_timeout, CloseReason.IDLE_TIMEOUT),
-        ]
-        for held, most, reason in kinds[:1] if self.stopping else kinds:
-            while held and self.port.now - next(iter(held)).idle_at > most:
-                client = self.longest(held)
-                if client and self.port.now - client.idle_at > most:
-                    self.leave(client, reason)
-
-    def turn_away(self, client: ClientConnection) -> None:
-        """Close a connection for which there is no room. Without the lock."""
-        client.stream.close()
-        self.log_end("client", CloseReason.CONNECTION_LIMIT, None, 0.0, 0)
-
-    def start(self, client: ClientConnection) -> None:
-        """Begin to read a connection. Without the lock."""
-        if not start_thread("client", client.run):
-            client.stream.close()
-            self.port.run(monotonic(), client.left)
-            self.log_end("client", CloseReason.NO_THREAD, None, 0.0, 0)
-
-    def call(self, slot: PendingResponse, wording: request_codec.ParsedRequest, waited: float = 0.0) -> None:
-        """Have a request decided; `waited`: s that it may have lain unread."""
-        route, plan = self.routes[wording.route_name], self.plans[wording.plan_name]
-        if wording.request_id in self.ids:
-            return slot.complete(resp.encode_error("ERR the id is that of another open call"))
-        if (
-            self.open_calls >= self.limits.max_open_requests
-            or self.asked + self.held + wording.size_bytes > self.limits.max_unread_bytes
-        ):
-            return slot.complete(request_codec.encode_rejected(0.0))
-        customer = self.customers.find(wording.customer_id, plan)
+        """Close connections without a first command in time, and idle ones; again at regular intervals."""
+        self.check_suspension()
+        self._suspension.on_check(self.loop.now)
+        self.loop.later(self._check_interval, self.close_stale_connections)
+        limits = self.limits
+        self._close_older_than(
+            limits.first_request_timeout, self.table.without_command, CloseReason.NO_REQUEST
+        )
+        if not self._is_shutting_down:
+            self._close_older_than(limits.idle_timeout, self.table.idle, CloseReason.IDLE_TIMEOUT)
+
+    def _close_older_than(self, timeout: float, connections: OrderedConnections, reason: CloseReason) -> None:
+        now = self.loop.now
+        while connections and now - next(iter(connections)).idle_since > timeout:
+            connection = self.table.find_oldest(connections, now)
+            if connection and now - connection.idle_since > timeout:
+                self.disconnect(connection, reason)
+
+    # Requests and responses
+
+    def on_command(self, connection: ClientConnection) -> None:
+        """A connection has an open request, and is not closed as long as it has."""
+        self.table.mark_active(connection)
+
+    def handle_request(self, response: PendingResponse, parsed: ParsedRequest, delay: float) -> None:
+        """Have a request decided that may have been unread for `delay` seconds."""
+        if parsed.request_id in self.open_request_ids:
+            response.complete(resp.encode_error("ERR the id is that of another open call"))
+            return
+        if self._exceeds_request_limits(parsed):
+            response.complete(request_codec.encode_rejected(0.0))
+            return
+        assert parsed.route_name is not None and parsed.plan_name is not None  # checked by the decoder
+        route = self.decoder.routes[parsed.route_name]
+        plan = self.decoder.plans[parsed.plan_name]
         request = ClientRequest(
-            wording.request_id,
-            customer,
+            parsed.request_id,
+            self._customers.find(parsed.customer_id, plan),
             route,
-            self.port.now + min(wording.time_left, route.client_timeout) - waited,
-            wording.units,
-            wording.quota_holders,
-            wording.first_gateway,
-            wording.is_retry,
-            wording.is_write,
-            parsed=wording,
-            response=slot,
+            self.loop.now + min(parsed.time_left, route.client_timeout) - delay,
+            parsed.units,
+            parsed.quota_holders,
+            parsed.first_gateway,
+            parsed.is_retry,
+            parsed.is_write,
+            parsed=parsed,
+            response=response,
         )
-        self.ids.add(wording.request_id)
-        slot.request, self.open_calls, self.asked = (
-            request,
-            self.open_calls + 1,
-            self.asked + wording.size_bytes,
-        )
-        self.port.gateway.on_request(request)
-
-    def answered(self, slot: PendingResponse) -> None:
-        """A request has its answer, which may not be written yet."""
-        if slot.request:
-            self.ids.discard(slot.request.id)
-            self.open_calls -= 1
-            self.asked -= slot.request.parsed.size_bytes
-            slot.request.parsed = None  # it is not sent any more
-        if not slot.client.gone:
-            self.held += slot.size
-
-    def holds_too_much(self, client: ClientConnection) -> bool:
-        """Whether the answers that a client leaves unread take memory that others need."""
-        return (
-            self.held > 1.5 * self.limits.max_unread_bytes
-            or client.unread() - client.slots[0].size > self.limits.max_unread_bytes_per_client
-        )
-
-    def settled(self, client: ClientConnection) -> None:
-        """All that was asked on a connection is answered and on its way."""
-        if client.gone or client.parting:
+        response.request = request
+        self.open_request_ids.add(parsed.request_id)
+        self.usage.request_bytes += parsed.size_bytes
+        self.loop.gateway.on_request(request)
+
+    def _exceeds_request_limits(self, parsed: ParsedRequest) -> bool:
+        if len(self.open_request_ids) >= self.limits.max_open_requests:
+            return True
+        used_bytes = self.usage.request_bytes + self.usage.response_bytes
+        return used_bytes + parsed.size_bytes > self.limits.max_unread_bytes
+
+    def on_response_completed(self, response: PendingResponse, is_connected: bool) -> None:
+        """A request is finished; its response takes memory until it is written."""
+        request = response.request
+        if request and request.parsed:
+            self.open_request_ids.discard(request.id)
+            self.usage.request_bytes -= request.parsed.size_bytes
+            request.parsed = None  # it is not sent any more, while the decisions may keep the request
+        if is_connected:
+            self.usage.response_bytes += response.size_bytes
+
+    def on_response_written(self, response: PendingResponse) -> None:
+        """A response takes no memory here any more."""
+        self.usage.response_bytes -= response.size_bytes
+
+    def on_all_responses_written(self, connection: ClientConnection) -> None:
+        """A connection has no open request: it is idle, or closed where this gateway drains."""
+        if connection.is_closed or connection.is_closing:
             return
-        if self.closing:
-            self.part(client)
+        if self._is_draining:
+            self._shutdown_gracefully(connection)
         else:
-            client.idle_at = self.port.now
-            self.idle[client] = None
-
-    def part(self, client: ClientConnection) -> None:
-        """End the sending between two API calls, and all once the client had time to hear of it."""
-        client.parting = True
-        self.port.defer(client.stream.shutdown_gracefully, CloseReason.DRAINING)
-        self.port.later(
-            self.limits.linger_time,
-            lambda: self.port.defer(client.stream.abort, CloseReason.DRAINING),
-        )
+            self.table.mark_idle(connection, self.loop.now)
+
+    def exceeds_memory_limits(self, connection: ClientConnection) -> bool:
+        """Whether the responses that a client does not read take memory that others need."""
+        if self.usage.response_bytes > MEMORY_OVERRUN * self.limits.max_unread_bytes:
+            return True
+        waiting_bytes = connection.pending_bytes() - connection.pending_responses[0].size_bytes
+        return waiting_bytes > self.limits.max_unread_bytes_per_client
 
-    def forget(self, client: ClientConnection) -> None:
-        """A connection is no longer looked after."""
-        self.connections.pop(client, None)
-        self.idle.pop(client, None)
-        self.mute.pop(client, None)
+    # Graceful shutdown
 
     def begin_shutdown(self) -> None:
-        """The end is near: what crosses the close of a connection may find no other way in any more."""
-        self.stopping = True
+        """Close no idle connection any more: its client might find no other gateway in time."""
+        self._is_shutting_down = True
 
     def drain(self) -> None:
-        """From now on a connection ends as soon as all that came on it is answered."""
-        self.closing = True
-        for client in [one for one in (*self.idle, *self.mute) if not one.stream.has_unread_bytes()]:
-            self.part(client)
-            self.idle.pop(client, None)
-            self.mute.pop(client, None)
-
-    def give_up(self, client: ClientConnection) -> None:
-        """Have the decisions end what is open on a connection, as of a client that left."""
-        for slot in list(client.slots):
-            if slot.said is None and slot.request:
-                self.port.gateway.on_client_disconnected(slot.request)
+        """Close each connection as soon as all that was received on it has its response."""
+        self._is_draining = True
+        for connection in list(self.table.without_open_request()):
+            if not connection.stream.has_unread_bytes():
+                self._shutdown_gracefully(connection)
+                self.table.mark_active(connection)
+
+    def fail_requests_of(self, connection: ClientConnection) -> None:
+        """Have the decisions finish the open requests of a connection, as its client has left."""
+        for response in list(connection.pending_responses):
+            if response.parts is None and response.request:
+                self.loop.gateway.on_client_disconnected(response.request)
 
     def fail_open_requests(self) -> None:
-        """Answer all that is still open: the program is about to end."""
-        for client in list(self.connections):
-            self.give_up(client)
+        """Have the decisions finish all open requests: the program is about to end."""
+        for connection in list(self.table.connections):
+            self.fail_requests_of(connection)
--- a/brookhub/routing/connections.py
+++ b/brookhub/routing/connections.py
@@ -1,4 +1,4 @@
-"""What the threads of all connections do alike: read to the end, and dial again."""
+"""What the threads of all connections do alike: read until the end, log it, and connect again."""
 
 from __future__ import annotations
 
@@ -14,47 +14,47 @@
 from ..transport.close_reason import CloseReason
 from ..transport.sockets import connect
 from ..transport.threads import start_thread
+from .event_loop import ErrorReporter, EventLoop
 
 THREAD_RETRY_PAUSE = 0.5  # s until a thread that the system could not start is tried again
 MIN_BACKOFF = 0.05  # s between two attempts to connect, also where `max_silence` is exceeded
 
 
 def read_until_closed(
-    wait: Callable[[], bool], took: Callable[[float], bool | None], faults: Callable
+    wait: Callable[[], bool], on_readable: Callable[[float], bool | None], report_error: ErrorReporter
 ) -> CloseReason:
-    """Have whatever comes taken in, until the connection ends or `took` has enough.
+    """Wait for bytes again and again, until the connection is closed. Runs in the connection's thread.
 
-    The reason why it ended.
+    `wait` returns False at the end of the connection, or raises OSError; `on_readable` is called with the
+    time (s, monotonic) of what has come, and returns True to end the reading. Returns why it ended.
     """
     try:
         while wait():
-            if took(monotonic()):
+            if on_readable(monotonic()):
                 break
         return CloseReason.CLOSED
     except BlockingIOError:
         return CloseReason.READ_TIMEOUT
     except OSError:
         return CloseReason.RESET
-    except MalformedError as bad:
-        return bad.reason
-    except Exception as met:
-        faults(met)
+    except MalformedError as error:
+        return error.reason
+    except Exception as error:  # thread boundary: the error ends this connection alone
+        report_error(error)
         return CloseReason.INTERNAL_ERROR
 
 
-def start_thread_with_retry(port, name: str, work: Callable[[], None]) -> None:
-    """Start a thread that the program can't do without.
+def start_thread_with_retry(loop: EventLoop, name: str, work: Callable[[], object]) -> None:
+    """Start a thread that the program needs, again after a pause where the system can't start one.
 
-    Again and again where the system has none left to give.
-
-    Called outside the port's lock.
+    Called without the event loop's lock.
     """
     if not start_thread(name, work):
-        port.run(
+        loop.run(
             monotonic(),
-            port.later,
+            loop.later,
             THREAD_RETRY_PAUSE,
-            lambda: port.defer(start_thread_with_retry, port, name, work),
+            lambda: loop.defer(start_thread_with_retry, loop, name, work),
         )
 
 
@@ -80,9 +80,6 @@
         """
 
 
-ErrorLog = Callable[[BaseException], None]
-"""Logs an unexpected exception with its traceback."""
-
 ConnectionHandler = Callable[[socket.socket], tuple[CloseReason, int]]
 """Reads a connection until it is closed; returns why, and how many responses it brought."""
 
@@ -106,7 +103,7 @@
         settings: ReconnectSettings,
         random: Callable[[], float],
         log_closed: ConnectionLog,
-        log_error: ErrorLog,
+        report_error: ErrorReporter,
     ) -> None:
         """`peer`: its kind, for the log; `random`: draws a number in [0, 1)."""
         self.peer = peer
@@ -117,7 +114,7 @@
         self.last_received_at = 0.0  # s, monotonic; when the last attempt began where nothing came since
         self._random = random
         self._log_closed = log_closed
-        self._log_error = log_error
+        self._report_error = report_error
 
     def run(self, handle: ConnectionHandler) -> None:
         """Connect and have `handle` read the connection, until `stopped` is set."""
@@ -141,7 +138,7 @@
         try:
             return handle(sock)
         except Exception as error:  # thread boundary: the next connection may fare better
-            self._log_error(error)
+            self._report_error(error)
             sock.close()
             return CloseReason.INTERNAL_ERROR, 0
 
--- a/tests/test_routing.py
+++ b/tests/test_routing.py
@@ -29,6 +29,7 @@
 from brookhub.routing.counter import CounterClient
 from brookhub.routing.discovery import DiscoveryClient
 from brookhub.routing.port import SocketGatewayPort
+from brookhub.routing.request_decoder import PING
 from brookhub.routing.upstreams import UpstreamConnections, UpstreamSettings
 from brookhub.site import Plan, Route
 from brookhub.transport.ring_buffer import RingBuffer
@@ -400,9 +401,10 @@
 
     port.gateway.on_request = arrived
     words = [command_words(n) for n in range(3)]
-    run_event(port, client.take, [request_codec.ParsedRequest(one) for one in words], None)
+    run_event(port, client.on_commands, [request_codec.ParsedRequest(one) for one in words], None)
     assert client.stream.said == [b"-BUSY\r\n", b"-ERR failed\r\n", b"-BUSY\r\n"]
-    assert heard == ["no such room"] and clients.open_calls == clients.asked == 0 and client in clients.idle
+    assert heard == ["no such room"] and client in clients.table.idle
+    assert len(clients.open_request_ids) == clients.usage.request_bytes == 0
 
 
 def reconnector(address):
@@ -420,9 +422,9 @@
         client = ClientConnection(clients, None)
         client.stream = RecordingStream()
         client.stream.has_unread_bytes = lambda: bool(client.stream.coming)
-        run_event(port, clients.welcome, client)
+        run_event(port, clients.admit, client)
         if asked:
-            run_event(port, client.take, [resp.PONG], None)
+            run_event(port, client.on_commands, [PING], None)
         return client
 
     first, second, third = met(True), met(True), met(True)
@@ -442,7 +444,7 @@
     run_event(port, clients.drain)
     assert third.stream.close_reason == "draining" and first.stream.close_reason is None
     first.stream.coming = b""
-    run_event(port, first.take, [resp.PONG], None)
+    run_event(port, first.on_commands, [PING], None)
     assert first.stream.close_reason == "draining" and first.stream.said[-1] == resp.PONG
 
 
