--- a/tests/test_endings.py
+++ b/tests/test_endings.py
@@ -61,7 +61,7 @@
         two.close()
 
 
-def test_an_object_is_whole_once_its_brackets_are_closed_and_its_strings_may_hold_brackets():
+def test_json_object_is_complete_once_its_brackets_outside_of_strings_are_closed():
     lines = [b"", b'{"seq": 1, "hosts": [', b'  {"host": "a}]{\\"["}', b"]", b"}", b"", b'{"seq": 2}']
     reader = JsonObjectReader()
     assert [text for text in map(reader.feed, lines) if text] == [b"\n".join(lines[1:5]), b'{"seq": 2}']
@@ -76,7 +76,7 @@
         ([b"{"] + [b'"x": 1,' * 1000] * 200, "oversized"),
     ],
 )
-def test_lines_that_no_object_can_come_of_are_refused(lines, reason):
+def test_lines_that_can_not_become_a_json_object_raise_malformed_error(lines, reason):
     reader = JsonObjectReader()
     with pytest.raises(MalformedError) as met:
         for line in lines:
@@ -87,7 +87,7 @@
 @pytest.mark.parametrize(
     "data, ended, rest", [(b'{"a":1}\n{"b"', [b'{"a":1}'], b'{"b"'), (b'{"a":1}\n', [b'{"a":1}'], b"")]
 )
-def test_an_answer_of_no_stated_length_lasts_until_the_connection_ends(data, ended, rest):
+def test_http_body_without_a_length_lasts_until_the_connection_is_closed(data, ended, rest):
     reader, ring = http.HttpResponseReader(), RingBuffer(8192)
     ring.append(b"HTTP/1.1 200 OK\r\n\r\n" + data)
     assert list(reader.feed(ring)) == ended and not reader.is_complete and reader.on_eof() == rest
@@ -126,7 +126,7 @@
         (1.0, 0, 0.0, (5.0, 20.0)),
     ],
 )
-def test_discovery_is_called_again_in_time_whatever_became_of_the_call_before(
+def test_discovery_is_reconnected_in_time_however_the_last_connection_ended(
     monkeypatch, takes, brings, asked, pauses
 ):
     clock, begun, heard = [100.0], [], []
@@ -162,7 +162,7 @@
         assert len({round(gap, 4) for gap in gaps}) == 7  # drawn: gateways that lost it together return apart
 
 
-def test_a_watch_whose_thread_the_system_refused_is_begun_again(monkeypatch):
+def test_thread_that_the_system_could_not_start_is_tried_again(monkeypatch):
     # Before: the thread was asked for once, and a list never heard of was never heard of.
     port, begun, refused = SocketGatewayPort(print, 0.001), threading.Event(), [True, True]
     threads.start_thread("timers", port.run_timers)
@@ -225,7 +225,7 @@
 
 
 @pytest.mark.parametrize("end", ["close", "reset", "half"])
-def test_nothing_is_sent_for_a_client_that_left_before_its_request_was_read(started, end):
+def test_request_of_a_client_that_disconnected_before_it_was_read_is_not_forwarded(started, end):
     # Before: a request read together with the end of its connection was begun, and given up an instant later.
     program = started(servers=[FakeServer([0.05] * 99)])
     with Client(program) as usual:
@@ -246,7 +246,7 @@
     assert [words[2] for words in program.servers[0].asked] == [b"%016x" % 1, b"%016x" % 2]
 
 
-def test_a_client_that_leaves_between_two_attempts_gets_no_further_one(started):
+def test_request_of_a_client_that_disconnects_between_two_attempts_is_not_retried(started):
     program = started(servers=[FakeServer(["silent"] * 9), FakeServer(["silent"] * 9)])
     with Client(program) as client:
         client.sock.sendall(api_call(1))
@@ -308,7 +308,7 @@
     assert late.open(1.5) == b"" and len(good.asked) == len({words[2] for words in good.asked}) == 8
 
 
-def test_a_client_that_leaves_while_its_attempt_is_dialled_has_nothing_sent(started):
+def test_request_of_a_client_that_disconnects_while_the_server_is_dialled_is_not_sent(started):
     limits = {
         "max_attempts": 3,
         "cancel": True,
@@ -388,7 +388,7 @@
     assert program.process.wait(5) == 0 and program.log_path.read_text().count('"stopping"') == 1
 
 
-def test_a_request_half_read_at_the_shutdown_is_neither_sent_on_nor_answered_twice(started):
+def test_request_partly_read_at_shutdown_is_neither_forwarded_nor_answered_twice(started):
     program = started()
     whole = api_call(5)
     with Client(program) as half:
@@ -402,7 +402,7 @@
     assert program.process.wait(5) == 0 and program.servers[0].asked == []
 
 
-def test_a_client_that_keeps_asking_through_the_drain_gets_one_answer_each_in_order(started):
+def test_client_that_keeps_sending_while_draining_gets_one_response_each_in_order(started):
     program = started(servers=[FakeServer([0.01] * 9999)])
     asked, answers = 0, []
     with Client(program) as client:
@@ -424,7 +424,7 @@
     assert len(reached) == len(set(reached)) and len(reached) <= count <= asked
 
 
-def test_who_waits_to_be_accepted_at_the_shutdown_is_answered(started):
+def test_connections_in_the_backlog_at_shutdown_are_answered(started):
     program = started()
     program.process.send_signal(signal.SIGSTOP)
     with Client(program) as waiting:
@@ -466,7 +466,7 @@
     assert sorted(ready)[26] < 10.0
 
 
-def test_small_answers_are_not_held_back_by_the_system():
+def test_small_responses_are_not_delayed_by_the_system():
     listener = Listener(("127.0.0.1", 0))
     with socket.create_connection(listener.sock.getsockname()), listener.sock.accept()[0] as accepted:
         assert accepted.getsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY)
@@ -476,7 +476,7 @@
 # Descriptors: idle clients take none that discovery, counter and servers need.
 
 
-def test_clients_that_fill_the_descriptors_while_discovery_is_down_leave_it_its_own(started):
+def test_clients_can_not_use_up_the_descriptors_reserved_for_discovery(started):
     program = started(limits={"memory_mb": 192, "sockets": 128})
     program.discovery.close()
     with contextlib.ExitStack() as held:
--- a/tests/test_protocol.py
+++ b/tests/test_protocol.py
@@ -12,7 +12,7 @@
 from brookhub.registry import ServerRegistry
 from brookhub.transport.ring_buffer import RingBuffer
 
-CALL = [
+GET = [
     b"CALL.GET",
     b"00000000b4d65521",
     b"9b1f03aa5c7e2d41",
@@ -20,12 +20,12 @@
 ]
 POST = [
     b"CALL.POST",
-    *CALL[1:3],
+    *GET[1:3],
     b"c=order,t=team,d=480,k=5c0f,units=2.5,spread=3,first=1,r=1",
     b"a\r\nb\0" * 9,
 ]
 VALUES = [
-    CALL,
+    GET,
     [b"PING"],
     POST,
     b"",
@@ -39,11 +39,11 @@
 ]
 
 
-def word(value):
+def encode_value(value):
     if value is None:
         return b"$-1\r\n"
     if isinstance(value, list):
-        return b"*%d\r\n" % len(value) + b"".join(map(word, value))
+        return b"*%d\r\n" % len(value) + b"".join(map(encode_value, value))
     if isinstance(value, resp.ErrorReply):
         return b"-%b\r\n" % value
     if isinstance(value, resp.SimpleString):
@@ -52,46 +52,46 @@
 
 
 def feed(reader, ring, pieces):
-    got = []
+    values = []
     for piece in pieces:
         assert ring.append(piece)
-        got += reader.feed(ring)
-    return got
+        values += reader.feed(ring)
+    return values
 
 
-def test_ring_keeps_its_bytes_in_order_through_random_use():
-    chance = random.Random(5)
+def test_ring_buffer_keeps_bytes_in_order_in_a_random_run():
+    rng = random.Random(5)
     for limit in (1, 7, 4096, 70000):
-        ring, held = RingBuffer(limit), b""
+        ring, expected = RingBuffer(limit), b""
         for _ in range(800):
-            step = chance.randrange(5)
+            step = rng.randrange(5)
             if step == 0:
-                data = chance.randbytes(chance.randrange(min(limit, 5000) + 3))
-                assert ring.append(data) == (len(held) + len(data) <= limit)
-                held += data if len(held) + len(data) <= limit else b""
+                data = rng.randbytes(rng.randrange(min(limit, 5000) + 3))
+                assert ring.append(data) == (len(expected) + len(data) <= limit)
+                expected += data if len(expected) + len(data) <= limit else b""
             elif step == 1:
                 with ring.writable_view() as space:
-                    data = chance.randbytes(chance.randrange(len(space) + 1))
+                    data = rng.randbytes(rng.randrange(len(space) + 1))
                     space[: len(data)] = data
-                assert len(space_left(ring)) > 0 or len(held) == limit
+                assert len(space_left(ring)) > 0 or len(expected) == limit
                 ring.commit_write(len(data))
-                held += data
-            elif step == 2 and held:
+                expected += data
+            elif step == 2 and expected:
                 with ring.readable_view() as chunk:
-                    assert len(chunk) > 0 and held.startswith(chunk)
-                    length = chance.randrange(1, len(chunk) + 1)
+                    assert len(chunk) > 0 and expected.startswith(chunk)
+                    length = rng.randrange(1, len(chunk) + 1)
                 ring.consume(length)
-                held = held[length:]
-            elif step == 3 and held:
-                length = chance.randrange(1, len(held) + 1)
-                assert ring.read(length) == held[:length]
-                held = held[length:]
+                expected = expected[length:]
+            elif step == 3 and expected:
+                length = rng.randrange(1, len(expected) + 1)
+                assert ring.read(length) == expected[:length]
+                expected = expected[length:]
             else:
-                line, found, rest = ring.read_line(), *held.partition(b"\r\n")[:2]
-                assert line == (found if rest else None)
-                held = held[len(found) + 2 :] if rest else held
-            assert len(ring) == len(held) <= limit
-        ring.read(len(held))
+                line, line_bytes, separator = ring.read_line(), *expected.partition(b"\r\n")[:2]
+                assert line == (line_bytes if separator else None)
+                expected = expected[len(line_bytes) + 2 :] if separator else expected
+            assert len(ring) == len(expected) <= limit
+        ring.read(len(expected))
         assert len(ring.storage) <= 2048  # little is kept while it is empty
 
 
@@ -100,8 +100,8 @@
         return bytes(space)
 
 
-def test_values_come_out_alike_whole_and_split_at_every_byte():
-    data = b"".join(map(word, VALUES))
+def test_resp_values_are_read_alike_at_once_and_split_at_every_byte():
+    data = b"".join(map(encode_value, VALUES))
     assert feed(resp.RespReader(), RingBuffer(resp.BUFFER_BYTES), [data]) == VALUES
     assert (
         feed(resp.RespReader(), RingBuffer(resp.BUFFER_BYTES), [data[at : at + 1] for at in range(len(data))])
@@ -111,21 +111,23 @@
         assert feed(resp.RespReader(), RingBuffer(resp.BUFFER_BYTES), [data[:at], data[at:]]) == VALUES
 
 
-def test_the_largest_value_fits_the_ring_and_one_more_byte_is_refused_unstored():
-    value, ring = [CALL[0], *CALL[1:], b"x" * resp.MAX_VALUE_BYTES], RingBuffer(resp.BUFFER_BYTES)
+def test_largest_value_fits_the_ring_buffer_and_a_larger_one_is_rejected_unread():
+    value, ring = [GET[0], *GET[1:], b"x" * resp.MAX_VALUE_BYTES], RingBuffer(resp.BUFFER_BYTES)
     assert feed(
-        resp.RespReader(), ring, [word(value)[at : at + 1000] for at in range(0, len(word(value)), 1000)]
+        resp.RespReader(),
+        ring,
+        [encode_value(value)[at : at + 1000] for at in range(0, len(encode_value(value)), 1000)],
     ) == [value]
-    with pytest.raises(MalformedError) as bad:
+    with pytest.raises(MalformedError) as raised:
         feed(resp.RespReader(), ring, [b"$%d\r\n" % (resp.MAX_VALUE_BYTES + 1)])
-    assert bad.value.reason == "oversized" and len(ring) == 0
-    with pytest.raises(MalformedError) as bad:  # many words that are small enough one by one
-        feed(resp.RespReader(), ring, [b"*9\r\n", *[word(b"y" * 30000)] * 2, b"$30000\r\n"])
-    assert bad.value.reason == "oversized"
+    assert raised.value.reason == "oversized" and len(ring) == 0
+    with pytest.raises(MalformedError) as raised:  # many words that are small enough one by one
+        feed(resp.RespReader(), ring, [b"*9\r\n", *[encode_value(b"y" * 30000)] * 2, b"$30000\r\n"])
+    assert raised.value.reason == "oversized"
 
 
-def test_a_value_larger_than_the_ring_is_gathered_as_it_comes_up_to_its_bound():
-    value, data = [random.Random(1).randbytes(300_000), b"cost=1", None], word
+def test_value_larger_than_the_ring_buffer_is_collected_up_to_its_limit():
+    value, data = [random.Random(1).randbytes(300_000), b"cost=1", None], encode_value
     for piece in (2000, 65536):
         reader, ring, got, sent = resp.RespReader(300_000), RingBuffer(resp.BUFFER_BYTES), [], data(value)
         for at in range(0, len(sent), piece):
@@ -159,89 +161,89 @@
         b"\0\xff\r\n",
     ],
 )
-def test_bytes_that_are_no_resp_are_told_apart(data):
+def test_bytes_that_are_not_resp_raise_malformed_error(data):
     for pieces in ([data], [data[at : at + 1] for at in range(len(data))]):
         with pytest.raises(MalformedError):
             feed(resp.RespReader(), RingBuffer(resp.BUFFER_BYTES), pieces)
 
 
-def test_random_garbage_ends_in_values_waiting_or_malformed():
-    chance = random.Random(11)
+def test_random_bytes_are_read_or_incomplete_or_malformed():
+    rng = random.Random(11)
     for _ in range(3000):
-        data = bytearray(b"".join(map(word, chance.choices(VALUES, k=3))))
-        for _ in range(chance.randrange(4)):
-            data[chance.randrange(len(data))] = chance.choice(b"*$-+:\r\n0159\0a")
-        ring, lines = RingBuffer(resp.BUFFER_BYTES), http.HttpResponseReader()
+        data = bytearray(b"".join(map(encode_value, rng.choices(VALUES, k=3))))
+        for _ in range(rng.randrange(4)):
+            data[rng.randrange(len(data))] = rng.choice(b"*$-+:\r\n0159\0a")
+        ring, response = RingBuffer(resp.BUFFER_BYTES), http.HttpResponseReader()
         try:
-            for said in feed(resp.RespReader(), ring, [bytes(data)]):
-                request_codec.ServerResponse(said)
-                if isinstance(said, list) and said and all(type(one) is bytes for one in said):
-                    request_codec.ParsedRequest(said)
+            for value in feed(resp.RespReader(), ring, [bytes(data)]):
+                request_codec.ServerResponse(value)
+                if isinstance(value, list) and value and all(type(item) is bytes for item in value):
+                    request_codec.ParsedRequest(value)
         except (MalformedError, InvalidRequestError):
             pass
         with contextlib.suppress(MalformedError):
             feed(
-                lines,
+                response,
                 RingBuffer(http.MAX_HEAD_LINE_BYTES * 2),
                 [b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n", bytes(data)],
             )
 
 
-def test_a_call_goes_on_in_its_client_s_words_but_for_the_time_left():
-    wording = request_codec.ParsedRequest(POST)
-    assert (wording.customer_id, wording.route_name, wording.plan_name) == (0xB4D65521, b"order", b"team")
-    assert (wording.time_left, wording.units, wording.quota_holders, wording.first_gateway) == (
+def test_request_is_forwarded_unchanged_but_for_the_time_left():
+    request = request_codec.ParsedRequest(POST)
+    assert (request.customer_id, request.route_name, request.plan_name) == (0xB4D65521, b"order", b"team")
+    assert (request.time_left, request.units, request.quota_holders, request.first_gateway) == (
         0.48,
         2.5,
         3,
         1,
     )
-    assert wording.is_retry and wording.is_write and not request_codec.ParsedRequest(CALL).is_retry
-    (sent,) = feed(resp.RespReader(), RingBuffer(resp.BUFFER_BYTES), [wording.encode_for_server(0.3)])
-    assert sent == [*POST[:3], POST[3].replace(b"d=480", b"d=300"), POST[4]]
-    assert b"d=1," in wording.encode_for_server(-2.0)  # a time that is up is not worded as none
+    assert request.is_retry and request.is_write and not request_codec.ParsedRequest(GET).is_retry
+    (forwarded,) = feed(resp.RespReader(), RingBuffer(resp.BUFFER_BYTES), [request.encode_for_server(0.3)])
+    assert forwarded == [*POST[:3], POST[3].replace(b"d=480", b"d=300"), POST[4]]
+    assert b"d=1," in request.encode_for_server(-2.0)  # a time that is up is not worded as none
 
 
 @pytest.mark.parametrize(
     "words",
     [
-        CALL[:3],
-        CALL + [b""] * 2,
-        [CALL[0], b"zz", *CALL[2:]],
-        [CALL[0], b"-5", *CALL[2:]],
-        [*CALL[:2], b"0x1_0", CALL[3]],
-        [*CALL[:2], b"", CALL[3]],
-        [*CALL[:3], b"c=lookup,t=team"],
-        [*CALL[:3], b"c=a,t=b,d=soon"],
-        [*CALL[:3], b"c=a,t=b,d=nan"],
-        [*CALL[:3], b"c=a,t=b,d=5,units=-1"],
-        [*CALL[:3], b"c=a,t=b,d=5,spread=inf"],
+        GET[:3],
+        GET + [b""] * 2,
+        [GET[0], b"zz", *GET[2:]],
+        [GET[0], b"-5", *GET[2:]],
+        [*GET[:2], b"0x1_0", GET[3]],
+        [*GET[:2], b"", GET[3]],
+        [*GET[:3], b"c=lookup,t=team"],
+        [*GET[:3], b"c=a,t=b,d=soon"],
+        [*GET[:3], b"c=a,t=b,d=nan"],
+        [*GET[:3], b"c=a,t=b,d=5,units=-1"],
+        [*GET[:3], b"c=a,t=b,d=5,spread=inf"],
     ],
 )
-def test_calls_that_ask_for_nothing_that_can_be_done(words):
+def test_invalid_request_raises_invalid_request_error(words):
     with pytest.raises(InvalidRequestError):
         request_codec.ParsedRequest(words)
 
 
-def test_what_servers_say():
-    whole = request_codec.ServerResponse([b"v", b"used=37,cost=4", b"inflight=7,util=0.61"])
-    assert (whole.value, whole.used_units, whole.charged_units, whole.load_report) == (
+def test_server_responses_are_decoded():
+    served = request_codec.ServerResponse([b"v", b"used=37,cost=4", b"inflight=7,util=0.61"])
+    assert (served.value, served.used_units, served.charged_units, served.load_report) == (
         b"v",
         37,
         4,
         {"inflight": 7, "util": 0.61},
     )
     assert request_codec.ServerResponse([b"v", None, None]).value == b"v"
-    full, failed = (
+    rejected, failed = (
         request_codec.ServerResponse(resp.ErrorReply(b"BUSY")),
         request_codec.ServerResponse(resp.ErrorReply(b"ERR failed used=3 util=0.5")),
     )
-    assert full.is_rejected and not failed.is_rejected and failed.value is None
+    assert rejected.is_rejected and not failed.is_rejected and failed.value is None
     assert (failed.used_units, failed.load_report) == (3, {"util": 0.5})
-    for said in (None, 4, [], [None], [1], b"bulk", resp.SimpleString(b"OK"), [3, b"a", None]):
-        answer = request_codec.ServerResponse(said)
-        assert not answer.is_well_formed and answer.value is None and not answer.is_rejected
-    for beside in (
+    for value in (None, 4, [], [None], [1], b"bulk", resp.SimpleString(b"OK"), [3, b"a", None]):
+        response = request_codec.ServerResponse(value)
+        assert not response.is_well_formed and response.value is None and not response.is_rejected
+    for other_items in (
         [b"cost=inf,used=x,=,", b"\xff\0=1,q"],
         [b"cost=1_0", b"x" * 999],
         [3, resp.ErrorReply(b"no")],
@@ -252,12 +254,12 @@
         [],
     ):
         # What can't be read beside a good value takes nothing from it
-        answer = request_codec.ServerResponse([b"v", *beside])
-        assert answer.is_well_formed and (
-            answer.value,
-            answer.charged_units,
-            answer.used_units,
-            answer.load_report,
+        response = request_codec.ServerResponse([b"v", *other_items])
+        assert response.is_well_formed and (
+            response.value,
+            response.charged_units,
+            response.used_units,
+            response.load_report,
         ) == (
             b"v",
             0.0,
@@ -266,20 +268,20 @@
         )
 
 
-def test_answers_to_clients():
+def test_responses_to_clients_are_encoded():
     assert (
         request_codec.encode_rejected(0.0) == b"-BUSY\r\n"
         and request_codec.encode_rejected(0.0101) == b"-BUSY 11\r\n"
     )
     assert b"".join(request_codec.encode_served(b"a\r\n")) == b"$3\r\na\r\n\r\n" and b"".join(
         request_codec.encode_served(b"x" * 70000)
-    ) == word(b"x" * 70000)
+    ) == encode_value(b"x" * 70000)
     assert resp.encode_error("ERR two\r\nlines") == b"-ERR two lines\r\n"
 
 
-def test_counter_calls_and_answers():
-    assert counter_codec.encode_add(5, -2.5, 4.0) == word([b"ADDGET", b"5", b"-2.5", b"4000"])
-    assert counter_codec.encode_add(5, 0.0, 0.0) == word([b"ADDGET", b"5", b"0", b"1"])
+def test_counter_commands_are_encoded_and_responses_decoded():
+    assert counter_codec.encode_add(5, -2.5, 4.0) == encode_value([b"ADDGET", b"5", b"-2.5", b"4000"])
+    assert counter_codec.encode_add(5, 0.0, 0.0) == encode_value([b"ADDGET", b"5", b"0", b"1"])
     assert counter_codec.encode_add(2**64 - 1, 1e-9, 99.0).split(b"\r\n")[6] == b"0"
     assert (
         counter_codec.decode_total(b"38.25") == 38.25
@@ -289,7 +291,7 @@
         counter_codec.decode_total(b"-1.5e+07") == -1.5e7
         and counter_codec.decode_total(resp.ErrorReply(b"ERR no such call")) is None
     )
-    for said in (
+    for response in (
         b"many",
         None,
         [b"1"],
@@ -307,20 +309,20 @@
         resp.ErrorReply(b"BUSYBODY"),
     ):
         with pytest.raises(MalformedError):
-            counter_codec.decode_total(said)
+            counter_codec.decode_total(response)
 
 
-def test_a_watch_comes_out_alike_whole_and_split_at_every_byte():
+def test_http_response_is_read_alike_at_once_and_split_at_every_byte():
     body = [b'{"a":\r\n', b"", b"\n", b"1}\n{", b'"b":2}\r\n']
     data = (
         b"HTTP/1.1 200 OK\r\nContent-Type: x\r\ntransfer-encoding: Chunked\r\n\r\n"
         + b"".join(b"%x;ext=1\r\n%b\r\n" % (len(piece), piece) for piece in body if piece)
         + b"0\r\nTrailer: y\r\n\r\n"
     )
-    wanted = [b'{"a":', b"", b"1}", b'{"b":2}']
+    expected = [b'{"a":', b"", b"1}", b'{"b":2}']
     for pieces in ([data], [data[at : at + 1] for at in range(len(data))], [data[:90], data[90:]]):
-        lines = http.HttpResponseReader()
-        assert feed(lines, RingBuffer(8192), pieces) == wanted and lines.is_complete
+        response = http.HttpResponseReader()
+        assert feed(response, RingBuffer(8192), pieces) == expected and response.is_complete
     sized = http.HttpResponseReader()
     assert (
         feed(sized, RingBuffer(8192), [b"HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nab\ncd"])
@@ -342,13 +344,13 @@
         b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n1\r\nab\r\n",
     ],
 )
-def test_answers_that_are_no_watch(data):
+def test_invalid_http_response_raises_malformed_error(data):
     with pytest.raises(MalformedError):
         feed(http.HttpResponseReader(), RingBuffer(16384), [data])
 
 
 @pytest.mark.parametrize(
-    "status, header, reason, asked",
+    "status, header, reason, retry_after",
     [
         (b"503 Service Unavailable", b"Content-Length: 0", "throttled", 0.0),
         (b"429 Slow", b"Retry-After: 7", "throttled", 7.0),
@@ -358,21 +360,21 @@
         (b"500 Down", b"Retry-After: 7", "protocol-error", 0.0),
     ],
 )
-def test_discovery_that_turns_away_is_told_from_one_that_talks_nonsense(status, header, reason, asked):
+def test_throttling_http_response_is_distinguished_from_a_malformed_one(status, header, reason, retry_after):
     data = b"HTTP/1.1 " + status + b"\r\n" + header + b"\r\n\r\n"
     for pieces in ([data], [data[at : at + 1] for at in range(len(data))]):
-        lines = http.HttpResponseReader()
-        with pytest.raises(MalformedError) as met:
-            feed(lines, RingBuffer(8192), pieces)
-        assert (met.value.reason, lines.retry_after) == (reason, asked)
+        response = http.HttpResponseReader()
+        with pytest.raises(MalformedError) as raised:
+            feed(response, RingBuffer(8192), pieces)
+        assert (raised.value.reason, response.retry_after) == (reason, retry_after)
 
 
-def test_a_line_of_a_watch_has_an_end():
-    lines, ring = http.HttpResponseReader(), RingBuffer(16384)
-    feed(lines, ring, [b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n7fffffff\r\n"])
-    with pytest.raises(MalformedError) as bad:
-        feed(lines, ring, [b"z" * 8192] * 200)
-    assert bad.value.reason == "oversized"
+def test_overlong_line_of_an_http_body_is_rejected():
+    response, ring = http.HttpResponseReader(), RingBuffer(16384)
+    feed(response, ring, [b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n7fffffff\r\n"])
+    with pytest.raises(MalformedError) as raised:
+        feed(response, ring, [b"z" * 8192] * 200)
+    assert raised.value.reason == "oversized"
 
 
 HOST = {
@@ -387,20 +389,20 @@
 }
 
 
-def test_server_lists_and_what_is_none():
-    news = server_list.parse_update(
+def test_server_lists_are_read_and_invalid_ones_rejected():
+    update = server_list.parse_update(
         json.dumps(
             {"seq": 41, "whole": True, "hosts": [HOST, {**HOST, "host": "s-2", "health": "Terminating"}]}
         ).encode()
     )
-    assert news.is_complete and news.version == 41 and news.servers[0].address == ("10.1.0.18", 6379)
-    assert [one.state for one in news.servers] == [ServerState.READY, ServerState.DRAINING]
+    assert update.is_complete and update.version == 41 and update.servers[0].address == ("10.1.0.18", 6379)
+    assert [server.state for server in update.servers] == [ServerState.READY, ServerState.DRAINING]
     assert (
-        news.servers[0].server_id()
+        update.servers[0].server_id()
         == server_list.ServerEntry.from_json(HOST).server_id()
-        != news.servers[1].server_id()
+        != update.servers[1].server_id()
     )
-    for broken in (
+    for document in (
         "",
         "{",
         "[]",
@@ -410,8 +412,8 @@
         '{"hosts":[{}]}',
         "[" * 100000,
         *(
-            json.dumps({"seq": 1, "hosts": [{**HOST, **wrong}]})
-            for wrong in (
+            json.dumps({"seq": 1, "hosts": [{**HOST, **change}]})
+            for change in (
                 {"health": "Fine"},
                 {"dial": "nowhere"},
                 {"dial": 5},
@@ -424,17 +426,21 @@
         ),
     ):
         with pytest.raises(MalformedError):
-            server_list.parse_update(broken.encode())
-
-
-def test_a_whole_list_removes_what_it_does_not_name_and_a_change_does_not():
-    roster, entry = ServerRegistry(), (0, 0, 0, ServerState.READY, 1.0, 0.0)
-    one, two = roster.update([(1, *entry), (2, *entry)], True)
-    assert roster.update([(2, *entry)], False) == [two] and one.state is ServerState.READY
-    assert roster.update([(2, *entry)], True) == [two, one] and one.state is ServerState.GONE
-    assert list(roster.servers.values()) == [two]  # nothing is kept of what is gone
-    (again,) = roster.update([(1, *entry)], False)
-    assert again is not one and again.state is ServerState.READY and one.state is ServerState.GONE
-    assert roster.update([(1, 0, 0, 0, ServerState.GONE, 1.0, 0.0)], False) == [again] and list(
-        roster.servers.values()
-    ) == [two]
+            server_list.parse_update(document.encode())
+
+
+def test_complete_server_list_removes_absent_servers_and_a_change_does_not():
+    registry, entry = ServerRegistry(), (0, 0, 0, ServerState.READY, 1.0, 0.0)
+    first, second = registry.update([(1, *entry), (2, *entry)], True)
+    assert registry.update([(2, *entry)], False) == [second] and first.state is ServerState.READY
+    assert registry.update([(2, *entry)], True) == [second, first] and first.state is ServerState.GONE
+    assert list(registry.servers.values()) == [second]  # nothing is kept of what is gone
+    (listed_again,) = registry.update([(1, *entry)], False)
+    assert (
+        listed_again is not first
+        and listed_again.state is ServerState.READY
+        and first.state is ServerState.GONE
+    )
+    assert registry.update([(1, 0, 0, 0, ServerState.GONE, 1.0, 0.0)], False) == [listed_again] and list(
+        registry.servers.values()
+    ) == [second]
--- a/tests/test_routing.py
+++ b/tests/test_routing.py
@@ -413,32 +413,30 @@
     )
 
 
-def test_who_has_asked_again_is_not_closed_as_idle_and_nobody_is_once_the_end_is_near(port):
+def test_client_with_unread_bytes_is_not_closed_as_idle_and_no_idle_one_is_during_shutdown(port):
     limits = replace(LIMITS, max_connections=3, spare_connections=9)
     clients = Clients(port, lambda *_: None, DEFAULT_SETTINGS, lambda: True, limits)
     clients.start = lambda client: None
 
-    def met(asked):
+    def connect(sends_command):
         client = ClientConnection(clients, None)
         client.stream = RecordingStream()
         client.stream.has_unread_bytes = lambda: bool(client.stream.coming)
         run_event(port, clients.admit, client)
-        if asked:
+        if sends_command:
             run_event(port, client.on_commands, [PING], None)
         return client
 
-    first, second, third = met(True), met(True), met(True)
-    first.stream.coming = b"*4"  # its thread has not come to it yet
-    met(False)
-    assert [one.stream.close_reason for one in (first, second, third)] == [None, "evicted", None]
+    first, second, third = connect(True), connect(True), connect(True)
+    first.stream.coming = b"*4"  # its thread has not read it yet
+    connect(False)
+    assert [client.stream.close_reason for client in (first, second, third)] == [None, "evicted", None]
     run_event(port, clients.begin_shutdown)
-    late = met(False)
-    assert (
-        third.stream.close_reason is None and late.stream.close_reason is None
-    )  # the one that said nothing was evicted
-    unread = met(False)
+    late = connect(False)  # the one before it, which has sent nothing, is evicted
+    assert third.stream.close_reason is None and late.stream.close_reason is None
+    unread = connect(False)
     unread.stream.coming = b"*4"
-    advance(port, 3.0)  # past the time in which something whole is to come
+    advance(port, 3.0)  # past the timeout of a first request
     run_event(port, clients.close_stale_connections)
     assert unread.stream.close_reason is None
     run_event(port, clients.drain)
@@ -705,7 +703,7 @@
     ]
 
 
-def test_who_waits_to_be_accepted_when_the_listener_closes_is_still_taken():
+def test_connections_in_the_backlog_are_accepted_when_the_listener_closes():
     heard, listener = [], Listener(("127.0.0.1", 0))
     address = listener.sock.getsockname()
     threading.Thread(
@@ -722,7 +720,7 @@
         sock.close()
 
 
-def test_nothing_under_the_lock_writes():
+def test_enqueue_does_not_write_and_does_not_wait_for_the_peer():
     """A stream's `enqueue` copies and returns, also while its peer takes nothing at all."""
 
     class Stuck:
@@ -773,7 +771,7 @@
     assert (pushed.initial_backoff, pushed.max_backoff) == (0.05, 1.0)
 
 
-def test_pauses_between_two_dials_differ_by_chance_and_heed_who_turned_away():
+def test_reconnect_waits_are_random_and_respect_retry_after():
     from random import Random
 
     for asked, least, most in ((0.0, 0.05, 0.15), (7.0, 7.0, 14.0)):
