--- a/brookhub/routing/clients.py
+++ b/brookhub/routing/clients.py
@@ -151,8 +151,9 @@
         """A connection is closed: its client waits for nothing any more."""
         self.table.open_descriptors -= 1
         self.table.remove(connection)
-        self.fail_requests_of(connection)
+        # First, as the responses that the failures set are not counted: the connection is closed
         self.usage.response_bytes -= connection.pending_bytes()
+        self.fail_requests_of(connection)
 
     # Regular checks
 
--- a/tests/test_routing.py
+++ b/tests/test_routing.py
@@ -387,26 +387,45 @@
 
 
 def test_internal_error_fails_its_request_and_not_those_behind_it(port):
-    heard, port.report_error = [], lambda met: heard.append(str(met))
-    routes, plans = [Route("look", 1.0, 2.0)], [Plan("wide")]
-    settings = replace(DEFAULT_SETTINGS, routes=tuple(routes), plans=tuple(plans), gateways=1)
-    clients = Clients(port, lambda *_: None, settings, lambda: True, replace(LIMITS, max_connections=9))
+    errors, port.report_error = [], lambda error: errors.append(str(error))
+    clients = clients_of_one_route(port)
     client = ClientConnection(clients, None)
     client.stream = RecordingStream()
 
-    def arrived(one):
-        if one.id == 1:
+    def on_request(request):
+        if request.id == 1:
             raise ArithmeticError("no such room")
-        port.reject_request(one, 0.0)
+        port.reject_request(request, 0.0)
 
-    port.gateway.on_request = arrived
-    words = [command_words(n) for n in range(3)]
-    run_event(port, client.on_commands, [request_codec.ParsedRequest(one) for one in words], None)
+    port.gateway.on_request = on_request
+    requests = [request_codec.ParsedRequest(command_words(request_id)) for request_id in range(3)]
+    run_event(port, client.on_commands, requests, None)
     assert client.stream.said == [b"-BUSY\r\n", b"-ERR failed\r\n", b"-BUSY\r\n"]
-    assert heard == ["no such room"] and client in clients.table.idle
+    assert errors == ["no such room"] and client in clients.table.idle
     assert len(clients.open_request_ids) == clients.usage.request_bytes == 0
 
 
+def clients_of_one_route(port):
+    settings = replace(DEFAULT_SETTINGS, routes=(Route("look", 1.0, 2.0),), plans=(Plan("wide"),), gateways=1)
+    return Clients(port, lambda *_: None, settings, lambda: True, LIMITS)
+
+
+def test_request_of_a_client_that_disconnects_leaves_no_trace_in_the_memory_accounting(port):
+    # Before: the failure that nobody gets was subtracted without having been added, 13 bytes each time, so
+    # the limit on unread responses grew by that with every request that its client abandoned.
+    clients = clients_of_one_route(port)
+    port.gateway.on_request = lambda request: None
+    port.gateway.on_client_disconnected = port.fail_request
+    client = ClientConnection(clients, None)
+    client.stream = RecordingStream()
+    run_event(port, clients.admit, client)
+    run_event(port, client.on_commands, [request_codec.ParsedRequest(command_words(1))], None)
+    assert clients.usage.request_bytes > 0
+    run_event(port, client.on_closed)
+    assert (clients.usage.request_bytes, clients.usage.response_bytes) == (0, 0)
+    assert not clients.open_request_ids and not clients.connections
+
+
 def reconnector(address):
     return Reconnector(
         "peer", address, ReconnectSettings(0.5, 0.05, 1.0), lambda: 0.5, lambda *_: None, lambda met: None
