--- a/brookhub/protocol/__init__.py
+++ b/brookhub/protocol/__init__.py
@@ -1,1 +1,1 @@
-"""State machines that are fed bytes, and encoders: they know no socket, clock or thread."""
+"""Wire formats: readers that are fed bytes, and encoders. Knows no socket, clock or thread."""
--- a/brookhub/protocol/http.py
+++ b/brookhub/protocol/http.py
@@ -1,4 +1,4 @@
-"""HTTP/1.1 as far as watching discovery needs it: one GET request, and a response of lines that stays open.
+"""HTTP/1.1 as far as watching discovery needs it: one GET request, and a streamed response of lines.
 
 The body may be chunked, of a stated length, or last until the connection is closed (RFC 9112, section 6.3).
 """
@@ -12,7 +12,7 @@
 from ..transport.ring_buffer import RingBuffer
 from .errors import MalformedError
 
-MAX_HEAD_LINE_BYTES = 4096  # of a line of the head, or of one that begins a chunk
+MAX_HEAD_LINE_BYTES = 4096  # also of a line that begins a chunk
 MAX_BODY_LINE_BYTES = 1024 * 1024  # a server list of some thousand servers
 MAX_HEADERS = 100
 MAX_CONTENT_LENGTH_DIGITS = 9
--- a/brookhub/protocol/request_codec.py
+++ b/brookhub/protocol/request_codec.py
@@ -81,7 +81,7 @@
             raise InvalidRequestError("r, k or d can't be read")
 
     def _split_parameters(self) -> dict[bytes, bytes]:
-        """The parameters by name. Raises InvalidRequestError where one has no value or stands twice."""
+        """The parameters by name. Raises InvalidRequestError where one has no value or is repeated."""
         values: dict[bytes, bytes] = {}
         for index, parameter in enumerate(self.parameters):
             name, separator, value = parameter.partition(b"=")
--- a/brookhub/routing/client_connection.py
+++ b/brookhub/routing/client_connection.py
@@ -157,11 +157,11 @@
             self._on_malformed_command(error)
 
     def _handle_request(self, parsed: ParsedRequest, delay: float) -> None:
-        """Have a request decided; an internal error fails this one, not those behind it."""
+        """Have a request decided; an internal error fails this request alone."""
         response = self._add_response()
         try:
             self._owner.handle_request(response, parsed, delay)
-        except Exception as error:
+        except Exception as error:  # the requests behind it on the connection are still handled
             self._owner.loop.defer(self._owner.loop.report_error, error)
             response.complete(request_codec.ENCODED_FAILURE)
 
--- a/brookhub/routing/client_table.py
+++ b/brookhub/routing/client_table.py
@@ -7,7 +7,7 @@
 
 from .client_connection import ClientConnection
 
-MAX_CANDIDATES = 8  # connections that are looked at, at a time, for one to close
+MAX_CANDIDATES = 8  # connections that are examined for one to close, at a time
 
 OrderedConnections: TypeAlias = dict[ClientConnection, None]
 """An ordered set, from the least to the most recently added."""
@@ -16,7 +16,7 @@
 class ClientTable:
     """All open connections of clients. Guarded by the event loop's lock.
 
-    Each is in `connections`, and at most in one of the other two.
+    Each is in `connections`, and in at most one of the other two.
     """
 
     def __init__(self) -> None:
--- a/brookhub/routing/clients.py
+++ b/brookhub/routing/clients.py
@@ -112,7 +112,7 @@
         self.loop.defer(self.start, connection)
 
     def _evict(self) -> bool:
-        """Close a connection for a new one, unless too many are being closed already; whether one is."""
+        """Close a connection to make room for a new one; False where none can be, or too many are closing."""
         evictable = self.table.find_evictable(self.loop.now, self._check_interval, self._is_shutting_down)
         descriptor_limit = self.limits.max_connections + self.limits.spare_connections
         if evictable is None or self.table.open_descriptors >= descriptor_limit:
@@ -158,10 +158,10 @@
     # Regular checks
 
     def check_suspension(self) -> None:
-        """Find out whether this process was suspended; if so, see since when each connection may be unread.
+        """Find out whether this process was suspended; if so, for how long each connection may be unread.
 
-        A request whose time has passed unread is not begun and its connection is closed; others have so much
-        less time left.
+        A request whose time has passed unread is not handled, and its connection is closed; others have so
+        much less time left (`ClientConnection.on_commands`).
         """
         if self._suspension.is_resumed(self.loop.now):
             duration = self._suspension.last_duration
--- a/brookhub/routing/connections.py
+++ b/brookhub/routing/connections.py
@@ -120,7 +120,8 @@
         """Connect and have `handle` read the connection, until `stopped` is set."""
         backoff = self.settings.initial_backoff
         while not self.stopped.is_set():
-            started_at = self.last_received_at = monotonic()
+            started_at = monotonic()
+            self.last_received_at = started_at
             reason, responses = self._run_connection(handle)
             self._log_closed(self.peer, reason, None, monotonic() - started_at, responses)
             if responses:
