--- a/brookhub/routing/port.py
+++ b/brookhub/routing/port.py
@@ -13,6 +13,7 @@
 from ..ports import CounterCallback
 from ..protocol import request_codec
 from ..protocol.request_codec import ServerResponse
+from .client_request import ClientRequest
 from .event_loop import ErrorReporter, EventLoop
 
 RequestObserver = Callable[[Request, float, bool], None]
@@ -57,27 +58,6 @@
         """The number of limiters not known to have left changed."""
 
 
-class PendingResponse(Protocol):
-    """Where the final answer of a client's request goes."""
-
-    def complete(self, *parts: bytes | bytearray) -> None:
-        """Send the final answer."""
-
-
-class EncodableRequest(Protocol):
-    """A request as its client sent it (`request_codec.ParsedRequest`)."""
-
-    def encode_for_server(self, time_left: float, /) -> bytes:
-        """The command that asks a server, with the seconds left for its answer."""
-
-
-class ClientRequest(Protocol):
-    """What the requests of this port have beyond `model.Request`, as created by `clients`."""
-
-    parsed: EncodableRequest
-    response: PendingResponse
-
-
 class SocketGatewayPort(EventLoop):
     """Implements `ports.GatewayPort` on sockets. All its methods are called under the lock.
 
--- a/brookhub/routing/upstreams.py
+++ b/brookhub/routing/upstreams.py
@@ -14,8 +14,9 @@
 from ..transport.sockets import connect
 from ..transport.stream import Stream
 from ..transport.threads import start_thread
+from .client_request import ClientRequest
 from .connections import ConnectionLog, read_until_closed
-from .port import ClientRequest, SocketGatewayPort
+from .port import SocketGatewayPort
 
 RETIRE_CHECKS = 8  # looks for idle connections during one idle timeout
 
@@ -273,6 +274,7 @@
         stream = connection.stream
         assert stream is not None
         request = cast(ClientRequest, attempt.request)
+        assert request.parsed is not None  # set until the request has its response
         stream.enqueue(request.parsed.encode_for_server(connection.deadline - self.port.now))
         self.port.defer(stream.flush)
 
