--- a/tests/test_routing.py
+++ b/tests/test_routing.py
@@ -416,6 +416,7 @@
     clients = clients_of_one_route(port)
     port.gateway.on_request = lambda request: None
     port.gateway.on_client_disconnected = port.fail_request
+    clients.start = lambda client: None
     client = ClientConnection(clients, None)
     client.stream = RecordingStream()
     run_event(port, clients.admit, client)
