--- a/brookhub/program/run.py
+++ b/brookhub/program/run.py
@@ -239,7 +239,7 @@
         port = self.port
         port.run(monotonic(), self.upstreams.retire_idle)
         port.run(monotonic(), self.clients.close_stale_connections)
-        start_thread("timers", port.run_timers)
+        start_thread(port.run_timers)
         if self.counter and self.start.counter:
             port.run(monotonic(), self.counter.set_address, self.start.counter)
             port.run(monotonic(), self.counter.send_heartbeats)
@@ -251,7 +251,7 @@
         if self.maintenance:
             port.on_request_finished = self.maintenance.on_request_finished
             port.run(monotonic(), self.maintenance.start)
-        start_thread("accept", self.listener.accept_until_closed, self.clients.on_accepted)
+        start_thread(self.listener.accept_until_closed, self.clients.on_accepted)
 
     def reload(self) -> None:
         """Read the start file again: its addresses of discovery and the counter, its peers and its plan.
--- a/brookhub/routing/clients.py
+++ b/brookhub/routing/clients.py
@@ -127,7 +127,7 @@
 
     def start(self, connection: ClientConnection) -> None:
         """Start the thread of a connection. Called without the lock."""
-        if not start_thread("client", connection.run):
+        if not start_thread(connection.run):
             connection.stream.close()
             self.loop.run(monotonic(), connection.on_closed)
             self.log_closed("client", CloseReason.NO_THREAD, None, 0.0, 0)
--- a/brookhub/routing/connections.py
+++ b/brookhub/routing/connections.py
@@ -44,17 +44,17 @@
         return CloseReason.INTERNAL_ERROR
 
 
-def start_thread_with_retry(loop: EventLoop, name: str, work: Callable[[], object]) -> None:
+def start_thread_with_retry(loop: EventLoop, work: Callable[[], object]) -> None:
     """Start a thread that the program needs, again after a pause where the system can't start one.
 
     Called without the event loop's lock.
     """
-    if not start_thread(name, work):
+    if not start_thread(work):
         loop.run(
             monotonic(),
             loop.later,
             THREAD_RETRY_PAUSE,
-            lambda: loop.defer(start_thread_with_retry, loop, name, work),
+            lambda: loop.defer(start_thread_with_retry, loop, work),
         )
 
 
--- a/brookhub/routing/counter.py
+++ b/brookhub/routing/counter.py
@@ -212,7 +212,7 @@
             self.newest[index] = connection
             if active is None or active.stream is None:
                 self.activate(connection)
-            self.port.defer(start_thread_with_retry, self.port, "counter", connection.run)
+            self.port.defer(start_thread_with_retry, self.port, connection.run)
 
     def activate(self, connection: CounterConnection) -> None:
         """Send calls on a connection from now on."""
--- a/brookhub/routing/discovery.py
+++ b/brookhub/routing/discovery.py
@@ -138,7 +138,7 @@
             self.watch.stop()
             self.version = 0
         self.watch = ServerListWatch(self, self.create_reconnector(address))
-        self.port.defer(start_thread_with_retry, self.port, "discovery", self.watch.run)
+        self.port.defer(start_thread_with_retry, self.port, self.watch.run)
 
     def on_update(self, update: server_list.ServerListUpdate) -> None:
         """Take in a complete list, or the changes since the last update."""
--- a/brookhub/routing/peers.py
+++ b/brookhub/routing/peers.py
@@ -70,7 +70,7 @@
 
     def start(self) -> None:
         """Start reading datagrams and sending. Called without the lock."""
-        start_thread("peers", self.read)
+        start_thread(self.read)
         self.port.run(monotonic(), self.core.start)
         self.port.run(monotonic(), self.dropped.start)
 
--- a/brookhub/routing/upstreams.py
+++ b/brookhub/routing/upstreams.py
@@ -180,7 +180,7 @@
 
     def start(self, connection: UpstreamConnection) -> None:
         """Start a connection's thread. Called without the lock."""
-        if not start_thread("server", connection.run):
+        if not start_thread(connection.run):
             self.port.run(monotonic(), self.on_disconnected, connection)
             self.port.run(monotonic(), self.on_closed)
             self.log_end("server", CloseReason.NO_THREAD, connection.server, 0.0, 0)
--- a/brookhub/transport/stream.py
+++ b/brookhub/transport/stream.py
@@ -221,7 +221,7 @@
         """The system took nothing: go on in a thread that waits, or give up where this one has waited."""
         if not flags:  # the socket's write timeout has passed
             self.abort(CloseReason.SLOW_READER)
-        elif not start_thread("writer", self._write_queued, 0):
+        elif not start_thread(self._write_queued, 0):
             self.abort(CloseReason.NO_THREAD)
 
     # Closing
--- a/brookhub/transport/threads.py
+++ b/brookhub/transport/threads.py
@@ -15,13 +15,12 @@
     threading.stack_size(STACK_BYTES)
 
 
-def start_thread(name: str, work: Callable[[*Arguments], object], *arguments: *Arguments) -> bool:
+def start_thread(work: Callable[[*Arguments], object], *arguments: *Arguments) -> bool:
     """Start a thread that ends with the program; False where the system can't start one.
 
     The caller does not wait until it runs, as with `threading.Thread`: that would cost each connection two
-    thread switches. `name` says at the call what the thread is for.
+    thread switches.
     """
-    del name  # a raw thread has none
     try:
         _thread.start_new_thread(work, arguments)
     except RuntimeError:
--- a/tests/test_endings.py
+++ b/tests/test_endings.py
@@ -165,14 +165,14 @@
 def test_thread_that_the_system_could_not_start_is_tried_again(monkeypatch):
     # Before: the thread was asked for once, and a list never heard of was never heard of.
     port, begun, refused = SocketGatewayPort(print, 0.001), threading.Event(), [True, True]
-    threads.start_thread("timers", port.run_timers)
+    threads.start_thread(port.run_timers)
     monkeypatch.setattr(connections, "THREAD_RETRY_PAUSE", 0.02)
     monkeypatch.setattr(
         connections,
         "start_thread",
-        lambda name, work: not refused.pop() if refused else threads.start_thread(name, work),
+        lambda work: not refused.pop() if refused else threads.start_thread(work),
     )
-    connections.start_thread_with_retry(port, "discovery", begun.set)
+    connections.start_thread_with_retry(port, begun.set)
     assert begun.wait(2) and not refused
 
 
--- a/tests/test_routing.py
+++ b/tests/test_routing.py
@@ -110,11 +110,9 @@
 def port(monkeypatch):
     """A port whose events run at once; connections to servers are dialled when the test says so."""
     faults, dialled = [], []
-    monkeypatch.setattr(
-        upstreams_module, "start_thread", lambda name, work: dialled.append(work.__self__) or True
-    )
+    monkeypatch.setattr(upstreams_module, "start_thread", lambda work: dialled.append(work.__self__) or True)
     for module in (counter_module, discovery_module):
-        monkeypatch.setattr(module, "start_thread_with_retry", lambda port, name, work: None)
+        monkeypatch.setattr(module, "start_thread_with_retry", lambda port, work: None)
     created = SocketGatewayPort(faults.append, 0.0)
     created.gateway, created.dialled = RecordingGateway(), dialled
     created.upstreams = UpstreamConnections(created, lambda *_: None, UPSTREAM_SETTINGS)
