--- a/tests/test_routing.py
+++ b/tests/test_routing.py
@@ -29,6 +29,7 @@
 from brookhub.routing.counter import CounterClient
 from brookhub.routing.discovery import DiscoveryClient
 from brookhub.routing.port import SocketGatewayPort
+from brookhub.routing.request_decoder import PING
 from brookhub.routing.upstreams import UpstreamConnections, UpstreamSettings
 from brookhub.site import Plan, Route
 from brookhub.transport.ring_buffer import RingBuffer
@@ -109,11 +110,9 @@
 def port(monkeypatch):
     """A port whose events run at once; connections to servers are dialled when the test says so."""
     faults, dialled = [], []
-    monkeypatch.setattr(
-        upstreams_module, "start_thread", lambda name, work: dialled.append(work.__self__) or True
-    )
+    monkeypatch.setattr(upstreams_module, "start_thread", lambda work: dialled.append(work.__self__) or True)
     for module in (counter_module, discovery_module):
-        monkeypatch.setattr(module, "start_thread_with_retry", lambda port, name, work: None)
+        monkeypatch.setattr(module, "start_thread_with_retry", lambda port, work: None)
     created = SocketGatewayPort(faults.append, 0.0)
     created.gateway, created.dialled = RecordingGateway(), dialled
     created.upstreams = UpstreamConnections(created, lambda *_: None, UPSTREAM_SETTINGS)
@@ -386,23 +385,44 @@
 
 
 def test_internal_error_fails_its_request_and_not_those_behind_it(port):
-    heard, port.report_error = [], lambda met: heard.append(str(met))
-    routes, plans = [Route("look", 1.0, 2.0)], [Plan("wide")]
-    settings = replace(DEFAULT_SETTINGS, routes=tuple(routes), plans=tuple(plans), gateways=1)
-    clients = Clients(port, lambda *_: None, settings, lambda: True, replace(LIMITS, max_connections=9))
+    errors, port.report_error = [], lambda error: errors.append(str(error))
+    clients = clients_of_one_route(port)
     client = ClientConnection(clients, None)
     client.stream = RecordingStream()
 
-    def arrived(one):
-        if one.id == 1:
+    def on_request(request):
+        if request.id == 1:
             raise ArithmeticError("no such room")
-        port.reject_request(one, 0.0)
+        port.reject_request(request, 0.0)
 
-    port.gateway.on_request = arrived
-    words = [command_words(n) for n in range(3)]
-    run_event(port, client.take, [request_codec.ParsedRequest(one) for one in words], None)
+    port.gateway.on_request = on_request
+    requests = [request_codec.ParsedRequest(command_words(request_id)) for request_id in range(3)]
+    run_event(port, client.on_commands, requests, None)
     assert client.stream.said == [b"-BUSY\r\n", b"-ERR failed\r\n", b"-BUSY\r\n"]
-    assert heard == ["no such room"] and clients.open_calls == clients.asked == 0 and client in clients.idle
+    assert errors == ["no such room"] and client in clients.table.idle
+    assert len(clients.open_request_ids) == clients.usage.request_bytes == 0
+
+
+def clients_of_one_route(port):
+    settings = replace(DEFAULT_SETTINGS, routes=(Route("look", 1.0, 2.0),), plans=(Plan("wide"),), gateways=1)
+    return Clients(port, lambda *_: None, settings, lambda: True, LIMITS)
+
+
+def test_request_of_a_client_that_disconnects_leaves_no_trace_in_the_memory_accounting(port):
+    # Before: the failure that nobody gets was subtracted without having been added, 13 bytes each time, so
+    # the limit on unread responses grew by that with every request that its client abandoned.
+    clients = clients_of_one_route(port)
+    port.gateway.on_request = lambda request: None
+    port.gateway.on_client_disconnected = port.fail_request
+    clients.start = lambda client: None
+    client = ClientConnection(clients, None)
+    client.stream = RecordingStream()
+    run_event(port, clients.admit, client)
+    run_event(port, client.on_commands, [request_codec.ParsedRequest(command_words(1))], None)
+    assert clients.usage.request_bytes > 0
+    run_event(port, client.on_closed)
+    assert (clients.usage.request_bytes, clients.usage.response_bytes) == (0, 0)
+    assert not clients.open_request_ids and not clients.connections
 
 
 def reconnector(address):
@@ -411,38 +431,36 @@
     )
 
 
-def test_who_has_asked_again_is_not_closed_as_idle_and_nobody_is_once_the_end_is_near(port):
+def test_client_with_unread_bytes_is_not_closed_as_idle_and_no_idle_one_is_during_shutdown(port):
     limits = replace(LIMITS, max_connections=3, spare_connections=9)
     clients = Clients(port, lambda *_: None, DEFAULT_SETTINGS, lambda: True, limits)
     clients.start = lambda client: None
 
-    def met(asked):
+    def connect(sends_command):
         client = ClientConnection(clients, None)
         client.stream = RecordingStream()
         client.stream.has_unread_bytes = lambda: bool(client.stream.coming)
-        run_event(port, clients.welcome, client)
-        if asked:
-            run_event(port, client.take, [resp.PONG], None)
+        run_event(port, clients.admit, client)
+        if sends_command:
+            run_event(port, client.on_commands, [PING], None)
         return client
 
-    first, second, third = met(True), met(True), met(True)
-    first.stream.coming = b"*4"  # its thread has not come to it yet
-    met(False)
-    assert [one.stream.close_reason for one in (first, second, third)] == [None, "evicted", None]
+    first, second, third = connect(True), connect(True), connect(True)
+    first.stream.coming = b"*4"  # its thread has not read it yet
+    connect(False)
+    assert [client.stream.close_reason for client in (first, second, third)] == [None, "evicted", None]
     run_event(port, clients.begin_shutdown)
-    late = met(False)
-    assert (
-        third.stream.close_reason is None and late.stream.close_reason is None
-    )  # the one that said nothing was evicted
-    unread = met(False)
+    late = connect(False)  # the one before it, which has sent nothing, is evicted
+    assert third.stream.close_reason is None and late.stream.close_reason is None
+    unread = connect(False)
     unread.stream.coming = b"*4"
-    advance(port, 3.0)  # past the time in which something whole is to come
+    advance(port, 3.0)  # past the timeout of a first request
     run_event(port, clients.close_stale_connections)
     assert unread.stream.close_reason is None
     run_event(port, clients.drain)
     assert third.stream.close_reason == "draining" and first.stream.close_reason is None
     first.stream.coming = b""
-    run_event(port, first.take, [resp.PONG], None)
+    run_event(port, first.on_commands, [PING], None)
     assert first.stream.close_reason == "draining" and first.stream.said[-1] == resp.PONG
 
 
@@ -703,7 +721,7 @@
     ]
 
 
-def test_who_waits_to_be_accepted_when_the_listener_closes_is_still_taken():
+def test_connections_in_the_backlog_are_accepted_when_the_listener_closes():
     heard, listener = [], Listener(("127.0.0.1", 0))
     address = listener.sock.getsockname()
     threading.Thread(
@@ -720,7 +738,7 @@
         sock.close()
 
 
-def test_nothing_under_the_lock_writes():
+def test_enqueue_does_not_write_and_does_not_wait_for_the_peer():
     """A stream's `enqueue` copies and returns, also while its peer takes nothing at all."""
 
     class Stuck:
@@ -771,7 +789,7 @@
     assert (pushed.initial_backoff, pushed.max_backoff) == (0.05, 1.0)
 
 
-def test_pauses_between_two_dials_differ_by_chance_and_heed_who_turned_away():
+def test_reconnect_waits_are_random_and_respect_retry_after():
     from random import Random
 
     for asked, least, most in ((0.0, 0.05, 0.15), (7.0, 7.0, 14.0)):
