--- a/brookhub/coordination/__init__.py
+++ b/brookhub/coordination/__init__.py
@@ -6,23 +6,25 @@
 talking, and ones with other views do harm that is bounded.
 """
 
+from .coordinator import FleetCoordinator
 from .ejections import Report, SharedEjections
-from .epoch_leases import Turns
+from .epoch_leases import EpochLeases
 from .report_transport import TOPIC, ByCounter, ByPeers, UnusableError, unpack
-from .subset_assignment import Parts, Shared
-from .subsets import Subsets, size
+from .subset_assignment import ServerPlacement, SubsetAssignment
+from .subset_matching import SubsetMatching, subset_size
 
 __all__ = [
     "TOPIC",
     "ByCounter",
     "ByPeers",
-    "Parts",
-    "Shared",
+    "FleetCoordinator",
+    "ServerPlacement",
+    "SubsetAssignment",
     "Report",
     "SharedEjections",
-    "Subsets",
-    "Turns",
+    "SubsetMatching",
+    "EpochLeases",
     "UnusableError",
-    "size",
+    "subset_size",
     "unpack",
 ]
--- a/brookhub/coordination/ejections.py
+++ b/brookhub/coordination/ejections.py
@@ -1,9 +1,9 @@
 """Shared outlier ejection: what one limiter found out about a server, told to all before each pays for it.
 
 A limiter that a server failed reports it; once WITNESSES of them did, all eject that server for a few
-seconds. Who holds the turn for it (turns.py) probes it once meanwhile: a failure keeps it out, a success has
-all come back. A report only ever lowers use: without any, and whenever one is withdrawn, each limiter decides
-by what it saw itself.
+seconds. The holder of its lease (epoch_leases.py) probes it once meanwhile: a failure keeps it out, a success
+has all come back. A report only ever lowers use: without any, and whenever one is withdrawn, each limiter
+decides by what it saw itself.
 
 Not believed: one that finds fault with more than DOUBTED of the servers (it is rather its own link), one that
 just woke (its attempts timed out while it stood still). At most EJECTED_SHARE of all servers are out at a
@@ -19,7 +19,7 @@
 from typing import Callable, Hashable, NamedTuple, Protocol
 
 from ..model import Outcome
-from .epoch_leases import GRACE, Turns
+from .epoch_leases import RESUME_GRACE_SECONDS, EpochLeases
 
 WITNESSES = 2  # limiters whose report it takes: one alone may be the one at fault
 WITNESSES_ENOUGH = 3  # beyond which one more is not told: a fleet that fails together would only shout
@@ -42,7 +42,7 @@
 # Seconds between looks at the clock; seconds that it may be late until this process counts as stopped.
 BEAT, STOPPED = 0.25, 1.0
 # Seconds after waking for which what was ejected stays so: longer than this limiter takes no turn.
-KEPT_ON_WAKING = 2 * GRACE
+KEPT_ON_WAKING = 2 * RESUME_GRACE_SECONDS
 BATCH = 0.02  # s that reports wait for others to go with them: zones are lost at one stroke
 ENDS_KEPT = 500  # ends of attempts: bounds the work of a look
 
@@ -129,8 +129,8 @@
     the carrier's side tells `received`, `counted` and `woke`. Servers by their ids, times in s.
     """
 
-    def __init__(self, carrier: Carrier, turns: Turns) -> None:
-        self.carrier, self.turns, self.me = carrier, turns, turns.me
+    def __init__(self, carrier: Carrier, leases: EpochLeases) -> None:
+        self.carrier, self.leases, self.me = carrier, leases, leases.me
         self.ejections: dict[int, Ejection] = {}
         self.faults: dict[int, float] = {}  # servers that failed this limiter, when last
         self.reported: dict[Hashable, dict[int, float]] = {}  # witness -> servers it reported, when
@@ -155,7 +155,7 @@
         ejection, now = self.ejections.get(server), self.carrier.now
         if ejection is None or not ejection.active(now) or now < ejection.probe_at:
             return False
-        return self.turns.mine(f"sick/{server}", now, self.carrier.calendar)
+        return self.leases.is_held_by_me(f"sick/{server}", now, self.carrier.calendar)
 
     # what the decisions tell
 
@@ -248,11 +248,11 @@
         its sleep.
         """
         now = self.carrier.now
-        self.quiet_until = now + GRACE
+        self.quiet_until = now + RESUME_GRACE_SECONDS
         for ejection in self.ejections.values():
             if ejection.until > self.beat_at:
                 ejection.until = max(ejection.until, now + KEPT_ON_WAKING)
-        self.turns.woke(self.carrier.now)
+        self.leases.on_resumed(self.carrier.now)
         self.faults.clear()
 
     # inside
@@ -307,7 +307,7 @@
 
     def witnesses_needed(self) -> int:
         """How many limiters have to report a server until it is ejected."""
-        return min(WITNESSES, len(self.turns.present))
+        return min(WITNESSES, len(self.leases.present))
 
     def restore(self, server: int) -> None:
         """Use a server again."""
--- a/brookhub/coordination/epoch_leases.py
+++ b/brookhub/coordination/epoch_leases.py
@@ -1,66 +1,88 @@
-"""Turns: what one limiter must do and all need not, by rendezvous hashing over the matter and a slow epoch.
+"""Leases without messages: the holders of a resource in each epoch, by rendezvous hashing.
 
-The holders of a matter are the first few of all limiters ranked by a keyed hash of (matter, epoch, limiter).
-No message is needed: who is not held for present has no turn, so a dead holder's turn passes on as soon as
-membership says so, a stalled one's too, and each epoch draws anew, so that a holder who is there and does
-nothing keeps a matter for one epoch at most. Limiters with other views may hold a turn at once: with two
-views two, and so on; `most` holders a view times the number of views is the bound.
+The holders of a resource are the first few of all present limiters, ranked by a keyed hash of (resource,
+epoch, limiter). Nothing is sent. A limiter that membership does not count as present holds no lease, so the
+lease of a dead or stalled holder passes on as soon as membership has noticed; each epoch ranks anew, so a
+holder that is present and does nothing blocks a resource for one epoch at most.
+
+Limiters that see different members may hold the same lease at once: one holder for each distinct view.
 """
 
 from __future__ import annotations
 
-from typing import Hashable, Iterable
+from typing import Iterable, NamedTuple
+
+from .hashing import uniform_hash
+
+EPOCH_SECONDS = 10.0  # longer than membership takes to notice that a holder has died
+MAX_CACHED_EPOCHS = 256  # the decisions ask for the same holders many times
+# After a pause of this process its view of the members is as old as the pause: it holds no lease for so long.
+RESUME_GRACE_SECONDS = 1.0
+
+Resource = int | str
+"""What a lease is held on; its text is hashed."""
 
-from .hashing import score
 
-EPOCH = 10.0  # s that a turn lasts at the most: longer than a holder's death takes to be known
-KEPT = 256  # draws remembered: decisions ask for the same one many times
-GRACE = 1.0  # s after waking in which a limiter takes no turn: its view is as old as its sleep
+class LeaseEpoch(NamedTuple):
+    """One epoch of a resource, with the number of its holders."""
 
+    resource: Resource
+    number: int
+    holder_count: int
 
-class Turns:
-    """Whose turn a matter is.
 
-    `present` is this limiter's view, itself included. Epochs go by the calendar, the same at all to within a
-    small part of EPOCH: where it differs by d, a matter has two holders for d of every epoch, or none.
+class EpochLeases:
+    """The leases as one limiter sees them.
+
+    `key`: the fleet's, the same at all limiters; `me`: this limiter's name; `present`: the members that it
+    sees, itself included. Epochs go by the wall clock, which limiters share to within a small part of an
+    epoch: where two clocks differ by d seconds, a resource has two holders or none for d of every epoch.
     """
 
-    def __init__(self, key: int, me: Hashable, epoch: float = EPOCH):
-        self.key, self.me, self.epoch = key, me, epoch
-        self.present: list[Hashable] = [me]
-        self.drawn: dict[
-            tuple[Hashable, int, int], list[Hashable]
-        ] = {}  # (matter, epoch) -> holders, as long as the view stays
-        self.awake_at = -GRACE
+    def __init__(self, key: int, me: str, epoch_seconds: float = EPOCH_SECONDS) -> None:
+        self.key = key
+        self.me = me
+        self.epoch_seconds = epoch_seconds
+        self.present = [me]
+        self._holders: dict[LeaseEpoch, list[str]] = {}  # cached until the members change
+        self._resumed_at = -RESUME_GRACE_SECONDS
 
-    def told(self, present: Iterable[Hashable]) -> None:
-        """The members that are there, this one among them or not."""
-        self.present, self.drawn = sorted({*present, self.me}, key=str), {}
+    def set_present(self, members: Iterable[str]) -> None:
+        """Set the members that are present; this limiter always counts as one of them."""
+        self.present = sorted({*members, self.me})
+        self._holders = {}
 
-    def woke(self, now: float) -> None:
-        """This limiter was stopped: it believes in no turn until its view is new."""
-        self.awake_at = now
+    def on_resumed(self, now: float) -> None:
+        """Hold no lease for RESUME_GRACE_SECONDS: this process was paused, and its view is out of date."""
+        self._resumed_at = now
 
-    def holders(self, matter: Hashable, now: float, most: int = 1) -> list[Hashable]:
-        """The `most` holders of a matter in the epoch of `now` (s), first holder first.
+    def holders(self, resource: Resource, wall_time: float, count: int = 1) -> list[str]:
+        """The `count` holders of a resource in the epoch of `wall_time` (s), the first holder first."""
+        # Each resource's epochs are shifted, so that not all leases change hands at the same moment.
+        shift = uniform_hash(self.key, "shift", resource)
+        number = int(wall_time / self.epoch_seconds + shift)
+        epoch = LeaseEpoch(resource, number, count)
+        holders = self._holders.get(epoch)
+        if holders is None:
+            if len(self._holders) >= MAX_CACHED_EPOCHS:
+                self._holders.clear()
+            holders = self._holders[epoch] = self._rank_members(epoch)[:count]
+        return holders
 
-        Epochs of matters are out of step, so that not all change hands at once.
-        """
-        shift = score(self.key, "shift", matter)
-        epoch = int(now / self.epoch + shift)
-        if (matter, epoch, most) not in self.drawn:
-            if len(self.drawn) >= KEPT:
-                self.drawn.clear()
-            self.drawn[matter, epoch, most] = sorted(
-                self.present, key=lambda one: score(self.key, matter, epoch, one)
-            )[:most]
-        return self.drawn[matter, epoch, most]
-
-    def mine(self, matter: Hashable, now: float, calendar: float | None = None, most: int = 1) -> bool:
-        """Whether this limiter holds the matter; not within GRACE s after it woke.
-
-        `now` s on its own clock, `calendar` s on the one that all share (the same where it is not named).
+    def is_held_by_me(
+        self, resource: Resource, now: float, wall_time: float | None = None, count: int = 1
+    ) -> bool:
+        """Whether this limiter is one of the `count` holders of a resource.
+
+        `now`: s on this limiter's own clock; `wall_time`: s on the shared clock, `now` where it is left out.
         """
-        return now - self.awake_at >= GRACE and self.me in self.holders(
-            matter, now if calendar is None else calendar, most
+        if now - self._resumed_at < RESUME_GRACE_SECONDS:
+            return False
+        epoch_time = now if wall_time is None else wall_time
+        return self.me in self.holders(resource, epoch_time, count)
+
+    def _rank_members(self, epoch: LeaseEpoch) -> list[str]:
+        return sorted(
+            self.present,
+            key=lambda member: uniform_hash(self.key, epoch.resource, epoch.number, member),
         )
--- a/brookhub/coordination/hashing.py
+++ b/brookhub/coordination/hashing.py
@@ -1,22 +1,28 @@
-"""The one keyed hash of all choices: xxh3 (xxhash), uniform over 64 bits, the same on every machine."""
+"""The keyed hash (xxh3 of xxhash) behind all rendezvous hashing: the same numbers on every machine.
+
+Limiters agree without messages because they hash the same values, so what is hashed here may not change
+between versions that run in one fleet (tests/golden/choices.json).
+"""
 
 from __future__ import annotations
 
 import xxhash
 
-TOP = 2.0**64
+HASH_RANGE = 2.0**64
 
 
-def score(key: int, *words: object) -> float:
-    """Uniform in (0, 1) for these words under `key`; the order of the words matters."""
-    return (xxhash.xxh3_64_intdigest("/".join(map(str, words)), seed=key) + 0.5) / TOP
+def uniform_hash(key: int, *values: object) -> float:
+    """A number in (0, 1), uniform over the values' texts under `key`; the order of the values matters."""
+    text = "/".join(map(str, values))
+    return (xxhash.xxh3_64_intdigest(text, seed=key) + 0.5) / HASH_RANGE
 
 
-def deal(key: int, many: int, *words: object) -> list[float]:
-    """`many` numbers in (0, 1), one in each `many`th part, shuffled by these words under `key`."""
-    hashes = [score(key, *words, number) for number in range(many)]
-    places = sorted(range(many), key=hashes.__getitem__)
-    dealt = [0.0] * many
-    for place, number in enumerate(places):
-        dealt[number] = (place + score(key, "within", *words, number)) / many
-    return dealt
+def stratified_hashes(key: int, count: int, *values: object) -> list[float]:
+    """`count` numbers in (0, 1), exactly one in each of `count` equal intervals, shuffled by the values."""
+    hashes = [uniform_hash(key, *values, index) for index in range(count)]
+    shuffled = sorted(range(count), key=hashes.__getitem__)
+    numbers = [0.0] * count
+    for interval, index in enumerate(shuffled):
+        offset = uniform_hash(key, "within", *values, index)
+        numbers[index] = (interval + offset) / count
+    return numbers
--- a/brookhub/coordination/subset_assignment.py
+++ b/brookhub/coordination/subset_assignment.py
@@ -1,175 +1,150 @@
-"""One limiter's part of the servers by the fleet's matching, and all that the decisions ask of the fleet.
+"""One limiter's subset of the servers, by the fleet's matching in each zone.
 
-Each zone has a matching of its own, so that all limiters have the same number of servers near them: by one
-matching for all, those with few in their zone sent too much to these (4.3 times the mean at one server, 40
-limiters; 2.9 by the stretch).
+Each zone has a matching of its own, so that all limiters have the same number of servers near them: with one
+matching for all zones, limiters with few servers in their own zone sent too much to these (4.3 times the mean
+at one server, 40 limiters; 2.9 by consecutive servers of the sorted list).
 
-Limiters are numbered by their names among those that the operator lists, so that a number stays with a name
-while others come and go; the matching is of those that are present, and all that hold the same ones for
-present match alike without talking. Two sides of a split match apart: a server is then used by its part of
-each side, and each limiter's load is spread as before.
+Limiters are numbered by their names among all that the operator lists, so that a name keeps its number while
+others come and go. The matching is of those that are present: all limiters that see the same members compute
+the same one without messages. The two sides of a network partition match apart: a server then gets its share
+of each side, and each limiter's load is spread as before.
 """
 
 from __future__ import annotations
 
-from itertools import chain, zip_longest
+from itertools import zip_longest
 from math import floor, log
-from typing import Any, Callable, Hashable, Iterable
+from typing import Callable, Iterable, Mapping, NamedTuple
 
-from ..model import Outcome
-from .ejections import SharedEjections
-from .subsets import Subsets, size
+from .subset_matching import SubsetMatching, subset_size
 
-# Limiters times servers: 0.15 s of work at a first list, a few ms for each change; beyond it the stretch
-# stays
-MOST_PAIRS = 20_000
-# The size of a part goes by the number of limiters in such steps, rounded down: where one limiter less made
-# every part larger by one, its end moved 4.3 times its own pairs (40 limiters, 60 servers)
-STEP = 1.25
+# Limiters times servers: 0.15 s of work at a first list, a few ms for each change. A larger fleet uses
+# consecutive servers of the sorted list.
+MAX_PAIRS = 20_000
+# Subset sizes go by the number of limiters rounded down to a power of this: where one limiter less made every
+# subset larger by one, its end moved 4.3 times its own pairs (40 limiters, 60 servers).
+FLEET_SIZE_STEP = 1.25
+ROUNDING_TOLERANCE = 1e-9
 
 
-class Parts:
-    """`key`: the fleet's, the same at all; `me` and `others`: names that the operator lists; `here()`.
+class ServerPlacement(NamedTuple):
+    """What the matching uses of a server. A weight of 0 or less counts as 1."""
 
-    Those of the others that count as there (membership.Membership.counted), asked each time the decisions
-    draw their part.
-    """
+    zone: int
+    weight: float
 
-    def __init__(self, key: int, me: str, others: Iterable[str], here: Callable[[], Iterable[str]]):
-        self.key, self.me, self.here = key, me, here
-        self.servers: dict[Hashable, tuple[Hashable, float]] = {}
-        self.relist(others)
-
-    def relist(self, others: Iterable[str]) -> None:
-        """Other names are listed: numbers are given anew."""
-        self.numbers = {name: number for number, name in enumerate(sorted({self.me, *others}))}
-        self.present = [self.numbers[self.me]]
-        self.zones: dict[Hashable, Subsets] = {}
-        self.drawn: list[Hashable] | None = None
-        self.match()
-
-    def fits(self) -> bool:
-        """Whether there are few enough names and servers for a matching."""
-        return 0 < len(self.numbers) * len(self.servers) <= MOST_PAIRS
-
-    def listed(self, servers: dict[Hashable, tuple[Hashable, float]]) -> None:
-        """The servers that there are, each with its zone and its weight (above 0; else it counts as 1)."""
-        servers = {
-            server: (zone, weight if weight > 0 else 1.0) for server, (zone, weight) in servers.items()
-        }
-        if servers != self.servers:
-            self.servers = servers
-            self.match()
-
-    def match(self) -> None:
-        """Bring each zone's matching up to date with the list."""
-        self.drawn = None
-        of: dict[Any, dict[Hashable, float]] = {}  # by zone; zones are numbers or names, not both
-        for server, (zone, weight) in self.servers.items() if self.fits() else ():
-            of.setdefault(zone, {})[server] = weight
-        self.zones = {zone: self.zones.get(zone) or Subsets(self.present, self.key) for zone in sorted(of)}
-        for zone, subsets in self.zones.items():
-            subsets.listed(of[zone])
-
-    def look(self) -> bool:
-        """Take those that are there now for the matching; whether there is one.
-
-        Names that are not listed have no part.
-        """
-        if not self.fits():
-            return False
-        here = sorted({self.numbers[name] for name in (self.me, *self.here()) if name in self.numbers})
-        if here != self.present:
-            gone, new = sorted({*self.present} - {*here}), sorted({*here} - {*self.present})
-            self.present, self.drawn = here, None
-            for subsets in self.zones.values():
-                for number in gone:
-                    subsets.leave(number)
-                for number in new:
-                    subsets.join(number)
-        return True
 
-    def sizes(self) -> dict[Hashable, int]:
-        """How many servers of each zone a limiter uses at least, the same at all that see the same fleet."""
-        steady = max(1, floor(STEP ** floor(log(len(self.present), STEP) + 1e-9)))
-        each = size(steady, len(self.servers))
-        return {
-            zone: max(1, round(each * len(subsets.weights) / len(self.servers)))
-            for zone, subsets in self.zones.items()
+class SubsetAssignment:
+    """The subset of one limiter, kept up to date with the members and the servers.
+
+    `key`: the fleet's, the same at all limiters; `me` and `peers`: the names that the operator lists;
+    `present_peers()`: the peers that count as present (membership.Membership.counted), called each time the
+    decisions choose servers. Names that are not listed get no subset.
+    """
+
+    def __init__(
+        self, key: int, me: str, peers: Iterable[str], present_peers: Callable[[], Iterable[str]]
+    ) -> None:
+        self.key = key
+        self.me = me
+        self.present_peers = present_peers
+        self._servers: dict[int, ServerPlacement] = {}
+        self.set_peers(peers)
+
+    def set_peers(self, peers: Iterable[str]) -> None:
+        """Set the other names that are listed; all limiters are numbered anew."""
+        names = sorted({self.me, *peers})
+        self._numbers = {name: number for number, name in enumerate(names)}
+        self._present = [self._numbers[self.me]]
+        self._matchings: dict[int, SubsetMatching[int, int]] = {}  # by zone
+        self._order: list[int] | None = None  # cached until the members or the servers change
+        self._update_matchings()
+
+    def set_servers(self, servers: Mapping[int, ServerPlacement]) -> None:
+        """Set the servers that may be used, by id."""
+        placements = {
+            server: ServerPlacement(zone, weight if weight > 0 else 1.0)
+            for server, (zone, weight) in servers.items()
         }
+        if placements != self._servers:
+            self._servers = placements
+            self._update_matchings()
 
-    def least(self) -> int:
-        """How many servers a limiter uses at least; 0 where there are too many."""
-        return sum(self.sizes().values()) if self.look() else 0
+    def min_servers(self) -> int:
+        """How many servers this limiter uses at least; 0 where the fleet is too large for a matching."""
+        if not self._update_present():
+            return 0
+        return sum(self._subset_sizes().values())
 
-    def order(self) -> list[Hashable] | None:
-        """All servers as this limiter takes them, its own part first, zone by zone in turn.
+    def preference_order(self) -> list[int] | None:
+        """All servers in this limiter's order: its subset first, alternating between the zones.
 
-        None where there are too many.
+        None where the fleet is too large for a matching. The result is cached: it must not be changed.
         """
-        if not self.look():
+        if not self._update_present():
             return None
-        if self.drawn is None:
-            own, rest = [], []
-            for zone, many in self.sizes().items():
-                subsets = self.zones[zone]
-                them = subsets.wider(self.numbers[self.me], many, len(subsets.weights))
-                own.append(them[:many])
-                rest.append(them[many:])
-            self.drawn = [
-                server
-                for lists in (own, rest)
-                for turn in zip_longest(*lists)
-                for server in turn
-                if server is not None
-            ]
-        return self.drawn
-
-
-class Shared:
-    """What the decisions ask of the fleet: `ejections` and `parts`, each or neither.
-
-    Without ejections nothing is ejected and nothing is this one's turn; without parts the servers are taken
-    as a stretch of their ring.
-    """
-
-    def __init__(self, ejections: SharedEjections | None = None, parts: Parts | None = None):
-        self.ejections, self.parts = ejections, parts
-
-    def on_servers_updated(self, servers: dict[int, Any]) -> None:
-        """The servers that there are, by id (model.Server)."""
-        if self.ejections:
-            self.ejections.listed({ident: server.started_at for ident, server in servers.items()})
-        if self.parts:
-            self.parts.listed({ident: (server.zone, server.weight) for ident, server in servers.items()})
+        if self._order is None:
+            self._order = self._compute_order()
+        return self._order
+
+    def _is_matchable(self) -> bool:
+        """Whether there are any servers, and few enough names and servers for a matching."""
+        return 0 < len(self._numbers) * len(self._servers) <= MAX_PAIRS
+
+    def _update_matchings(self) -> None:
+        """Bring the matching of each zone up to date with the servers."""
+        self._order = None
+        weights_by_zone: dict[int, dict[int, float]] = {}
+        if self._is_matchable():
+            for server, (zone, weight) in self._servers.items():
+                weights_by_zone.setdefault(zone, {})[server] = weight
+        self._matchings = {
+            zone: self._matchings.get(zone) or SubsetMatching(self._present, self.key)
+            for zone in sorted(weights_by_zone)
+        }
+        for zone, matching in self._matchings.items():
+            matching.set_servers(weights_by_zone[zone])
 
-    def is_ejected(self, server: int) -> bool:
-        """Whether the fleet leaves it out now."""
-        return self.ejections is not None and self.ejections.is_ejected(server)
+    def _update_present(self) -> bool:
+        """Bring the matchings up to date with the present members; whether there is a matching."""
+        if not self._is_matchable():
+            return False
+        names = (self.me, *self.present_peers())
+        present = sorted({self._numbers[name] for name in names if name in self._numbers})
+        if present == self._present:
+            return True
+        left = sorted({*self._present} - {*present})
+        joined = sorted({*present} - {*self._present})
+        self._present = present
+        self._order = None
+        for matching in self._matchings.values():
+            for number in left:
+                matching.remove_limiter(number)
+            for number in joined:
+                matching.add_limiter(number)
+        return True
 
-    def may_probe(self, server: int) -> bool:
-        """Whether it is this limiter's turn to try one that is left out."""
-        return self.ejections is not None and self.ejections.may_probe(server)
+    def _subset_sizes(self) -> dict[int, int]:
+        """The servers of each zone in a subset, the same at all limiters that see the same fleet."""
+        exponent = floor(log(len(self._present), FLEET_SIZE_STEP) + ROUNDING_TOLERANCE)
+        stepped_fleet_size = max(1, floor(FLEET_SIZE_STEP**exponent))
+        size = subset_size(stepped_fleet_size, len(self._servers))
+        return {
+            zone: max(1, round(size * len(matching.weights) / len(self._servers)))
+            for zone, matching in self._matchings.items()
+        }
 
-    def attempt_started(self, server: int) -> None:
-        """An attempt goes to it."""
-        if self.ejections:
-            self.ejections.attempt_started(server)
+    def _compute_order(self) -> list[int]:
+        own: list[list[int]] = []  # by zone
+        others: list[list[int]] = []
+        for zone, size in self._subset_sizes().items():
+            matching = self._matchings[zone]
+            ranked = matching.widened_subset(self._numbers[self.me], size, len(matching.weights))
+            own.append(ranked[:size])
+            others.append(ranked[size:])
+        return _alternate(own) + _alternate(others)
 
-    def attempt_ended(self, server: int, outcome: Outcome) -> None:
-        """How an attempt ended there."""
-        if self.ejections:
-            self.ejections.attempt_ended(server, outcome)
 
-    @property
-    def min_servers(self) -> int:
-        """How many servers this limiter uses at least."""
-        return self.parts.least() if self.parts else 0
-
-    def rank_servers(self, views: list[Any], start: int) -> Iterable[Any]:
-        """The decisions' records of the servers, sorted by `.server.id`, in the order to take them in."""
-        order = self.parts.order() if self.parts else None
-        if not order:
-            return chain(views[start:], views[:start])
-        known = {view.server.id: view for view in views}
-        return [known[server] for server in order if server in known]
+def _alternate(lists: list[list[int]]) -> list[int]:
+    """The first of each list, then the second of each, and so on."""
+    return [item for items in zip_longest(*lists) for item in items if item is not None]
--- a/brookhub/emulator/fleet.py
+++ b/brookhub/emulator/fleet.py
@@ -13,7 +13,16 @@
 
 from .. import policy
 from ..config.models import Experiment, PlanSpec, RouteSpec
-from ..coordination import TOPIC, ByCounter, ByPeers, Parts, Shared, SharedEjections, Turns, unpack
+from ..coordination import (
+    TOPIC,
+    ByCounter,
+    ByPeers,
+    EpochLeases,
+    FleetCoordinator,
+    SharedEjections,
+    SubsetAssignment,
+    unpack,
+)
 from ..membership import ALIVE, Membership
 from ..model import Request, ServerState
 from ..recovery import Ledger
@@ -170,9 +179,9 @@
             self.kept[index] = seat.recovery.ledger if self.experiment.fleet.counter.ledgers_last else None
         if self.experiment.fleet.counter.signals:
             carrier = ByCounter(seat, self.seed)
-            seat.ejections = SharedEjections(carrier, self.turns(seat))
+            seat.ejections = SharedEjections(carrier, self.leases(seat))
             carrier.serve(seat.ejections)
-            seat.gateway.use_coordination(Shared(seat.ejections))
+            seat.gateway.use_coordination(FleetCoordinator(seat.ejections))
         return seat
 
     def join(self, seat: Seat) -> None:
@@ -190,10 +199,10 @@
                 and seat.recovery.fleet(sure)
             ),
         )
-        ejections = parts = None
+        ejections = assignment = None
         if spec.signals:
-            turns = self.turns(seat)
-            peer.on_changed = lambda member, state: turns.told(peer.core.present)
+            leases = self.leases(seat)
+            peer.on_changed = lambda member, state: leases.set_present(peer.core.present)
             peer.on_said = lambda source, topic, data: (
                 topic == TOPIC and ejections.received(source, unpack(data))
             )
@@ -205,19 +214,19 @@
                 member.state, member.incarnation = ALIVE, 0
             peer.core.present = set(peer.core.names)
         if spec.signals:
-            turns.told(peer.core.present)
-            ejections = seat.ejections = SharedEjections(ByPeers(peer, peer.core), turns)
+            leases.set_present(peer.core.present)
+            ejections = seat.ejections = SharedEjections(ByPeers(peer, peer.core), leases)
         if spec.subsets:
-            parts = Parts(self.seed, peer.name, peer.core.names, peer.core.counted)
-        if ejections or parts:
-            seat.gateway.use_coordination(Shared(ejections, parts))
+            assignment = SubsetAssignment(self.seed, peer.name, peer.core.names, peer.core.counted)
+        if ejections or assignment:
+            seat.gateway.use_coordination(FleetCoordinator(ejections, assignment))
         peer.core.start()
 
-    def turns(self, seat: Seat) -> Turns:
-        """The turns of a limiter that sees all others."""
-        turns = Turns(self.seed, f"n{seat.index}")
-        turns.told(f"n{index}" for index in range(self.experiment.fleet.limiters))
-        return turns
+    def leases(self, seat: Seat) -> EpochLeases:
+        """The leases of a limiter that sees all others."""
+        leases = EpochLeases(self.seed, f"n{seat.index}")
+        leases.set_present(f"n{index}" for index in range(self.experiment.fleet.limiters))
+        return leases
 
     def entries(self) -> list[tuple]:
         """The server list as discovery has it."""
--- a/brookhub/experiments/choices.py
+++ b/brookhub/experiments/choices.py
@@ -3,7 +3,7 @@
 Balance, load, churn and connections of several ways to choose them, by computation alone.
 
 Ways: `stretch` (today's: a stretch of the servers sorted by id, from a golden-ratio place on), `random` (a
-hash's first few), `matching` (choices.Subsets). docs/choices.md reads the tables and the plot.
+hash's first few), `matching` (coordination.SubsetMatching). docs/choices.md reads the tables and the plot.
 """
 
 from __future__ import annotations
@@ -16,8 +16,8 @@
 from pathlib import Path
 from typing import Callable
 
-from ..coordination.hashing import score
-from ..coordination.subsets import Subsets, size
+from ..coordination import SubsetMatching, subset_size
+from ..coordination.hashing import uniform_hash
 from .canvas import panels, saved
 
 RESULTS = "choices.jsonl"
@@ -46,14 +46,16 @@
 ) -> dict[int, list]:
     """Limiter -> its servers, chosen in that way."""
     if way == "matching":
-        fleet = Subsets(limiters, key)
-        fleet.listed(dict(zip(servers, weights, strict=False)))
-        return fleet.match(each)
+        fleet = SubsetMatching(limiters, key)
+        fleet.set_servers(dict(zip(servers, weights, strict=False)))
+        return fleet.subsets(each)
     if way == "random":
-        fleet = Subsets([f"n{one}" for one in limiters], key)  # by names: nothing is dealt, all is chance
-        fleet.listed(dict(zip(servers, weights, strict=False)))
-        return {one: [server for _, server in fleet.ranks[f"n{one}"][:each]] for one in limiters}
-    ring = sorted(servers, key=lambda server: score(0, server))  # ids are hashes of names
+        fleet = SubsetMatching(
+            [f"n{one}" for one in limiters], key
+        )  # by names: nothing is dealt, all is chance
+        fleet.set_servers(dict(zip(servers, weights, strict=False)))
+        return {one: [server for _, server in fleet.rankings[f"n{one}"][:each]] for one in limiters}
+    ring = sorted(servers, key=lambda server: uniform_hash(0, server))  # ids are hashes of names
     return {
         one: [ring[(floor(one * GOLDEN % 1.0 * len(ring)) + step) % len(ring)] for step in range(each)]
         for one in limiters
@@ -95,17 +97,17 @@
     limiters = sorted(rng.sample(range(ceil(count * 1.1)), count))
     servers = [f"s{job['seed']}-{number}" for number in range(many)]
     weights = [1.0] * many if not job["weighted"] else [rng.choice([0.5, 1.0, 2.0]) for _ in servers]
-    key, each = job["seed"], size(count, many)
+    key, each = job["seed"], subset_size(count, many)
     chosen = subsets(way, limiters, servers, weights, each, key)
     hot = set(rng.sample(limiters, max(1, round(HOT * count))))
     even, loaded = balance(chosen, servers, weights, dict.fromkeys(limiters, 1.0))
-    fleet = Subsets(limiters, key)
-    fleet.listed(dict(zip(servers, weights, strict=False)))
+    fleet = SubsetMatching(limiters, key)
+    fleet.set_servers(dict(zip(servers, weights, strict=False)))
     # Hot ones use as many more servers as they see more; the others can't know, so their own lists stay.
     for one in hot:
         more = min(many, ceil(each * TIMES))
         if way == "matching":
-            chosen_hot = fleet.wider(one, each, min(many, ceil(more * SPREAD)))
+            chosen_hot = fleet.widened_subset(one, each, min(many, ceil(more * SPREAD)))
         else:
             chosen_hot = subsets(way, [one], servers, weights, more, key)[one]
         chosen[one] = chosen_hot
--- a/brookhub/routing/peers.py
+++ b/brookhub/routing/peers.py
@@ -12,7 +12,16 @@
 
 from xxhash import xxh3_64_intdigest
 
-from ..coordination import TOPIC, ByPeers, Parts, Shared, SharedEjections, Turns, UnusableError, unpack
+from ..coordination import (
+    TOPIC,
+    ByPeers,
+    EpochLeases,
+    FleetCoordinator,
+    SharedEjections,
+    SubsetAssignment,
+    UnusableError,
+    unpack,
+)
 from ..membership import LARGEST, WORDS, Membership, UnreadableError, decode
 from ..transport.threads import spawn
 
@@ -53,14 +62,18 @@
         self.saying, self.said_at = False, -SAYS
         self.numbers = (0, 0, 0)
         self.ahead = time() - monotonic()  # of the calendar; looked at again with each log line
-        self.turns = Turns(xxh3_64_intdigest(spec.fleet), spec.name)  # one key for a fleet, the same at all
+        self.leases = EpochLeases(
+            xxh3_64_intdigest(spec.fleet), spec.name
+        )  # one key for a fleet, the same at all
         self.on_topic: dict[int, object] = {}  # what other parts take of the peers' words
-        self.ejections = SharedEjections(ByPeers(self, self.core), self.turns) if spec.signals else None
-        self.parts = (
-            Parts(self.turns.key, spec.name, self.by_name, self.core.counted) if spec.subsets else None
+        self.ejections = SharedEjections(ByPeers(self, self.core), self.leases) if spec.signals else None
+        self.assignment = (
+            SubsetAssignment(self.leases.key, spec.name, self.by_name, self.core.counted)
+            if spec.subsets
+            else None
         )
-        if self.ejections or self.parts:
-            port.gateway.use_coordination(Shared(self.ejections, self.parts))
+        if self.ejections or self.assignment:
+            port.gateway.use_coordination(FleetCoordinator(self.ejections, self.assignment))
         if self.ejections:
             self.shunned: list[int] = []
             self.look()
@@ -83,8 +96,8 @@
         """
         self.list(spec)
         self.core.relist(self.by_name)
-        if self.parts:
-            self.parts.relist(self.by_name)
+        if self.assignment:
+            self.assignment.set_peers(self.by_name)
 
     def read(self) -> None:
         """The thread: whatever arrives, to the end of the program."""
@@ -145,7 +158,7 @@
 
     def changed(self, member: str, state: int) -> None:
         """A member came or went."""
-        self.turns.told(self.core.present)
+        self.leases.set_present(self.core.present)
         self.soon()
 
     def said(self, peer: str, topic: int, data: bytes) -> None:
--- a/tests/test_choices_processes.py
+++ b/tests/test_choices_processes.py
@@ -1,4 +1,4 @@
-"""Signals and turns on eight processes of the program, 24 servers and the relay between.
+"""Signals and leases on eight processes of the program, 24 servers and the relay between.
 
 What is sent where is read from the servers' own records, and every run passes the judge.
 """
@@ -10,9 +10,9 @@
 import pytest
 from xxhash import xxh3_64_intdigest
 
-from brookhub.coordination import Parts, Turns
+from brookhub.coordination import EpochLeases, SubsetAssignment
 from brookhub.coordination.ejections import EJECTED_MOST, PROBE_AT, REPORT_TTL
-from brookhub.coordination.epoch_leases import GRACE
+from brookhub.coordination.epoch_leases import RESUME_GRACE_SECONDS
 from brookhub.experiments.processes import ProcessLab
 from brookhub.membership.core import SHRINK
 from brookhub.protocol import hosts
@@ -43,9 +43,9 @@
 
 def holder(lab, present, at):
     """Who holds the turn for the bad server then (s, monotonic), in the view of these."""
-    turns = Turns(xxh3_64_intdigest("lab"), present[0])
-    turns.told(present)
-    name = turns.holders(f"sick/{IDENT}", at + time() - monotonic())[0]
+    leases = EpochLeases(xxh3_64_intdigest("lab"), present[0])
+    leases.set_present(present)
+    name = leases.holders(f"sick/{IDENT}", at + time() - monotonic())[0]
     return lab.limiters[int(name[1:])]
 
 
@@ -160,7 +160,7 @@
         sleep(max(0.0, tried + 1.0 - monotonic()))
         lab.stall(sleeper, 5.0)
         woke = monotonic()
-        sleep(GRACE)
+        sleep(RESUME_GRACE_SECONDS)
         own = [one for one in sends(lab, woke) if one.limiter == sleeper.address]
         assert not own, told_of(own, woke)
         first = [one.how for one in sends(lab, tried) if one.at <= tried]
@@ -168,7 +168,7 @@
         after = sends(lab, tried + 0.5)
         assert len(after) <= 3, told_of(after, tried)  # its turn, whoever took it, and one more view's
         lab.servers[BAD].model.mode = "ok"
-        assert used_by(lab, woke + GRACE, USERS, EJECTED_MOST + REPORT_TTL)
+        assert used_by(lab, woke + RESUME_GRACE_SECONDS, USERS, EJECTED_MOST + REPORT_TTL)
 
     lab(script, 60.0, **{**LARGE, "service": 0.02})
 
@@ -248,11 +248,11 @@
     def parts(lab, here):
         found = {}
         for name in here:
-            one = Parts(xxh3_64_intdigest("lab"), name, names, lambda: here)
-            one.listed(
+            one = SubsetAssignment(xxh3_64_intdigest("lab"), name, names, lambda: here)
+            one.set_servers(
                 {hosts.ident(f"s-{ident}"): (server.model.zone, 1.0) for ident, server in lab.servers.items()}
             )
-            own = set(one.order()[: one.least()])
+            own = set(one.preference_order()[: one.min_servers()])
             found[lab.limiters[int(name[1:])].address] = {
                 ident for ident in lab.servers if hosts.ident(f"s-{ident}") in own
             }
--- a/tests/test_golden_choices.py
+++ b/tests/test_golden_choices.py
@@ -7,8 +7,8 @@
 import json
 from typing import Any
 
-from brookhub.coordination import Subsets, Turns
-from brookhub.coordination.hashing import deal, score
+from brookhub.coordination import EpochLeases, SubsetMatching
+from brookhub.coordination.hashing import stratified_hashes, uniform_hash
 from brookhub.maintenance.plan import Machine, Plan, order
 from golden_cases import golden_text
 
@@ -17,23 +17,23 @@
 
 def holders() -> list[Any]:
     """Who holds two duties at some times of the shared calendar."""
-    turns = Turns(KEY, "n0")
-    turns.told(LIMITERS)
-    return [turns.holders(duty, now, 2) for duty in ("counter", 12) for now in (0.0, 10.0, 1.7e9)]
+    leases = EpochLeases(KEY, "n0")
+    leases.set_present(LIMITERS)
+    return [leases.holders(duty, now, 2) for duty in ("counter", 12) for now in (0.0, 10.0, 1.7e9)]
 
 
 def matching() -> dict[str, Any]:
     """Each limiter's servers, of which one has twice the weight of the others."""
-    subsets = Subsets(LIMITERS, KEY)
-    subsets.listed({server: 2.0 if server == 3 else 1.0 for server in SERVERS})
-    return {str(limiter): servers for limiter, servers in subsets.match(3).items()}
+    matching = SubsetMatching(LIMITERS, KEY)
+    matching.set_servers({server: 2.0 if server == 3 else 1.0 for server in SERVERS})
+    return {str(limiter): servers for limiter, servers in matching.subsets(3).items()}
 
 
 def numbered_order() -> list[Any]:
     """All servers as the sixth of a block of numbered limiters should take them."""
-    subsets = Subsets(list(range(8)), KEY)
-    subsets.listed(dict.fromkeys(SERVERS, 1.0))
-    return subsets.order(5, 3)
+    matching = SubsetMatching(list(range(8)), KEY)
+    matching.set_servers(dict.fromkeys(SERVERS, 1.0))
+    return matching.preference_order(5, 3)
 
 
 def machine_order() -> list[str]:
@@ -46,8 +46,8 @@
 
 def test_limiters_choose_as_the_version_before() -> None:
     actual = {
-        "score": score(KEY, "shift", 12),
-        "deal": deal(KEY, 4, "s-0", 1),
+        "score": uniform_hash(KEY, "shift", 12),
+        "deal": stratified_hashes(KEY, 4, "s-0", 1),
         "holders": holders(),
         "matching": matching(),
         "numbered order": numbered_order(),
--- a/tests/test_signals.py
+++ b/tests/test_signals.py
@@ -7,7 +7,7 @@
 
 import pytest
 
-from brookhub.coordination import ByCounter, Report, SharedEjections, Turns, UnusableError, unpack
+from brookhub.coordination import ByCounter, EpochLeases, Report, SharedEjections, UnusableError, unpack
 from brookhub.coordination.ejections import (
     BEAT,
     DOUBTED,
@@ -20,7 +20,7 @@
     SLOW_OVER,
     Health,
 )
-from brookhub.coordination.epoch_leases import GRACE
+from brookhub.coordination.epoch_leases import RESUME_GRACE_SECONDS
 from brookhub.coordination.report_transport import ASKS, MOST_REPORTS, QUIET, pack
 from brookhub.model import Outcome
 
@@ -37,9 +37,9 @@
         self.now, self.alarms, self.order, self.apart, self.stopped = 100.0, [], 0, lambda a, b: False, set()
         self.all = {f"n{n}": None for n in range(count)}
         for name in self.all:
-            turns = Turns(1, name)
-            turns.told(self.all)
-            self.all[name] = SharedEjections(Seat(self, name), turns)
+            leases = EpochLeases(1, name)
+            leases.set_present(self.all)
+            self.all[name] = SharedEjections(Seat(self, name), leases)
             self.all[name].listed(dict.fromkeys(range(servers), 0.0))
 
     def run(self, seconds):
@@ -53,7 +53,7 @@
         self.now = until
 
     def holder(self, server):
-        return self.all["n0"].turns.holders(f"sick/{server}", self.now)[0]
+        return self.all["n0"].leases.holders(f"sick/{server}", self.now)[0]
 
     def shun(self, server):
         return {name for name, one in self.all.items() if one.is_ejected(server)}
@@ -137,7 +137,7 @@
     for name in ("n1", "n2"):
         crowd.all[name].attempt_ended(5, BAD)
     crowd.run(0.1)
-    name = crowd.all["n0"].turns.holders("sick/5", crowd.now + PROBE_AT * REPORT_TTL)[0]
+    name = crowd.all["n0"].leases.holders("sick/5", crowd.now + PROBE_AT * REPORT_TTL)[0]
     for case in (one.ejections[5] for other, one in crowd.all.items() if other != name):
         case.until, case.probe_at = case.until + later, case.probe_at + later
     crowd.run(PROBE_AT * REPORT_TTL - 0.05)
@@ -199,7 +199,7 @@
     rest = {name: one for name, one in crowd.all.items() if name != gone}
     crowd.stopped.add(gone)
     for one in rest.values():
-        one.turns.told(rest)
+        one.leases.set_present(rest)
     assert sum(one.may_probe(5) for one in rest.values()) == 1
 
 
@@ -273,11 +273,11 @@
     sleeper.attempt_ended(7, BAD)  # a try that timed out while it stood still, told before any timer
     assert 7 not in sleeper.ejections and not sleeper.may_probe(5)
     told = sleeper.sent
-    crowd.run(GRACE / 2)
+    crowd.run(RESUME_GRACE_SECONDS / 2)
     sleeper.attempt_ended(8, BAD)
     crowd.run(0.1)
     assert sleeper.sent == told and 8 not in sleeper.ejections
-    crowd.run(GRACE)
+    crowd.run(RESUME_GRACE_SECONDS)
     sleeper.attempt_ended(9, BAD)
     crowd.run(0.1)
     assert sleeper.sent == told + 1
@@ -334,16 +334,16 @@
     for name in ("n1", "n2"):
         crowd.all[name].attempt_ended(5, BAD)
     crowd.run(0.1)
-    name = crowd.all["n0"].turns.holders("sick/5", crowd.now + stops_for)[0]
+    name = crowd.all["n0"].leases.holders("sick/5", crowd.now + stops_for)[0]
     sleeper = crowd.all[name]
     assert sleeper.is_ejected(5)
     crowd.stopped.add(name)
     crowd.run(stops_for)  # past the time to probe, and past the end of what it knows of
     assert sleeper.is_ejected(5) and not sleeper.may_probe(5)
     crowd.stopped.clear()
-    crowd.run(0.9 * GRACE)
+    crowd.run(0.9 * RESUME_GRACE_SECONDS)
     assert sleeper.is_ejected(5) and not sleeper.may_probe(5)
-    crowd.run(GRACE)
+    crowd.run(RESUME_GRACE_SECONDS)
     assert sleeper.is_ejected(5)
 
 
@@ -382,9 +382,9 @@
     crowd, totals, made = Crowd(count=3), {}, []
     for number in range(3):
         carrier = ByCounter(CountPort(crowd, totals), key=7)
-        turns = Turns(1, f"n{number}")
-        turns.told(["n0", "n1", "n2"])
-        signals = SharedEjections(carrier, turns)
+        leases = EpochLeases(1, f"n{number}")
+        leases.set_present(["n0", "n1", "n2"])
+        signals = SharedEjections(carrier, leases)
         signals.listed(dict.fromkeys(range(24), 0.0))
         carrier.serve(signals)
         made.append(signals)
@@ -402,7 +402,7 @@
         crowd = Crowd(count=1)
         port = CountPort(crowd, {}, took, outcome)
         carrier = ByCounter(port, key=7)
-        signals = SharedEjections(carrier, Turns(1, "n0"))
+        signals = SharedEjections(carrier, EpochLeases(1, "n0"))
         signals.listed(dict.fromkeys(range(240), 0.0))
         carrier.serve(signals)
         carrier.send([Report(server, Health.FAILING) for server in range(20)])
@@ -416,4 +416,4 @@
 
 
 def test_the_times_fit_each_other():
-    assert PROBE_FOR < REPORT_TTL < EJECTED_MOST and BEAT < GRACE
+    assert PROBE_FOR < REPORT_TTL < EJECTED_MOST and BEAT < RESUME_GRACE_SECONDS
