--- a/brookhub/coordination/__init__.py
+++ b/brookhub/coordination/__init__.py
@@ -1,30 +1,34 @@
-"""Choices that add up over a fleet, without I/O.
+"""What the limiters of a fleet coordinate among themselves, decided without I/O (docs/choices.md).
 
-Who may use which servers, whose turn it is (docs/choices.md).
-
-Each is a function of names and of views alone, so that limiters with the same view choose alike without
-talking, and ones with other views do harm that is bounded.
+Outlier ejection by reports of several limiters, leases for each epoch, and subsets of the servers. Leases and
+subsets are functions of the members and servers alone, so that limiters with the same view agree without
+messages; where views differ, the harm is bounded.
 """
 
+from .clocks import UnsharedClock
 from .coordinator import FleetCoordinator
-from .ejections import Report, SharedEjections
 from .epoch_leases import EpochLeases
-from .report_transport import TOPIC, ByCounter, ByPeers, UnusableError, unpack
+from .outlier_detector import OutlierDetector
+from .report_transport import REPORT_TOPIC, CounterReportTransport, GossipReportTransport
+from .reports import Health, InvalidReportsError, Report, decode_reports, encode_reports
 from .subset_assignment import ServerPlacement, SubsetAssignment
 from .subset_matching import SubsetMatching, subset_size
 
 __all__ = [
-    "TOPIC",
-    "ByCounter",
-    "ByPeers",
+    "REPORT_TOPIC",
+    "CounterReportTransport",
+    "EpochLeases",
     "FleetCoordinator",
+    "GossipReportTransport",
+    "Health",
+    "InvalidReportsError",
+    "OutlierDetector",
+    "Report",
     "ServerPlacement",
     "SubsetAssignment",
-    "Report",
-    "SharedEjections",
     "SubsetMatching",
-    "EpochLeases",
-    "UnusableError",
+    "UnsharedClock",
+    "decode_reports",
+    "encode_reports",
     "subset_size",
-    "unpack",
 ]
--- a/brookhub/coordination/coordinator.py
+++ b/brookhub/coordination/coordinator.py
@@ -5,7 +5,7 @@
 from typing import Sequence
 
 from ..model import Outcome, Server, Upstream
-from .ejections import SharedEjections
+from .outlier_detector import OutlierDetector
 from .subset_assignment import ServerPlacement, SubsetAssignment
 
 
@@ -18,7 +18,7 @@
     """
 
     def __init__(
-        self, detector: SharedEjections | None = None, assignment: SubsetAssignment | None = None
+        self, detector: OutlierDetector | None = None, assignment: SubsetAssignment | None = None
     ) -> None:
         self.detector = detector
         self.assignment = assignment
@@ -26,7 +26,7 @@
     def on_servers_updated(self, servers: dict[int, Server]) -> None:
         """Take over the servers that may be used, by id."""
         if self.detector:
-            self.detector.listed({ident: server.started_at for ident, server in servers.items()})
+            self.detector.set_servers({ident: server.started_at for ident, server in servers.items()})
         if self.assignment:
             self.assignment.set_servers(
                 {ident: ServerPlacement(server.zone, server.weight) for ident, server in servers.items()}
--- a/brookhub/coordination/report_transport.py
+++ b/brookhub/coordination/report_transport.py
@@ -1,167 +1,109 @@
-"""How reports of ejections.py travel: by membership's datagrams, or by named windows at the counter.
+"""How reports of failing servers travel: by membership's gossip datagrams, or as counts at the counter.
 
-Both without I/O. `pack` and `unpack` are the datagram's data (msgpack by msgspec, checked).
+Both without I/O of their own.
 """
 
 from __future__ import annotations
 
-from typing import Annotated, Callable, Protocol
+from typing import Protocol
 
-import msgspec
 import xxhash
 
 from ..model import Outcome
 from ..ports import CounterCallback
-from .ejections import REPORT_TTL, Health, Report, SharedEjections
+from .clocks import LocalClock
+from .reports import REPORT_TTL_SECONDS, Health, Report, encode_reports
 
-TOPIC = 1  # of reports among membership's words
-MOST_REPORTS = 60  # in a datagram: below membership.WORD_MOST with the longest ids
-ASKS = 2.0  # counter calls a second that one limiter's reports may cost at most: the quotas' own come first
-LATE = 0.25  # s from which the counter's answer counts as late: no reports by it until QUIET s later
-QUIET = 5.0  # s without reports after a late answer or none
-SPARE = 1 << 62  # added to the names of windows: no customer's count has such a name
+REPORT_TOPIC = 1  # of the reports among the payloads that membership carries; on the wire
+MAX_COUNTER_CALLS_PER_SECOND = 2.0  # of one limiter's reports: the calls of the quotas come first
+LATE_ANSWER_SECONDS = 0.25  # a counter that takes longer is overloaded
+BACKOFF_SECONDS = 5.0  # without reports after a late answer of the counter, or none
+COUNTER_NAME_OFFSET = 1 << 62  # no customer's count has such a name
 
 
-class UnusableError(ValueError):
-    """A datagram's data that is no list of reports."""
-
-
-WireReport = tuple[Annotated[int, msgspec.Meta(ge=0, le=2**62)], Health]
-_decoder = msgspec.msgpack.Decoder(Annotated[list[WireReport], msgspec.Meta(max_length=MOST_REPORTS)])
-
-
-def pack(reports: list[Report]) -> list[bytes]:
-    """The reports as data of one datagram or more."""
-    parts = [reports[at : at + MOST_REPORTS] for at in range(0, len(reports), MOST_REPORTS)]
-    return [msgspec.msgpack.encode(part) for part in parts]
-
-
-def unpack(data: bytes) -> list[Report]:
-    """The reports of a datagram; raises UnusableError."""
-    try:
-        return [Report(*one) for one in _decoder.decode(data)]
-    except (msgspec.DecodeError, RecursionError) as bad:
-        raise UnusableError(str(bad)) from None
-
-
-class Clock(Protocol):
-    """What time it is, and timers. Times in s."""
-
-    @property
-    def now(self) -> float:
-        """Seconds on this limiter's clock."""
-
-    @property
-    def calendar(self) -> float:
-        """Seconds on the clock that all share."""
-
-    def later(self, seconds: float, callback: Callable[[], None]) -> None:
-        """Call back after so many seconds."""
-
-
-class Words(Protocol):
-    """How membership carries another part's words (membership.Membership)."""
+class GossipPort(Protocol):
+    """Sends payloads of other components with membership's datagrams (membership.Membership)."""
 
     def say(self, topic: int, data: bytes) -> None:
-        """Send to all that are present; each may be lost."""
+        """Send to all present members; each datagram may be lost."""
 
 
-class ByPeers:
-    """Reports to all members that are present."""
+class GossipReportTransport:
+    """Sends reports to all present members."""
 
-    def __init__(self, clock: Clock, membership: Words) -> None:
-        self.clock, self.membership = clock, membership
-
-    @property
-    def now(self) -> float:
-        """Seconds on this limiter's clock."""
-        return self.clock.now
-
-    @property
-    def calendar(self) -> float:
-        """Seconds on the clock that all share."""
-        return self.clock.calendar
-
-    def later(self, seconds: float, callback: Callable[[], None]) -> None:
-        """Call back after so many seconds."""
-        self.clock.later(seconds, callback)
+    def __init__(self, membership: GossipPort) -> None:
+        self._membership = membership
 
     def send(self, reports: list[Report]) -> None:
-        """Tell all that are present."""
-        for data in pack(reports):
-            self.membership.say(TOPIC, data)
+        """Send to all present members; each datagram may be lost."""
+        for payload in encode_reports(reports):
+            self._membership.say(REPORT_TOPIC, payload)
 
 
-class CountPort(Protocol):
-    """The part of ports.GatewayPort that reports by the counter use."""
-
-    now: float
+class ReportCounterPort(LocalClock, Protocol):
+    """The shared counter and the clock: what `ports.GatewayPort` has of these."""
 
     def add_to_counter(self, name: int, amount: float, lifetime: float, callback: CounterCallback) -> None:
-        """Add to a named count; `callback` hears the total."""
-
-    def later(self, seconds: float, callback: Callable[[], None]) -> None:
-        """Call back after so many seconds."""
-
+        """Add to a named count that lives `lifetime` s; `callback` gets the total."""
 
-class ByCounter:
-    """Reports as counts of witnesses in windows of REPORT_TTL s.
 
-    Who was failed adds one and hears how many there are by now; who was not asks nothing, and learns nothing.
-    `port`: its `count` is used at most ASKS times a second and not for QUIET s after a late answer; `key`:
-    the fleet's, the same at all.
-    """
-
-    def __init__(self, port: CountPort, key: int) -> None:
-        self.port, self.key = port, key
-        self.ejections: SharedEjections | None = None
-        self.allowed, self.at, self.quiet_until, self.asked = ASKS, port.now, 0.0, 0
+class WitnessCountListener(Protocol):
+    """Gets the counter's totals (outlier_detector.OutlierDetector)."""
 
-    @property
-    def now(self) -> float:
-        """Seconds on this limiter's clock."""
-        return self.port.now
+    def on_witness_count(self, server: int, count: int) -> None:
+        """So many limiters reported a server, this one among them."""
 
-    @property
-    def calendar(self) -> float:
-        """The same: there are no turns between those that hear nothing of each other; each probes."""
-        return self.port.now
 
-    def later(self, seconds: float, callback: Callable[[], None]) -> None:
-        """Call back after so many seconds."""
-        self.port.later(seconds, callback)
+class CounterReportTransport:
+    """Counts the witnesses of each server in windows of REPORT_TTL_SECONDS at the shared counter.
 
-    def serve(self, ejections: SharedEjections) -> None:
-        """Whom to tell what the counts say."""
-        self.ejections = ejections
+    A limiter that a server failed adds one and gets the number of witnesses so far; a limiter that no server
+    failed calls nothing and learns nothing. At most MAX_COUNTER_CALLS_PER_SECOND calls, none for
+    BACKOFF_SECONDS after a late or missing answer. `key`: the fleet's, the same at all limiters; `listener`
+    is set by the owner before the first report. `call_count`: calls so far.
+    """
 
-    def name(self, server: int) -> int:
-        """The name of a server's count in the present window."""
-        window = int(self.port.now / REPORT_TTL)
-        return SPARE + xxhash.xxh3_64_intdigest(f"{server}/{window}", seed=self.key) % SPARE
+    def __init__(self, port: ReportCounterPort, key: int) -> None:
+        self.port = port
+        self.listener: WitnessCountListener | None = None
+        self.call_count = 0
+        self._key = key
+        self._allowed_calls = MAX_COUNTER_CALLS_PER_SECOND  # a token bucket of one second's calls
+        self._refilled_at = port.now
+        self._backoff_until = 0.0
+
+    def count_name(self, server: int) -> int:
+        """The name of a server's count in the current window. Hashed: the same in all versions of a fleet."""
+        window = int(self.port.now / REPORT_TTL_SECONDS)
+        digest = xxhash.xxh3_64_intdigest(f"{server}/{window}", seed=self._key)
+        return COUNTER_NAME_OFFSET + digest % COUNTER_NAME_OFFSET
 
     def send(self, reports: list[Report]) -> None:
-        """Count this limiter among the witnesses, as far as the pace allows."""
-        now = self.port.now
-        self.allowed, self.at = min(ASKS, self.allowed + ASKS * (now - self.at)), now
+        """Count this limiter as a witness of the failing servers, as far as the rate of calls allows."""
+        self._refill()
         for server, health in reports:
-            if health == Health.HEALTHY or now < self.quiet_until or self.allowed < 1:
+            if health == Health.HEALTHY:
+                continue
+            if self.port.now < self._backoff_until or self._allowed_calls < 1:
                 continue
-            self.allowed -= 1
-            self.asked += 1
-            self.count(server)
+            self._allowed_calls -= 1
+            self.call_count += 1
+            self._add_witness(server)
 
-    def count(self, server: int) -> None:
-        """Add one to a server's count."""
+    def _refill(self) -> None:
+        now = self.port.now
+        refilled = self._allowed_calls + MAX_COUNTER_CALLS_PER_SECOND * (now - self._refilled_at)
+        self._allowed_calls = min(MAX_COUNTER_CALLS_PER_SECOND, refilled)
+        self._refilled_at = now
 
-        def told(outcome: Outcome, total: float, took: float) -> None:
-            self.told(server, outcome, total, took)
+    def _add_witness(self, server: int) -> None:
+        def on_answer(outcome: Outcome, total: float, duration: float) -> None:
+            self._on_answer(server, outcome, total, duration)
 
-        self.port.add_to_counter(self.name(server), 1.0, 2 * REPORT_TTL, told)
+        self.port.add_to_counter(self.count_name(server), 1.0, 2 * REPORT_TTL_SECONDS, on_answer)
 
-    def told(self, server: int, outcome: Outcome, total: float, took: float) -> None:
-        """How a count ended."""
-        if outcome is not Outcome.OK or took >= LATE:
-            self.quiet_until = self.port.now + QUIET
-        elif self.ejections is not None:
-            self.ejections.counted(server, int(total))
+    def _on_answer(self, server: int, outcome: Outcome, total: float, duration: float) -> None:
+        if outcome is not Outcome.OK or duration >= LATE_ANSWER_SECONDS:
+            self._backoff_until = self.port.now + BACKOFF_SECONDS
+        elif self.listener is not None:
+            self.listener.on_witness_count(server, int(total))
--- a/brookhub/emulator/fleet.py
+++ b/brookhub/emulator/fleet.py
@@ -14,14 +14,15 @@
 from .. import policy
 from ..config.models import Experiment, PlanSpec, RouteSpec
 from ..coordination import (
-    TOPIC,
-    ByCounter,
-    ByPeers,
+    REPORT_TOPIC,
+    CounterReportTransport,
     EpochLeases,
     FleetCoordinator,
-    SharedEjections,
+    GossipReportTransport,
+    OutlierDetector,
     SubsetAssignment,
-    unpack,
+    UnsharedClock,
+    decode_reports,
 )
 from ..membership import ALIVE, Membership
 from ..model import Request, ServerState
@@ -178,10 +179,10 @@
             seat.recover(self.experiment.fleet.counter, self.experiment.fleet.limiters, self.kept.get(index))
             self.kept[index] = seat.recovery.ledger if self.experiment.fleet.counter.ledgers_last else None
         if self.experiment.fleet.counter.signals:
-            carrier = ByCounter(seat, self.seed)
-            seat.ejections = SharedEjections(carrier, self.leases(seat))
-            carrier.serve(seat.ejections)
-            seat.gateway.use_coordination(FleetCoordinator(seat.ejections))
+            transport = CounterReportTransport(seat, self.seed)
+            seat.detector = OutlierDetector(UnsharedClock(seat), transport, self.leases(seat))
+            transport.listener = seat.detector
+            seat.gateway.use_coordination(FleetCoordinator(seat.detector))
         return seat
 
     def join(self, seat: Seat) -> None:
@@ -199,12 +200,12 @@
                 and seat.recovery.fleet(sure)
             ),
         )
-        ejections = assignment = None
+        detector = assignment = None
         if spec.signals:
             leases = self.leases(seat)
             peer.on_changed = lambda member, state: leases.set_present(peer.core.present)
             peer.on_said = lambda source, topic, data: (
-                topic == TOPIC and ejections.received(source, unpack(data))
+                topic == REPORT_TOPIC and detector.on_reports(source, decode_reports(data))
             )
         peer.core = Membership(
             peer, FLEET, peer.name, [f"n{index}" for index in range(count)], self.seed, spec.period_s
@@ -215,11 +216,12 @@
             peer.core.present = set(peer.core.names)
         if spec.signals:
             leases.set_present(peer.core.present)
-            ejections = seat.ejections = SharedEjections(ByPeers(peer, peer.core), leases)
+            detector = OutlierDetector(peer, GossipReportTransport(peer.core), leases)
+            seat.detector = detector
         if spec.subsets:
             assignment = SubsetAssignment(self.seed, peer.name, peer.core.names, peer.core.counted)
-        if ejections or assignment:
-            seat.gateway.use_coordination(FleetCoordinator(ejections, assignment))
+        if detector or assignment:
+            seat.gateway.use_coordination(FleetCoordinator(detector, assignment))
         peer.core.start()
 
     def leases(self, seat: Seat) -> EpochLeases:
--- a/brookhub/emulator/limiter.py
+++ b/brookhub/emulator/limiter.py
@@ -53,8 +53,8 @@
         # While stalled nothing of it runs; what came waits, in order
         self.alive, self.closing, self.wakes = True, False, 0.0
         self.recovery: Recovery | None = None
-        # Its membership's place and its part in the shared ejections, where the fleet has them
-        self.peer = self.ejections = None
+        # Its membership and its outlier detector, where the fleet has them
+        self.peer = self.detector = None
         self.off: set[int] = set()  # servers that a plan of work keeps it off
         self.cut: dict[int, float] = {}  # servers that its links do not reach, each until when (s)
         self.roster, self.customers = ServerRegistry(), CustomerRegistry()
--- a/brookhub/emulator/peers.py
+++ b/brookhub/emulator/peers.py
@@ -72,7 +72,7 @@
         """Simulated seconds."""
         return self.engine.now
 
-    calendar = now
+    wall_time = now
 
     def later(self, seconds: float, callback: Callable[[], None]) -> None:
         """Call back after so many seconds, once it is awake."""
--- a/brookhub/experiments/together.py
+++ b/brookhub/experiments/together.py
@@ -104,14 +104,14 @@
     fleet = Fleet(Experiment.model_validate(raw), seed=seed, keep_trail=False)
     before(fleet)
     metrics = fleet.run().metrics()
-    told = [seat.ejections for seat in fleet.seats if seat.ejections]
+    detectors = [seat.detector for seat in fleet.seats if seat.detector]
     return fleet, {
         "served": metrics["served_share"],
         "errored": metrics["errored_share"],
         "p99_ms": metrics["p99_ms"],
         "falls": metrics["cold_falls"],
         "broken": metrics["broken"],
-        "words": sum(one.sent for one in told),
+        "words": sum(detector.sent_count for detector in detectors),
         "sent_to_bad": metrics["sent_to_bad"],
         "over": metrics["worst_overshoot"],
     }
--- a/brookhub/routing/peers.py
+++ b/brookhub/routing/peers.py
@@ -13,14 +13,14 @@
 from xxhash import xxh3_64_intdigest
 
 from ..coordination import (
-    TOPIC,
-    ByPeers,
+    REPORT_TOPIC,
     EpochLeases,
     FleetCoordinator,
-    SharedEjections,
+    GossipReportTransport,
+    InvalidReportsError,
+    OutlierDetector,
     SubsetAssignment,
-    UnusableError,
-    unpack,
+    decode_reports,
 )
 from ..membership import LARGEST, WORDS, Membership, UnreadableError, decode
 from ..transport.threads import spawn
@@ -61,22 +61,22 @@
         self.dropped_told: dict[str, int] = {}
         self.saying, self.said_at = False, -SAYS
         self.numbers = (0, 0, 0)
-        self.ahead = time() - monotonic()  # of the calendar; looked at again with each log line
-        self.leases = EpochLeases(
-            xxh3_64_intdigest(spec.fleet), spec.name
-        )  # one key for a fleet, the same at all
+        self.ahead = (
+            time() - monotonic()
+        )  # s by which wall time is ahead of `now`; measured again with each log line
+        self.leases = EpochLeases(xxh3_64_intdigest(spec.fleet), spec.name)  # one key for the whole fleet
         self.on_topic: dict[int, object] = {}  # what other parts take of the peers' words
-        self.ejections = SharedEjections(ByPeers(self, self.core), self.leases) if spec.signals else None
-        self.assignment = (
-            SubsetAssignment(self.leases.key, spec.name, self.by_name, self.core.counted)
-            if spec.subsets
-            else None
-        )
-        if self.ejections or self.assignment:
-            port.gateway.use_coordination(FleetCoordinator(self.ejections, self.assignment))
-        if self.ejections:
-            self.shunned: list[int] = []
-            self.look()
+        self.detector: OutlierDetector | None = None
+        if spec.signals:
+            self.detector = OutlierDetector(self, GossipReportTransport(self.core), self.leases)
+        self.assignment: SubsetAssignment | None = None
+        if spec.subsets:
+            self.assignment = SubsetAssignment(self.leases.key, spec.name, self.by_name, self.core.counted)
+        if self.detector or self.assignment:
+            port.gateway.use_coordination(FleetCoordinator(self.detector, self.assignment))
+        if self.detector:
+            self.ejected_servers: list[int] = []
+            self.log_ejections()
 
     def list(self, spec) -> None:
         """Take in the peers of the operator's file."""
@@ -129,8 +129,8 @@
         return self.port.now
 
     @property
-    def calendar(self) -> float:
-        """Seconds on the clock that all limiters share, to within a small part of a turn."""
+    def wall_time(self) -> float:
+        """Seconds on the clock that all limiters share, to within a small part of a lease's epoch."""
         return self.port.now + self.ahead
 
     def later(self, seconds: float, callback) -> None:
@@ -165,32 +165,32 @@
         """Another part's word. What can't be read is counted; a topic that is off here is nobody's."""
         if topic in self.on_topic:
             return self.on_topic[topic](peer, data)
-        if topic != TOPIC or not self.ejections:
+        if topic != REPORT_TOPIC or not self.detector:
             return
         try:
-            self.ejections.received(peer, unpack(data))
-        except UnusableError:
+            self.detector.on_reports(peer, decode_reports(data))
+        except InvalidReportsError:
             self.drop("unreadable")
 
-    def look(self) -> None:
-        """Log which servers the fleet leaves alone, where that changed."""
-        ejections, self.ahead = self.ejections, time() - monotonic()
-        shunned = [server for server in ejections.ejections if ejections.is_ejected(server)]
-        if shunned != self.shunned:
-            self.shunned = shunned
-            sent, disbelieved = ejections.sent, ejections.disbelieved
+    def log_ejections(self) -> None:
+        """Log which servers the fleet has ejected, where that changed."""
+        self.ahead = time() - monotonic()
+        ejected = self.detector.ejected_servers()
+        if ejected != self.ejected_servers:
+            self.ejected_servers = ejected
+            sent, distrusted = self.detector.sent_count, self.detector.distrusted_count
             self.port.todo.append(
                 (
                     lambda: self.log.info(
-                        "servers left alone",
-                        servers=shunned[:NAMED],
-                        more=max(0, len(shunned) - NAMED),
-                        words=sent,
-                        refused=disbelieved,
+                        "upstreams ejected",
+                        servers=ejected[:NAMED],
+                        more=max(0, len(ejected) - NAMED),
+                        reports_sent=sent,
+                        reports_distrusted=distrusted,
                     ),
                 )
             )
-        self.later(SAYS, self.look)
+        self.later(SAYS, self.log_ejections)
 
     # the log
 
--- a/tests/test_choices_processes.py
+++ b/tests/test_choices_processes.py
@@ -11,7 +11,7 @@
 from xxhash import xxh3_64_intdigest
 
 from brookhub.coordination import EpochLeases, SubsetAssignment
-from brookhub.coordination.ejections import EJECTED_MOST, PROBE_AT, REPORT_TTL
+from brookhub.coordination.ejection_table import MAX_EJECTION_SECONDS, PROBE_AFTER_SHARE, REPORT_TTL_SECONDS
 from brookhub.coordination.epoch_leases import RESUME_GRACE_SECONDS
 from brookhub.experiments.processes import ProcessLab
 from brookhub.membership.core import SHRINK
@@ -36,7 +36,7 @@
     """Whether each limiter leaves the bad server alone, by its last word on it (a loaded machine may add others)."""
     held = set()
     for one in lab.limiters:
-        told = [line for line in one.lines() if line["event"] == "servers left alone"]
+        told = [line for line in one.lines() if line["event"] == "upstreams ejected"]
         held.add(bool(told) and IDENT in told[-1]["servers"])
     return held == {True}
 
@@ -83,7 +83,7 @@
             line
             for one in lab.limiters
             for line in one.lines()
-            if line["event"] == "servers left alone" and line["servers"]
+            if line["event"] == "upstreams ejected" and line["servers"]
         ]
         assert len(told) <= 2, told  # 2: what is usual is known after the first
 
@@ -94,12 +94,14 @@
     def script(lab):
         began = begin_bad(lab)
         first = len(sends(lab, began))
-        sleep(REPORT_TTL + 1.0)
+        sleep(REPORT_TTL_SECONDS + 1.0)
         tries = sends(lab, began)[first:]
         assert 1 <= len(tries) <= 3, tries  # eight limiters without a word: about 7 tries a second there
         lab.servers[BAD].model.mode = "ok"
         well = monotonic()
-        assert used_by(lab, well, USERS, EJECTED_MOST + 3), Counter(one.limiter for one in sends(lab, well))
+        assert used_by(lab, well, USERS, MAX_EJECTION_SECONDS + 3), Counter(
+            one.limiter for one in sends(lab, well)
+        )
 
     lab(script, 60.0, **LARGE)
 
@@ -125,11 +127,11 @@
     def script(lab):
         began = begin_bad(lab)
         names = [f"n{n}" for n in range(8)]
-        gone = holder(lab, names, began + 1.0 + PROBE_AT * REPORT_TTL)
+        gone = holder(lab, names, began + 1.0 + PROBE_AFTER_SHARE * REPORT_TTL_SECONDS)
         lab.kill(gone)
         killed = monotonic()
         lab.servers[BAD].model.mode = "ok"
-        assert used_by(lab, killed, USERS, REPORT_TTL + EJECTED_MOST), Counter(
+        assert used_by(lab, killed, USERS, REPORT_TTL_SECONDS + MAX_EJECTION_SECONDS), Counter(
             one.limiter for one in sends(lab, killed)
         )
         assert gone.address not in {one.limiter for one in sends(lab, killed + 0.1)}
@@ -146,7 +148,7 @@
 
     With LARGE's 0.1 s one probe in twelve was given up for its slowness and said nothing.
 
-    Then all came back after REPORT_TTL, as the holder stood still when its next probe was due, and the count
+    Then all came back after REPORT_TTL_SECONDS, as the holder stood still when its next probe was due, and the count
     of tries failed.
     """
 
@@ -154,9 +156,13 @@
         began = begin_bad(lab)
         names = [f"n{n}" for n in range(8)]
         # The first try by turn failed: away for longer now
-        assert until(lambda: sends(lab, began + PROBE_AT * REPORT_TTL), 2 * REPORT_TTL)
-        tried = sends(lab, began + PROBE_AT * REPORT_TTL)[0].at
-        sleeper = holder(lab, names, tried + PROBE_AT * 2 * REPORT_TTL + 0.5)  # a failed try doubles the time
+        assert until(
+            lambda: sends(lab, began + PROBE_AFTER_SHARE * REPORT_TTL_SECONDS), 2 * REPORT_TTL_SECONDS
+        )
+        tried = sends(lab, began + PROBE_AFTER_SHARE * REPORT_TTL_SECONDS)[0].at
+        sleeper = holder(
+            lab, names, tried + PROBE_AFTER_SHARE * 2 * REPORT_TTL_SECONDS + 0.5
+        )  # a failed try doubles the time
         sleep(max(0.0, tried + 1.0 - monotonic()))
         lab.stall(sleeper, 5.0)
         woke = monotonic()
@@ -168,7 +174,7 @@
         after = sends(lab, tried + 0.5)
         assert len(after) <= 3, told_of(after, tried)  # its turn, whoever took it, and one more view's
         lab.servers[BAD].model.mode = "ok"
-        assert used_by(lab, woke + RESUME_GRACE_SECONDS, USERS, EJECTED_MOST + REPORT_TTL)
+        assert used_by(lab, woke + RESUME_GRACE_SECONDS, USERS, MAX_EJECTION_SECONDS + REPORT_TTL_SECONDS)
 
     lab(script, 60.0, **{**LARGE, "service": 0.02})
 
@@ -184,7 +190,7 @@
         assert 1 <= len(tries) <= 10, len(tries)
         lab.split([], False)
         lab.servers[BAD].model.mode = "ok"
-        assert used_by(lab, monotonic(), USERS, EJECTED_MOST + REPORT_TTL)
+        assert used_by(lab, monotonic(), USERS, MAX_EJECTION_SECONDS + REPORT_TTL_SECONDS)
         assert began < split
 
     lab(script, 60.0, **LARGE)
--- a/tests/test_golden_bytes.py
+++ b/tests/test_golden_bytes.py
@@ -10,9 +10,8 @@
 import msgspec
 import pytest
 
-from brookhub.coordination import TOPIC as EJECTIONS_TOPIC
-from brookhub.coordination import report_transport as ejection_reports
-from brookhub.coordination.ejections import Health, Report
+from brookhub.coordination import REPORT_TOPIC as EJECTIONS_TOPIC
+from brookhub.coordination import CounterReportTransport, Health, Report, decode_reports, encode_reports
 from brookhub.emulator.peers import Crew
 from brookhub.maintenance import TOPIC as MAINTENANCE_TOPIC
 from brookhub.maintenance import messages as maintenance
@@ -138,7 +137,7 @@
         "roll": epochs.roll(1000.0, 1),
         "claim": epochs.claim(1000.0, 99_999.0, 1),
         "name in an epoch": epochs.name(7 << 31 | 5),
-        "ejection report": ejection_reports.ByCounter(FixedClock(), 99).name(12),
+        "ejection report": CounterReportTransport(FixedClock(), 99).count_name(12),
     }
     commands = {name: counts.add(number, 1.0, 10.0) for name, number in names.items()}
     commands["fraction"] = counts.add(7 << 31, 0.1234567, 0.0001)
@@ -294,6 +293,6 @@
 
 def test_ejection_reports_have_the_golden_bytes_and_are_read_back() -> None:
     reports = [Report(12, Health.FAILING), Report(2**48 - 1, Health.HEALTHY), Report(0, Health.STILL_FAILING)]
-    (data,) = ejection_reports.pack(reports)
+    (data,) = encode_reports(reports)
     assert_golden("ejection_reports.jsonl", {"reports": data})
-    assert [list(report) for report in ejection_reports.unpack(data)] == [[12, 1], [2**48 - 1, 2], [0, 3]]
+    assert [list(report) for report in decode_reports(data)] == [[12, 1], [2**48 - 1, 2], [0, 3]]
--- a/tests/test_signals.py
+++ b/tests/test_signals.py
@@ -7,21 +7,31 @@
 
 import pytest
 
-from brookhub.coordination import ByCounter, EpochLeases, Report, SharedEjections, UnusableError, unpack
-from brookhub.coordination.ejections import (
-    BEAT,
-    DOUBTED,
-    DOUBTED_LEAST,
-    EJECTED_MOST,
-    EJECTED_SHARE,
-    PROBE_AT,
-    PROBE_FOR,
-    REPORT_TTL,
-    SLOW_OVER,
-    Health,
+from brookhub.coordination import (
+    CounterReportTransport,
+    EpochLeases,
+    InvalidReportsError,
+    OutlierDetector,
+    Report,
+    UnsharedClock,
+    decode_reports,
+    encode_reports,
+)
+from brookhub.coordination.clocks import TICK_SECONDS
+from brookhub.coordination.ejection_table import (
+    MAX_EJECTED_SHARE,
+    MAX_EJECTION_SECONDS,
+    PROBE_AFTER_SHARE,
+    PROBE_TIMEOUT_SECONDS,
 )
 from brookhub.coordination.epoch_leases import RESUME_GRACE_SECONDS
-from brookhub.coordination.report_transport import ASKS, MOST_REPORTS, QUIET, pack
+from brookhub.coordination.failure_evidence import (
+    MAX_FAILING_SHARE,
+    MIN_PLAUSIBLE_FAILURES,
+    SLOW_WINDOW_SECONDS,
+)
+from brookhub.coordination.report_transport import BACKOFF_SECONDS, MAX_COUNTER_CALLS_PER_SECOND
+from brookhub.coordination.reports import MAX_REPORTS_PER_DATAGRAM, REPORT_TTL_SECONDS, Health
 from brookhub.model import Outcome
 
 BAD, OK, SLOW = Outcome.ERROR, Outcome.OK, Outcome.CANCELLED
@@ -37,10 +47,10 @@
         self.now, self.alarms, self.order, self.apart, self.stopped = 100.0, [], 0, lambda a, b: False, set()
         self.all = {f"n{n}": None for n in range(count)}
         for name in self.all:
-            leases = EpochLeases(1, name)
+            leases, seat = EpochLeases(1, name), Seat(self, name)
             leases.set_present(self.all)
-            self.all[name] = SharedEjections(Seat(self, name), leases)
-            self.all[name].listed(dict.fromkeys(range(servers), 0.0))
+            self.all[name] = OutlierDetector(seat, seat, leases)
+            self.all[name].set_servers(dict.fromkeys(range(servers), 0.0))
 
     def run(self, seconds):
         until = self.now + seconds
@@ -67,14 +77,14 @@
     def now(self):
         return self.crowd.now
 
-    calendar = now
+    wall_time = now
 
     def later(self, seconds, callback):
         self.crowd.order += 1
         self.crowd.alarms.append((self.crowd.now + seconds, self.crowd.order, self.name, callback))
 
     def send(self, reports):
-        for data in pack(reports):
+        for data in encode_reports(reports):
             for peer, one in self.crowd.all.items():
                 if peer != self.name and not self.crowd.apart(self.name, peer):
                     self.crowd.order += 1
@@ -83,7 +93,7 @@
                             self.crowd.now + 0.001,
                             self.crowd.order,
                             peer,
-                            lambda one=one, data=data: one.received(self.name, unpack(data)),
+                            lambda one=one, data=data: one.on_reports(self.name, decode_reports(data)),
                         )
                     )
 
@@ -96,10 +106,10 @@
     crowd.all["n2"].attempt_ended(5, BAD)
     crowd.run(0.1)
     assert crowd.shun(5) == set(crowd.all)
-    crowd.run(REPORT_TTL)
+    crowd.run(REPORT_TTL_SECONDS)
     assert not crowd.shun(5)  # nobody tried it: each finds out for itself again
     crowd.all["n1"].attempt_ended(6, BAD)
-    crowd.run(REPORT_TTL + 0.1)
+    crowd.run(REPORT_TTL_SECONDS + 0.1)
     crowd.all["n2"].attempt_ended(6, BAD)  # too late to agree with the first
     crowd.run(0.1)
     assert not crowd.shun(6)
@@ -119,7 +129,7 @@
         crowd.all[name].attempt_ended(5, SLOW)
     crowd.run(0.1)
     assert crowd.shun(5) == (set() if common else set(crowd.all))
-    crowd.run(SLOW_OVER)
+    crowd.run(SLOW_WINDOW_SECONDS)
     for name in ("n1", "n2"):  # what was usual then is not any more
         crowd.all[name].attempt_ended(5, SLOW)
     crowd.run(0.1)
@@ -128,7 +138,7 @@
 
 @pytest.mark.parametrize("later", [0.24, 0.6, 2.0])
 def test_one_whose_case_began_later_takes_the_holder_s_word_for_what_it_is(later):
-    """It took it for one more of the tries that were out when the case began, and came back after REPORT_TTL.
+    """It took it for one more of the tries that were out when the case began, and came back after REPORT_TTL_SECONDS.
 
     Seen on processes in 1 of 23 runs, and always where a limiter was busy for longer than what the clock was
     allowed.
@@ -137,32 +147,32 @@
     for name in ("n1", "n2"):
         crowd.all[name].attempt_ended(5, BAD)
     crowd.run(0.1)
-    name = crowd.all["n0"].leases.holders("sick/5", crowd.now + PROBE_AT * REPORT_TTL)[0]
-    for case in (one.ejections[5] for other, one in crowd.all.items() if other != name):
-        case.until, case.probe_at = case.until + later, case.probe_at + later
-    crowd.run(PROBE_AT * REPORT_TTL - 0.05)
+    name = crowd.all["n0"].leases.holders("sick/5", crowd.now + PROBE_AFTER_SHARE * REPORT_TTL_SECONDS)[0]
+    for case in (one.ejections.by_server[5] for other, one in crowd.all.items() if other != name):
+        case.ejected_until, case.probe_at = case.ejected_until + later, case.probe_at + later
+    crowd.run(PROBE_AFTER_SHARE * REPORT_TTL_SECONDS - 0.05)
     holder = crowd.all[name]
     assert holder.may_probe(5)
     holder.attempt_started(5)
     holder.attempt_ended(5, BAD)
-    crowd.run(REPORT_TTL)
+    crowd.run(REPORT_TTL_SECONDS)
     assert crowd.shun(5) == set(crowd.all)
 
 
 def test_one_that_heard_nothing_of_the_beginning_keeps_away_as_long_as_the_others():
-    """It began anew with the word of the try, for REPORT_TTL, and came back while the others stayed away twice as long."""
+    """It began anew with the word of the try, for REPORT_TTL_SECONDS, and came back while the others stayed away twice as long."""
     crowd = Crowd()
     crowd.apart = lambda a, b: "n0" in (a, b)
     for name in ("n1", "n2"):
         crowd.all[name].attempt_ended(5, BAD)
-    crowd.run(PROBE_AT * REPORT_TTL + 0.1)
+    crowd.run(PROBE_AFTER_SHARE * REPORT_TTL_SECONDS + 0.1)
     assert crowd.shun(5) == set(crowd.all) - {"n0"}
     crowd.apart = lambda a, b: False
     crowd.all["n0"].attempt_ended(5, BAD)
     name = next(name for name, one in crowd.all.items() if name != "n0" and one.may_probe(5))
     crowd.all[name].attempt_started(5)
     crowd.all[name].attempt_ended(5, BAD)
-    crowd.run(REPORT_TTL + 0.1)
+    crowd.run(REPORT_TTL_SECONDS + 0.1)
     assert crowd.shun(5) == set(crowd.all)
 
 
@@ -172,7 +182,7 @@
         crowd.all[name].attempt_ended(5, BAD)
     crowd.run(0.1)
     assert not any(one.may_probe(5) for one in crowd.all.values())  # what is out now ends first
-    crowd.run(REPORT_TTL / 2)
+    crowd.run(REPORT_TTL_SECONDS / 2)
     holder = crowd.holder(5)
     assert [name for name, one in crowd.all.items() if one.may_probe(5)] == [holder] and crowd.shun(5) == set(
         crowd.all
@@ -180,7 +190,7 @@
     crowd.all[holder].attempt_started(5)
     assert not crowd.all[holder].may_probe(5)  # one try at a time
     crowd.all[holder].attempt_ended(5, BAD)
-    crowd.run(REPORT_TTL)
+    crowd.run(REPORT_TTL_SECONDS)
     assert crowd.shun(5) == set(crowd.all)  # longer than at first
     holder = crowd.holder(5)
     assert crowd.all[holder].may_probe(5)
@@ -194,7 +204,7 @@
     crowd = Crowd()
     for name in ("n1", "n2"):
         crowd.all[name].attempt_ended(5, BAD)
-    crowd.run(REPORT_TTL / 2 + 0.1)
+    crowd.run(REPORT_TTL_SECONDS / 2 + 0.1)
     gone = crowd.holder(5)
     rest = {name: one for name, one in crowd.all.items() if name != gone}
     crowd.stopped.add(gone)
@@ -224,11 +234,11 @@
     crowd.run(0.1)
     assert crowd.shun(5) == set(crowd.all)
     for name in ("n3", "n1"):
-        crowd.all[name].listed({**dict.fromkeys(range(24), 0.0), 5: 99.0})
+        crowd.all[name].set_servers({**dict.fromkeys(range(24), 0.0), 5: 99.0})
     assert crowd.shun(5) == set(crowd.all) - {"n3", "n1"}
-    crowd.all["n3"].listed({**dict.fromkeys(range(24), 0.0), 5: 99.0})  # told the same again
+    crowd.all["n3"].set_servers({**dict.fromkeys(range(24), 0.0), 5: 99.0})  # told the same again
     crowd.all["n1"].attempt_ended(5, BAD)
-    crowd.all["n2"].listed({one: 0.0 for one in range(24) if one != 5})  # gone, with what was said of it
+    crowd.all["n2"].set_servers({one: 0.0 for one in range(24) if one != 5})  # gone, with what was said of it
     assert not crowd.all["n2"].is_ejected(5)
 
 
@@ -237,15 +247,15 @@
     for server in range(24):
         crowd.all["n1"].attempt_ended(server, BAD)
     crowd.run(0.1)
-    assert crowd.all["n1"].sent <= max(DOUBTED_LEAST, DOUBTED * 24)
+    assert crowd.all["n1"].sent_count <= max(MIN_PLAUSIBLE_FAILURES, MAX_FAILING_SHARE * 24)
     crowd = Crowd()
     for server in range(24):  # one that tells of all, and one that truly met one of them
         for other in list(crowd.all.values())[2:]:
-            other.received("n1", [(server, Health.FAILING)])
+            other.on_reports("n1", [(server, Health.FAILING)])
     crowd.all["n2"].attempt_ended(3, BAD)
     crowd.run(0.1)
     assert not any(crowd.shun(server) for server in range(24))
-    assert crowd.all["n3"].disbelieved > 0
+    assert crowd.all["n3"].distrusted_count > 0
     crowd.all["n4"].attempt_ended(3, BAD)  # a second that is believed
     crowd.run(0.1)
     assert crowd.shun(3) >= set(crowd.all) - {"n1"}
@@ -267,20 +277,20 @@
         crowd.all[name].attempt_ended(5, BAD)
     crowd.run(0.1)
     sleeper = crowd.all[crowd.holder(5)]
-    crowd.stopped.add(sleeper.me)
-    crowd.run(REPORT_TTL / 2 + 0.5)
+    crowd.stopped.add(sleeper.leases.me)
+    crowd.run(REPORT_TTL_SECONDS / 2 + 0.5)
     crowd.stopped.clear()
     sleeper.attempt_ended(7, BAD)  # a try that timed out while it stood still, told before any timer
-    assert 7 not in sleeper.ejections and not sleeper.may_probe(5)
-    told = sleeper.sent
+    assert 7 not in sleeper.ejections.by_server and not sleeper.may_probe(5)
+    told = sleeper.sent_count
     crowd.run(RESUME_GRACE_SECONDS / 2)
     sleeper.attempt_ended(8, BAD)
     crowd.run(0.1)
-    assert sleeper.sent == told and 8 not in sleeper.ejections
+    assert sleeper.sent_count == told and 8 not in sleeper.ejections.by_server
     crowd.run(RESUME_GRACE_SECONDS)
     sleeper.attempt_ended(9, BAD)
     crowd.run(0.1)
-    assert sleeper.sent == told + 1
+    assert sleeper.sent_count == told + 1
 
 
 @pytest.mark.parametrize("seed", range(8))
@@ -310,14 +320,14 @@
         crowd.run(chance.random() * 0.2)
         for one in crowd.all.values():
             away = [server for server in range(servers) if one.is_ejected(server)]
-            assert len(away) <= EJECTED_SHARE * servers
+            assert len(away) <= MAX_EJECTED_SHARE * servers
             # no longer than its hold after the last try that failed, in whoever's hands
-            assert all(crowd.now <= last[server] + EJECTED_MOST + 0.1 for server in away)
+            assert all(crowd.now <= last[server] + MAX_EJECTION_SECONDS + 0.1 for server in away)
             assert not any(one.may_probe(server) and not one.is_ejected(server) for server in range(servers))
         for server in range(servers):  # one view: at most one holder; two sides: at most two
             assert sum(one.may_probe(server) for one in crowd.all.values()) <= 1
     bad, crowd.stopped, crowd.apart = set(), set(), lambda a, b: False
-    crowd.run(2 * EJECTED_MOST)
+    crowd.run(2 * MAX_EJECTION_SECONDS)
     assert not any(crowd.shun(server) for server in range(servers))
 
 
@@ -349,20 +359,20 @@
 
 def test_words_travel_in_datagrams_that_fit_and_anything_else_is_refused():
     words = [Report(2**62, Health.FAILING)] * 150
-    parts = pack(words)
+    parts = encode_reports(words)
     assert len(parts) == 3 and all(len(part) <= 1000 for part in parts)
-    assert [word for part in parts for word in unpack(part)] == words
-    whole = pack([(1, Health.FAILING), (2**40, Health.HEALTHY)])[0]
+    assert [word for part in parts for word in decode_reports(part)] == words
+    whole = encode_reports([(1, Health.FAILING), (2**40, Health.HEALTHY)])[0]
     for cut in range(len(whole)):
-        with pytest.raises(UnusableError):
-            unpack(whole[:cut])
+        with pytest.raises(InvalidReportsError):
+            decode_reports(whole[:cut])
     chance = random.Random(1)
     for _ in range(2000):
         try:
-            got = unpack(chance.randbytes(chance.randrange(40)))
-        except UnusableError:
+            got = decode_reports(chance.randbytes(chance.randrange(40)))
+        except InvalidReportsError:
             continue
-        assert len(got) <= MOST_REPORTS and all(
+        assert len(got) <= MAX_REPORTS_PER_DATAGRAM and all(
             0 <= server <= 2**62 and what in (Health.FAILING, Health.HEALTHY) for server, what in got
         )
 
@@ -379,21 +389,22 @@
 
 
 def test_by_the_counter_two_witnesses_in_one_window_leave_a_server_alone_and_who_met_nothing_asks_nothing():
-    crowd, totals, made = Crowd(count=3), {}, []
+    crowd, totals, made, ports = Crowd(count=3), {}, [], []
     for number in range(3):
-        carrier = ByCounter(CountPort(crowd, totals), key=7)
+        carrier = CounterReportTransport(CountPort(crowd, totals), key=7)
         leases = EpochLeases(1, f"n{number}")
         leases.set_present(["n0", "n1", "n2"])
-        signals = SharedEjections(carrier, leases)
-        signals.listed(dict.fromkeys(range(24), 0.0))
-        carrier.serve(signals)
+        signals = OutlierDetector(UnsharedClock(carrier.port), carrier, leases)
+        signals.set_servers(dict.fromkeys(range(24), 0.0))
+        carrier.listener = signals
         made.append(signals)
+        ports.append(carrier.port)
     made[0].attempt_ended(5, BAD)
     crowd.run(0.1)
     assert not made[0].is_ejected(5)
     made[1].attempt_ended(5, BAD)
     crowd.run(0.1)
-    assert made[1].is_ejected(5) and not made[0].is_ejected(5) and made[2].carrier.port.asked == 0
+    assert made[1].is_ejected(5) and not made[0].is_ejected(5) and ports[2].asked == 0
     assert len(totals) == 1 and all(name >= 1 << 62 for name in totals)  # apart from every customer's count
 
 
@@ -401,19 +412,22 @@
     for outcome, took in ((Outcome.OK, 0.3), (Outcome.TIMEOUT, 0.2)):
         crowd = Crowd(count=1)
         port = CountPort(crowd, {}, took, outcome)
-        carrier = ByCounter(port, key=7)
-        signals = SharedEjections(carrier, EpochLeases(1, "n0"))
-        signals.listed(dict.fromkeys(range(240), 0.0))
-        carrier.serve(signals)
+        carrier = CounterReportTransport(port, key=7)
+        signals = OutlierDetector(UnsharedClock(carrier.port), carrier, EpochLeases(1, "n0"))
+        signals.set_servers(dict.fromkeys(range(240), 0.0))
+        carrier.listener = signals
         carrier.send([Report(server, Health.FAILING) for server in range(20)])
-        assert port.asked == ASKS
+        assert port.asked == MAX_COUNTER_CALLS_PER_SECOND
         crowd.run(1.0)
         carrier.send([(1, Health.FAILING)])
-        assert port.asked == ASKS
-        crowd.run(QUIET)
+        assert port.asked == MAX_COUNTER_CALLS_PER_SECOND
+        crowd.run(BACKOFF_SECONDS)
         carrier.send([(1, Health.FAILING)])
-        assert port.asked == ASKS + 1
+        assert port.asked == MAX_COUNTER_CALLS_PER_SECOND + 1
 
 
 def test_the_times_fit_each_other():
-    assert PROBE_FOR < REPORT_TTL < EJECTED_MOST and BEAT < RESUME_GRACE_SECONDS
+    assert (
+        PROBE_TIMEOUT_SECONDS < REPORT_TTL_SECONDS < MAX_EJECTION_SECONDS
+        and TICK_SECONDS < RESUME_GRACE_SECONDS
+    )
