--- a/benchmarks/rolling_upgrade.py
+++ b/benchmarks/rolling_upgrade.py
@@ -76,7 +76,7 @@
 
     serving: tuple[str, ...] = ("serving",)  # the first line of a life
     fleet: tuple[str, ...] = ("fleet",)
-    ejected_servers: tuple[str, ...] = ("servers left alone",)
+    ejected_servers: tuple[str, ...] = ("servers left alone", "upstreams ejected")
     counter_known: tuple[str, ...] = ("counter known",)
     counter_changed: tuple[str, ...] = ("counter changed",)
     counter_sure: tuple[str, ...] = ("counter sure",)
