--- a/brookhub/coordination/outlier_detector.py
+++ b/brookhub/coordination/outlier_detector.py
@@ -157,7 +157,7 @@
         self.ejections.add_witness(server, me, now, self._required_witnesses())
 
     def _is_report_needed(self, ejection: Ejection | None, now: float) -> bool:
-        """Whether a failure here is news for the others: not where enough of them reported the server."""
+        """Whether to report a failure: not again, and not where enough others have reported the server."""
         if ejection is None or ejection.has_ended(now):
             return True
         return self.leases.me not in ejection.reported_at and ejection.recent_witnesses(now) < MAX_REPORTERS
