--- a/tests/test_golden_choices.py
+++ b/tests/test_golden_choices.py
@@ -9,7 +9,8 @@
 
 from brookhub.coordination import EpochLeases, SubsetMatching
 from brookhub.coordination.hashing import stratified_hashes, uniform_hash
-from brookhub.maintenance.plan import Machine, Plan, order
+from brookhub.maintenance.ordering import maintenance_order
+from brookhub.maintenance.plan import Machine, Plan
 from golden_cases import golden_text
 
 KEY, LIMITERS, SERVERS = 0x8C1F30, ["n0", "n1", "n2", "n3"], range(8)
@@ -41,7 +42,9 @@
     machines = [Machine(f"m{place}", "abc"[place % 3], 8.0 - place, (f"s-{place}",)) for place in range(6)]
     machines.append(Machine("m6", "a", 1.0, (), "n1"))
     plan = Plan(1, tuple(machines), ("n0",))
-    return [machine.name for machine in order(plan, {"a": 3.0, "b": 1.0, "c": 2.0}, frozenset({"m4"}))]
+    return [
+        machine.name for machine in maintenance_order(plan, {"a": 3.0, "b": 1.0, "c": 2.0}, frozenset({"m4"}))
+    ]
 
 
 def test_limiters_choose_as_the_version_before() -> None:
