--- a/brookhub/policy/constants.py
+++ b/brookhub/policy/constants.py
@@ -200,8 +200,8 @@
 COUNTER_RATE_LIMITS = RateLimits(
     increase=COUNTER_RATE_INCREASE,
     decrease=COUNTER_RATE_DECREASE,
-    least=MIN_COUNTER_RATE_SHARE,
-    at_once=MIN_COUNTER_BURST_CALLS,
+    min_share=MIN_COUNTER_RATE_SHARE,
+    min_burst=MIN_COUNTER_BURST_CALLS,
     memory=MEMORY_S,
 )
 """How the rate of counter calls follows the counter's answers."""
--- a/brookhub/policy/counter_windows.py
+++ b/brookhub/policy/counter_windows.py
@@ -34,7 +34,7 @@
             return
         quota = account.quota
         window_began_at = now - position % 1.0 * length
-        quota.read(max(quota.at, window_began_at))
+        quota.read(max(quota.updated_at, window_began_at))
         if number - 1 == account.window and self.reporter.may_call(BACKGROUND_RESERVE):
             self.reporter.report(account)
         self.estimator.unreported.add(now, account.unreported_units)
--- a/brookhub/policy/quota_estimate.py
+++ b/brookhub/policy/quota_estimate.py
@@ -63,8 +63,8 @@
         max_debt = min(-self.max_request_units, -quota.depth / 2)
         quota.level = max(max_debt, quota.level - beyond_overflow)
         account.own_share.level = quota.level / account.holders
-        account.own_share.at = now
+        account.own_share.updated_at = now
         account.unconfirmed.level = quota.level * account.unconfirmed_share
-        account.unconfirmed.at = now
+        account.unconfirmed.updated_at = now
         account.total_known_at = now
         account.credit = account.max_credit if 2 * quota.level > quota.depth else 0.0
--- a/brookhub/structures/adaptive_rate.py
+++ b/brookhub/structures/adaptive_rate.py
@@ -13,31 +13,34 @@
     """How the rate changes: additive increase, multiplicative decrease."""
 
     increase: float  # calls a second won by a quick answer
-    decrease: float  # factor for a late one
-    least: float  # share of the wanted rate that is kept
-    at_once: float  # calls at one stroke, at the least
+    decrease: float  # factor for a late answer
+    min_share: float  # of the wanted rate, that is kept
+    min_burst: float  # calls at once, at least
     memory: float  # s over which the wanted rate is averaged
 
 
 class AdaptiveRate:
-    """Calls a second that grow with quick answers and shrink with late ones, from what was used."""
+    """Calls a second that grow with quick answers and shrink with late ones, relative to the wanted rate."""
 
     def __init__(self, limits: RateLimits, hold: float, rate: float, now: float) -> None:
-        """`hold`: s between two decreases, also the time whose calls the bucket holds; `rate`: at first."""
+        """Begin with `rate` calls a second.
+
+        `hold`: s between two decreases, also the time whose calls the bucket holds.
+        """
         self.limits = limits
         self.hold = hold
-        self.bucket = TokenBucket(rate, limits.at_once, 1.0, now)
-        self.began_at = now
-        self.held_until = 0.0
-        self.wanted = DecayingSum(limits.memory)
+        self.bucket = TokenBucket(rate, limits.min_burst, 1.0, now)
+        self.wanted = DecayingSum(limits.memory)  # calls that were wanted, whether they were made or not
+        self._started_at = now
+        self._no_decrease_before = 0.0
 
-    def allows(self, now: float, spare: float = 0.0) -> bool:
-        """Whether a call may go now and leave a share of the bucket for others."""
-        return self.bucket.read(now) >= 1 + spare * self.bucket.depth
+    def allows(self, now: float, reserve: float = 0.0) -> bool:
+        """Whether a call may go now and leave a share of the bucket to others."""
+        return self.bucket.read(now) >= 1 + reserve * self.bucket.depth
 
-    def wait(self, now: float, spare: float) -> float:
+    def wait(self, now: float, reserve: float) -> float:
         """Seconds until `allows`."""
-        return self.bucket.wait(now, 1 + spare * self.bucket.depth)
+        return self.bucket.wait(now, 1 + reserve * self.bucket.depth)
 
     def take(self) -> None:
         """A call goes."""
@@ -45,12 +48,18 @@
 
     def answered(self, now: float, quick: bool, late: bool) -> None:
         """A call ended: quickly, late, or neither where it says nothing of the other side."""
-        bucket, limits = self.bucket, self.limits
-        elapsed = max(1.0, now - self.began_at)
-        wanted = max(1.0, self.wanted.read(now) / min(limits.memory, elapsed))
-        if quick and bucket.read(now) < bucket.depth / 2:  # what is not used is not won
-            bucket.rate += limits.increase
-        elif late and now >= self.held_until:  # from what was used: less of more would be no less
-            bucket.rate = max(limits.least * wanted, min(bucket.rate, 2 * wanted) * limits.decrease)
-            self.held_until = now + self.hold
-        bucket.depth = max(limits.at_once, bucket.rate * self.hold)
+        bucket = self.bucket
+        wanted = self._wanted_rate(now)
+        if quick and bucket.read(now) < bucket.depth / 2:  # a rate that is not used is not raised
+            bucket.rate += self.limits.increase
+        elif late and now >= self._no_decrease_before:
+            # Relative to what is wanted: a decrease of an unused rate would change nothing.
+            decreased = min(bucket.rate, 2 * wanted) * self.limits.decrease
+            bucket.rate = max(self.limits.min_share * wanted, decreased)
+            self._no_decrease_before = now + self.hold
+        bucket.depth = max(self.limits.min_burst, bucket.rate * self.hold)
+
+    def _wanted_rate(self, now: float) -> float:
+        """Calls a second that were wanted lately, 1 at least."""
+        elapsed = max(1.0, now - self._started_at)
+        return max(1.0, self.wanted.read(now) / min(self.limits.memory, elapsed))
--- a/brookhub/structures/decaying_mean.py
+++ b/brookhub/structures/decaying_mean.py
@@ -4,7 +4,7 @@
 
 from .decaying_sum import DecayingSum
 
-FEWEST = 1e-6  # values by which a sum is divided at the least
+MIN_COUNT = 1e-6  # values by which the sum is divided, at least
 
 
 class DecayingMean:
@@ -23,8 +23,8 @@
 
     def read(self, now: float) -> float:
         """The mean, 0 where nothing was taken in."""
-        return self.values.read(now) / max(FEWEST, self.count.read(now))
+        return self.values.read(now) / max(MIN_COUNT, self.count.read(now))
 
     def read_with_prior(self, now: float, prior: float) -> float:
-        """The mean with one value more, `prior`: what it is taken for as long as little is known."""
+        """The mean with `prior` as one more value: it dominates as long as little is known."""
         return (self.values.read(now) + prior) / (self.count.read(now) + 1)
--- a/brookhub/structures/decaying_sum.py
+++ b/brookhub/structures/decaying_sum.py
@@ -8,17 +8,17 @@
 class DecayingSum:
     """A sum of which 1/e is left after `memory` seconds. It is brought up to date when it is read."""
 
-    __slots__ = ("memory", "sum", "at")
+    __slots__ = ("memory", "sum", "updated_at")
 
     def __init__(self, memory: float) -> None:
         self.memory = memory
         self.sum = 0.0
-        self.at = 0.0  # s, when `sum` was brought up to date
+        self.updated_at = 0.0  # s, when `sum` was brought up to date
 
     def add(self, now: float, amount: float) -> float:
         """Add an amount at a moment, not earlier than the last; the sum after it."""
-        self.sum = self.sum * exp((self.at - now) / self.memory) + amount
-        self.at = now
+        self.sum = self.sum * exp((self.updated_at - now) / self.memory) + amount
+        self.updated_at = now
         return self.sum
 
     def read(self, now: float) -> float:
--- a/brookhub/structures/token_bucket.py
+++ b/brookhub/structures/token_bucket.py
@@ -2,16 +2,18 @@
 
 from __future__ import annotations
 
-SLOWEST = 1e-9  # units a second that a bucket without refill is taken to have, so that a wait is finite
+MIN_REFILL_RATE = (
+    1e-9  # units a second that a bucket without refill is taken to have, so that a wait is finite
+)
 
 
 class TokenBucket:
-    """Units that refill at `rate` a second up to `depth`. Below 0, more was taken than was there.
+    """Units that refill at `rate` a second up to `depth`. A level below 0 is a debt.
 
-    `overflow` sums what found no room, times `overflow_weight`; who reads it takes off what is accounted for.
+    `overflow` sums the refill that found no room, times `overflow_weight`, until its reader reduces it.
     """
 
-    __slots__ = ("rate", "depth", "level", "at", "overflow", "overflow_weight")
+    __slots__ = ("rate", "depth", "level", "updated_at", "overflow", "overflow_weight")
 
     def __init__(
         self, rate: float, depth: float, level: float, now: float, overflow_weight: float = 1.0
@@ -19,14 +21,14 @@
         self.rate = rate
         self.depth = depth
         self.level = level
-        self.at = now  # s, when `level` was brought up to date
+        self.updated_at = now  # s, when `level` was brought up to date
         self.overflow = 0.0
         self.overflow_weight = overflow_weight
 
     def read(self, now: float) -> float:
         """Refill up to a moment, not earlier than the last; the units that are there."""
-        level = self.level + self.rate * (now - self.at)
-        self.at = now
+        level = self.level + self.rate * (now - self.updated_at)
+        self.updated_at = now
         self.level = min(self.depth, level)
         self.overflow += self.overflow_weight * max(0.0, level - self.depth)
         return self.level
@@ -37,7 +39,7 @@
 
     def wait(self, now: float, units: float) -> float:
         """Seconds until so many units are there."""
-        return max(0.0, units - self.read(now)) / max(self.rate, SLOWEST)
+        return max(0.0, units - self.read(now)) / max(self.rate, MIN_REFILL_RATE)
 
     def change_rate(self, now: float, rate: float) -> None:
         """Refill up to a moment at the old rate, and go on at another."""
@@ -52,4 +54,4 @@
 
     def wait_for_full(self) -> float:
         """Seconds until an empty one is full."""
-        return self.depth / max(self.rate, SLOWEST)
+        return self.depth / max(self.rate, MIN_REFILL_RATE)
--- a/tests/test_structures.py
+++ b/tests/test_structures.py
@@ -19,7 +19,7 @@
 
 STEPS = st.lists(st.tuples(st.floats(0.0, 20.0), st.floats(0.0, 5.0)), min_size=1, max_size=30)
 EVEN_START = [0.423209, 0.509407, 0.648359]  # what seed 1 has given since the first version
-LIMITS = RateLimits(increase=1.5, decrease=0.8, least=0.2, at_once=2.0, memory=10.0)
+LIMITS = RateLimits(increase=1.5, decrease=0.8, min_share=0.2, min_burst=2.0, memory=10.0)
 
 
 @given(STEPS)
@@ -126,28 +126,35 @@
 
 @given(st.lists(st.tuples(st.floats(0.0, 0.3), st.sampled_from(["quick", "late", "neither"])), max_size=60))
 def test_an_adaptive_rate_grows_by_its_step_shrinks_once_a_hold_and_keeps_its_floor(answers):
-    pace, now, last_cut = AdaptiveRate(LIMITS, 0.1, 10.0, 0.0), 0.0, -1.0
+    rate_of_calls, now, last_cut = AdaptiveRate(LIMITS, 0.1, 10.0, 0.0), 0.0, -1.0
     for seconds, how in answers:
         now += seconds
-        pace.wanted.add(now, 1.0)
-        before = pace.bucket.rate
-        if pace.allows(now):
-            pace.take()
-        pace.answered(now, how == "quick", how == "late")
-        floor = LIMITS.least * max(1.0, pace.wanted.read(now) / min(LIMITS.memory, max(1.0, now)))
+        rate_of_calls.wanted.add(now, 1.0)
+        before = rate_of_calls.bucket.rate
+        if rate_of_calls.allows(now):
+            rate_of_calls.take()
+        rate_of_calls.answered(now, how == "quick", how == "late")
+        floor = LIMITS.min_share * max(
+            1.0, rate_of_calls.wanted.read(now) / min(LIMITS.memory, max(1.0, now))
+        )
         if how == "quick":
-            assert pace.bucket.rate == before or isclose(pace.bucket.rate, before + LIMITS.increase)
+            assert rate_of_calls.bucket.rate == before or isclose(
+                rate_of_calls.bucket.rate, before + LIMITS.increase
+            )
         elif how == "neither":
-            assert pace.bucket.rate == before
-        elif pace.bucket.rate != before:  # never below a share of what is wanted
+            assert rate_of_calls.bucket.rate == before
+        elif rate_of_calls.bucket.rate != before:  # never below a share of what is wanted
             assert now - last_cut >= 0.1 - 1e-9
-            assert isclose(pace.bucket.rate, floor) or pace.bucket.rate <= LIMITS.decrease * before + 1e-9
+            assert (
+                isclose(rate_of_calls.bucket.rate, floor)
+                or rate_of_calls.bucket.rate <= LIMITS.decrease * before + 1e-9
+            )
             last_cut = now
-        assert pace.bucket.depth >= LIMITS.at_once and pace.bucket.rate > 0
+        assert rate_of_calls.bucket.depth >= LIMITS.min_burst and rate_of_calls.bucket.rate > 0
 
 
 def test_an_adaptive_rate_leaves_a_share_for_others_and_names_the_wait():
-    pace = AdaptiveRate(LIMITS, 0.1, 10.0, 0.0)
-    assert pace.allows(0.0) and not pace.allows(0.0, spare=0.5)
-    assert isclose(pace.wait(0.0, spare=0.5), 0.1)
-    assert pace.allows(0.1, spare=0.5)
+    rate_of_calls = AdaptiveRate(LIMITS, 0.1, 10.0, 0.0)
+    assert rate_of_calls.allows(0.0) and not rate_of_calls.allows(0.0, reserve=0.5)
+    assert isclose(rate_of_calls.wait(0.0, reserve=0.5), 0.1)
+    assert rate_of_calls.allows(0.1, reserve=0.5)
