--- a/brookhub/emulator/fleet.py
+++ b/brookhub/emulator/fleet.py
@@ -13,7 +13,17 @@
 
 from .. import policy
 from ..config.models import Experiment, PlanSpec, RouteSpec
-from ..coordination import TOPIC, ByCounter, ByPeers, Parts, Shared, SharedEjections, Turns, unpack
+from ..coordination import (
+    REPORT_TOPIC,
+    CounterReportTransport,
+    EpochLeases,
+    FleetCoordinator,
+    GossipReportTransport,
+    OutlierDetector,
+    SubsetAssignment,
+    UnsharedClock,
+    decode_reports,
+)
 from ..membership import ALIVE, Membership
 from ..model import Request, ServerState
 from ..recovery import Ledger
@@ -169,10 +179,10 @@
             seat.recover(self.experiment.fleet.counter, self.experiment.fleet.limiters, self.kept.get(index))
             self.kept[index] = seat.recovery.ledger if self.experiment.fleet.counter.ledgers_last else None
         if self.experiment.fleet.counter.signals:
-            carrier = ByCounter(seat, self.seed)
-            seat.ejections = SharedEjections(carrier, self.turns(seat))
-            carrier.serve(seat.ejections)
-            seat.gateway.use_coordination(Shared(seat.ejections))
+            transport = CounterReportTransport(seat, self.seed)
+            seat.detector = OutlierDetector(UnsharedClock(seat), transport, self.leases(seat))
+            transport.listener = seat.detector
+            seat.gateway.use_coordination(FleetCoordinator(seat.detector))
         return seat
 
     def join(self, seat: Seat) -> None:
@@ -190,12 +200,12 @@
                 and seat.recovery.set_fleet_size(sure)
             ),
         )
-        ejections = parts = None
+        detector = assignment = None
         if spec.signals:
-            turns = self.turns(seat)
-            peer.on_changed = lambda member, state: turns.told(peer.core.present)
+            leases = self.leases(seat)
+            peer.on_changed = lambda member, state: leases.set_present(peer.core.present)
             peer.on_said = lambda source, topic, data: (
-                topic == TOPIC and ejections.received(source, unpack(data))
+                topic == REPORT_TOPIC and detector.on_reports(source, decode_reports(data))
             )
         peer.core = Membership(
             peer, FLEET, peer.name, [f"n{index}" for index in range(count)], self.seed, spec.period_s
@@ -205,19 +215,20 @@
                 member.state, member.incarnation = ALIVE, 0
             peer.core.present = set(peer.core.names)
         if spec.signals:
-            turns.told(peer.core.present)
-            ejections = seat.ejections = SharedEjections(ByPeers(peer, peer.core), turns)
+            leases.set_present(peer.core.present)
+            detector = OutlierDetector(peer, GossipReportTransport(peer.core), leases)
+            seat.detector = detector
         if spec.subsets:
-            parts = Parts(self.seed, peer.name, peer.core.names, peer.core.counted)
-        if ejections or parts:
-            seat.gateway.use_coordination(Shared(ejections, parts))
+            assignment = SubsetAssignment(self.seed, peer.name, peer.core.names, peer.core.counted)
+        if detector or assignment:
+            seat.gateway.use_coordination(FleetCoordinator(detector, assignment))
         peer.core.start()
 
-    def turns(self, seat: Seat) -> Turns:
-        """The turns of a limiter that sees all others."""
-        turns = Turns(self.seed, f"n{seat.index}")
-        turns.told(f"n{index}" for index in range(self.experiment.fleet.limiters))
-        return turns
+    def leases(self, seat: Seat) -> EpochLeases:
+        """The leases of a limiter that sees all others."""
+        leases = EpochLeases(self.seed, f"n{seat.index}")
+        leases.set_present(f"n{index}" for index in range(self.experiment.fleet.limiters))
+        return leases
 
     def entries(self) -> list[tuple]:
         """The server list as discovery has it."""
