--- a/benchmarks/rolling_upgrade.py
+++ b/benchmarks/rolling_upgrade.py
@@ -34,7 +34,8 @@
 from xxhash import xxh3_64_intdigest
 
 from brookhub.config import Experiment
-from brookhub.coordination import Parts
+from brookhub.coordination import SubsetAssignment
+from brookhub.coordination.subset_assignment import ServerPlacement
 from brookhub.experiments.limiter_process import Limiter
 from brookhub.experiments.maintenance import Workers
 from brookhub.experiments.processes import Outcome, ProcessLab
@@ -225,14 +226,14 @@
     def expected_subset(self, limiter: Limiter) -> set[int]:
         """The servers that a limiter should use, by this checkout's code."""
         names = [f"n{number}" for number in range(LIMITERS)]
-        parts = Parts(xxh3_64_intdigest("lab"), f"n{limiter.index}", names, lambda: names)
-        parts.listed(
+        assignment = SubsetAssignment(xxh3_64_intdigest("lab"), f"n{limiter.index}", names, lambda: names)
+        assignment.set_servers(
             {
-                server_list.server_id(f"s-{ident}"): (one.model.zone, 1.0)
+                server_list.server_id(f"s-{ident}"): ServerPlacement(one.model.zone, 1.0)
                 for ident, one in self.lab.servers.items()
             }
         )
-        own = set((parts.order() or [])[: parts.least()])
+        own = set((assignment.preference_order() or [])[: assignment.min_servers()])
         return {ident for ident in self.lab.servers if server_list.server_id(f"s-{ident}") in own}
 
     def subsets(self) -> None:
--- a/brookhub/routing/peers.py
+++ b/brookhub/routing/peers.py
@@ -13,7 +13,16 @@
 
 from xxhash import xxh3_64_intdigest
 
-from ..coordination import TOPIC, ByPeers, Parts, Shared, SharedEjections, Turns, UnusableError, unpack
+from ..coordination import (
+    REPORT_TOPIC,
+    EpochLeases,
+    FleetCoordinator,
+    GossipReportTransport,
+    InvalidReportsError,
+    OutlierDetector,
+    SubsetAssignment,
+    decode_reports,
+)
 from ..membership import LARGEST, Membership, UnreadableError, decode
 from ..transport.threads import start_thread
 from .fleet_log import DroppedDatagramLog, EjectionLog, FleetLog
@@ -46,20 +55,22 @@
         self.core = Membership(self, settings.fleet, settings.name, self.addresses, seed, settings.period)
         self.fleet_log = FleetLog(port, logger, self.core)
         self.dropped = DroppedDatagramLog(port, logger, self.core)
-        self.clock_offset = time() - monotonic()  # of the calendar from the monotonic clock
+        self.clock_offset = time() - monotonic()  # s, wall time over `now`; measured with each check
         # The key is the same for the whole fleet
-        self.turns = Turns(xxh3_64_intdigest(settings.fleet), settings.name)
+        self.leases = EpochLeases(xxh3_64_intdigest(settings.fleet), settings.name)
         self.payload_handlers: dict[int, PayloadHandler] = {}  # of other parts, by topic
-        self.ejections: SharedEjections | None = None
+        self.detector: OutlierDetector | None = None
         if settings.shares_ejections:
-            self.ejections = SharedEjections(ByPeers(self, self.core), self.turns)
-        self.parts: Parts | None = None
+            self.detector = OutlierDetector(self, GossipReportTransport(self.core), self.leases)
+        self.assignment: SubsetAssignment | None = None
         if settings.uses_subsets:
-            self.parts = Parts(self.turns.key, settings.name, self.addresses, self.core.counted)
-        if self.ejections or self.parts:
-            port.gateway.use_coordination(Shared(self.ejections, self.parts))
-        if self.ejections:
-            self.ejection_log = EjectionLog(port, logger, self.ejections)
+            self.assignment = SubsetAssignment(
+                self.leases.key, settings.name, self.addresses, self.core.counted
+            )
+        if self.detector or self.assignment:
+            port.gateway.use_coordination(FleetCoordinator(self.detector, self.assignment))
+        if self.detector:
+            self.ejection_log = EjectionLog(port, logger, self.detector)
             self._check_ejections()
 
     def start(self) -> None:
@@ -75,8 +86,8 @@
         """
         self._set_peers(settings.peers)
         self.core.relist(self.addresses)
-        if self.parts:
-            self.parts.relist(self.addresses)
+        if self.assignment:
+            self.assignment.set_peers(self.addresses)
 
     def read(self) -> None:
         """Read datagrams until the program ends. Runs in a thread of its own."""
@@ -112,8 +123,8 @@
         return self.port.now
 
     @property
-    def calendar(self) -> float:
-        """Seconds on the clock that all limiters share, to within a small part of an epoch."""
+    def wall_time(self) -> float:
+        """Seconds on the clock that all limiters share, to within a small part of a lease's epoch."""
         return self.port.now + self.clock_offset
 
     def later(self, seconds: float, callback: Callable[[], None]) -> None:
@@ -135,7 +146,7 @@
 
     def changed(self, member: str, state: int) -> None:
         """A member came or went."""
-        self.turns.told(self.core.present)
+        self.leases.set_present(self.core.present)
         self.fleet_log.on_change()
 
     def said(self, peer: str, topic: int, data: bytes) -> None:
@@ -143,11 +154,11 @@
         handler = self.payload_handlers.get(topic)
         if handler:
             return handler(peer, data)
-        if topic != TOPIC or not self.ejections:
+        if topic != REPORT_TOPIC or not self.detector:
             return
         try:
-            self.ejections.received(peer, unpack(data))
-        except UnusableError:
+            self.detector.on_reports(peer, decode_reports(data))
+        except InvalidReportsError:
             self.drop("unreadable")
 
     # steps of the above
@@ -158,7 +169,7 @@
         self.names = {address: name for name, address in addresses.items()}
 
     def _check_ejections(self) -> None:
-        """Log changed ejections and set the calendar anew. Repeats itself by a timer."""
+        """Log changed ejections and measure the wall time anew. Repeats itself by a timer."""
         self.clock_offset = time() - monotonic()
         self.ejection_log.check()
         self.port.later(EjectionLog.INTERVAL, self._check_ejections)
