--- a/brookhub/coordination/report_transport.py
+++ b/brookhub/coordination/report_transport.py
@@ -14,7 +14,7 @@
 from .ejections import REPORT_TTL, Health, Report, SharedEjections
 
 TOPIC = 1  # of reports among membership's words
-MOST_REPORTS = 60  # in a datagram: below membership.WORD_MOST with the longest ids
+MOST_REPORTS = 60  # in a datagram: below membership.MAX_PAYLOAD_BYTES with the longest ids
 ASKS = 2.0  # counter calls a second that one limiter's reports may cost at most: the quotas' own come first
 LATE = 0.25  # s from which the counter's answer counts as late: no reports by it until QUIET s later
 QUIET = 5.0  # s without reports after a late answer or none
@@ -61,7 +61,7 @@
 class Words(Protocol):
     """How membership carries another part's words (membership.Membership)."""
 
-    def say(self, topic: int, data: bytes) -> None:
+    def send_payload(self, topic: int, data: bytes) -> None:
         """Send to all that are present; each may be lost."""
 
 
@@ -88,7 +88,7 @@
     def send(self, reports: list[Report]) -> None:
         """Tell all that are present."""
         for data in pack(reports):
-            self.membership.say(TOPIC, data)
+            self.membership.send_payload(TOPIC, data)
 
 
 class CountPort(Protocol):
--- a/brookhub/coordination/subset_assignment.py
+++ b/brookhub/coordination/subset_assignment.py
@@ -31,7 +31,7 @@
 class Parts:
     """`key`: the fleet's, the same at all; `me` and `others`: names that the operator lists; `here()`.
 
-    Those of the others that count as there (membership.Membership.counted), asked each time the decisions
+    Those of the others that count as there (membership.Membership.live_names), asked each time the decisions
     draw their part.
     """
 
--- a/brookhub/emulator/fleet.py
+++ b/brookhub/emulator/fleet.py
@@ -14,7 +14,7 @@
 from .. import policy
 from ..config.models import Experiment, PlanSpec, RouteSpec
 from ..coordination import TOPIC, ByCounter, ByPeers, Parts, Shared, SharedEjections, Turns, unpack
-from ..membership import ALIVE, Membership
+from ..membership import Membership, MembershipSettings
 from ..model import ApiCall, GatewaySettings, Group, Plan, Repeat, Route, State
 from ..recovery import Ledger
 from .engine import Engine
@@ -192,18 +192,15 @@
             peer.on_said = lambda source, topic, data: (
                 topic == TOPIC and ejections.received(source, unpack(data))
             )
-        peer.core = Membership(
-            peer, FLEET, peer.name, [f"n{index}" for index in range(count)], self.seed, spec.period_s
-        )
+        settings = MembershipSettings(FLEET, peer.name, self.seed, spec.period_s)
+        peer.core = Membership(peer, settings, [f"n{index}" for index in range(count)])
         if self.engine.now == 0.0:
-            for member in peer.core.members.values():
-                member.state, member.incarnation = ALIVE, 0
-            peer.core.present = set(peer.core.names)
+            peer.core.assume_all_alive()
         if spec.signals:
             turns.told(peer.core.present)
             ejections = seat.ejections = SharedEjections(ByPeers(peer, peer.core), turns)
         if spec.subsets:
-            parts = Parts(self.seed, peer.name, peer.core.names, peer.core.counted)
+            parts = Parts(self.seed, peer.name, peer.core.names, peer.core.live_names)
         if ejections or parts:
             seat.gateway.choices_told(Shared(ejections, parts))
         peer.core.start()
--- a/brookhub/emulator/peers.py
+++ b/brookhub/emulator/peers.py
@@ -10,7 +10,15 @@
 from random import Random
 from typing import Callable
 
-from ..membership import ABSENT, ALIVE, DEAD, LEFT, Heartbeats, Membership, UnreadableError, decode
+from ..membership import (
+    ABSENT_STATES,
+    Heartbeats,
+    MalformedMessageError,
+    Membership,
+    MembershipSettings,
+    MemberState,
+    decode,
+)
 from .engine import Engine
 
 HEADER = 28  # bytes of UDP and IPv4 heads
@@ -96,22 +104,22 @@
 
         def take() -> None:
             try:
-                self.core.received(source, decode(data, FLEET))
-            except UnreadableError as bad:
-                self.core.counts[bad.reason] += 1
+                self.core.on_message(source, decode(data, FLEET))
+            except MalformedMessageError as bad:
+                self.core.statistics.dropped[bad.reason] += 1
 
         self.when_awake(take, AFTER_TIMERS)
 
-    def told(self, live: int, rank: int, sure: int) -> None:
-        """Membership tells the fleet's numbers."""
-        self.on_told(live, rank, sure)
+    def on_membership_changed(self, live: int, rank: int, expected: int) -> None:
+        """Handle changed counts of the fleet."""
+        self.on_told(live, rank, expected)
 
-    def changed(self, member: str, state: int) -> None:
-        """A member's state changed."""
+    def on_member_state_changed(self, member: str, state: MemberState) -> None:
+        """Handle another state of a member."""
         self.on_changed(member, state)
 
-    def said(self, peer: str, topic: int, data: bytes) -> None:
-        """Another part's word came."""
+    def on_payload_received(self, peer: str, topic: int, data: bytes) -> None:
+        """Handle another component's payload."""
         self.on_said(peer, topic, data)
 
     def kill(self) -> None:
@@ -148,32 +156,23 @@
         """A member that begins; `warm`: knowing all others."""
         seat = PeerSeat(self.net, name, changed=lambda member, state: self.changed(name, member, state))
         peers = [other for other in self.names if other != name]
+        settings = MembershipSettings(FLEET, name, self.seed, self.period, self.protocol == "lifeguard")
         if self.protocol == "heartbeat":
-            seat.core = Heartbeats(seat, FLEET, name, peers, self.seed, self.period)
+            seat.core = Heartbeats(seat, settings, peers)
         else:
-            seat.core = Membership(
-                seat, FLEET, name, peers, self.seed, self.period, self.protocol == "lifeguard"
-            )
+            seat.core = Membership(seat, settings, peers)
         if warm:
-            self.warm(seat.core)
+            seat.core.assume_all_alive()
         seat.core.start()
         self.seats[name] = seat
         return seat
 
-    def warm(self, core) -> None:
-        """Let a member know all others."""
-        for member in core.members.values():
-            member.state, member.incarnation = ALIVE, 0
-        core.present = set(core.names)
-        if self.protocol == "heartbeat":
-            core.heard = dict.fromkeys(core.names, 0.0)
-
-    def changed(self, observer: str, member: str, state: int) -> None:
+    def changed(self, observer: str, member: str, state: MemberState) -> None:
         """Note what a member thinks of another now."""
         now = self.engine.now
-        if state in (DEAD, LEFT):
+        if state in (MemberState.DEAD, MemberState.LEFT):
             self.deaths.setdefault(member, {})[observer] = now
-        if state != DEAD:
+        if state != MemberState.DEAD:
             return
         seat = self.seats.get(member)
         if seat and seat.alive:
@@ -202,10 +201,10 @@
 
     def sent(self) -> tuple[int, int]:
         """(datagrams, bytes with headers) that all living members sent so far."""
-        counts = [seat.core.counts for seat in self.seats.values() if seat.alive]
-        datagrams = sum(one["datagrams"] for one in counts)
-        return datagrams, sum(one["bytes"] for one in counts) + HEADER * datagrams
+        statistics = [seat.core.statistics for seat in self.seats.values() if seat.alive]
+        datagrams = sum(member.datagrams_sent for member in statistics)
+        return datagrams, sum(member.bytes_sent for member in statistics) + HEADER * datagrams
 
     def absent_at(self, observer: str) -> list[str]:
         """Whom a member holds for gone."""
-        return [name for name, one in self.seats[observer].core.members.items() if one.state in ABSENT]
+        return [name for name, one in self.seats[observer].core.members.items() if one.state in ABSENT_STATES]
--- a/brookhub/maintenance/messages.py
+++ b/brookhub/maintenance/messages.py
@@ -13,7 +13,7 @@
 # A machine's steps: permitted, safe to work on, back and filled as a cold one
 LEAVING, OPEN, FILLING = 1, 2, 3
 NOTHING_SAID = (0, "", 0)
-PIECE = 900  # bytes of a plan in a message, below membership.WORD_MOST with its head
+PIECE = 900  # bytes of a plan in a message, below membership.MAX_PAYLOAD_BYTES with its head
 MOST_PIECES = 64
 
 Name = Annotated[str, msgspec.Meta(max_length=32)]
--- a/brookhub/membership/__init__.py
+++ b/brookhub/membership/__init__.py
@@ -1,27 +1,44 @@
-"""Which limiters of a fleet are there: SWIM with Lifeguard's health, without I/O (docs/membership.md).
+"""Which limiters of a fleet are running: SWIM with Lifeguard's extensions, without I/O (docs/membership.md).
 
-`Membership(port, ...)` is told what arrives and acts through a MembershipPort; `Heartbeats` is a baseline
-with the same face. Names are texts, times seconds, sizes bytes.
+A driver passes decoded datagrams to `Membership` and implements `MembershipPort`. `Heartbeats` is a baseline
+with the same interface. Times are seconds, sizes bytes, names texts of up to 32 characters.
 """
 
-from .baseline import Heartbeats
-from .core import Membership, MembershipPort
-from .members import ABSENT, ALIVE, DEAD, LEFT, SUSPECT, UNHEARD, WORDS
-from .messages import LARGEST, WORD_MOST, UnreadableError, decode
+from .fleet_counts import SHRINK_DELAY, FleetCounts
+from .heartbeats import Heartbeats
+from .membership import Membership
+from .messages import (
+    MAX_DATAGRAM_BYTES,
+    MAX_PAYLOAD_BYTES,
+    DropReason,
+    MalformedMessageError,
+    MemberUpdate,
+    Message,
+    MessageKind,
+    decode,
+)
+from .port import MembershipPort
+from .settings import MembershipSettings, Statistics
+from .state import ABSENT_STATES, PRESENT_STATES, Member, MemberState
 
 __all__ = [
-    "ABSENT",
-    "ALIVE",
-    "DEAD",
+    "ABSENT_STATES",
+    "MAX_DATAGRAM_BYTES",
+    "MAX_PAYLOAD_BYTES",
+    "PRESENT_STATES",
+    "SHRINK_DELAY",
+    "DropReason",
+    "FleetCounts",
     "Heartbeats",
-    "LARGEST",
-    "LEFT",
+    "MalformedMessageError",
+    "Member",
+    "MemberState",
+    "MemberUpdate",
     "Membership",
     "MembershipPort",
-    "SUSPECT",
-    "UNHEARD",
-    "UnreadableError",
-    "WORDS",
-    "WORD_MOST",
+    "MembershipSettings",
+    "Message",
+    "MessageKind",
+    "Statistics",
     "decode",
 ]
--- /dev/null
+++ b/brookhub/membership/fleet_counts.py
@@ -0,0 +1,92 @@
+"""Sizes of the fleet: a member that comes counts at once, one that goes only after SHRINK_DELAY."""
+
+from __future__ import annotations
+
+from typing import NamedTuple
+
+from .port import MembershipListener
+from .settings import MemberContext
+from .state import LEFT, PRESENT_STATES, UNKNOWN, Member
+
+SHRINK_DELAY = 5.0  # s that a member that went still counts: longer than a stall or a flapping link
+
+
+class FleetCounts(NamedTuple):
+    """Sizes of the fleet as one member sees it."""
+
+    live: int  # members present now or until SHRINK_DELAY ago, the local one included
+    rank: int  # the local member's place among those by name, from 0
+    expected: int  # listed members not known to have left, the local one included
+
+
+class FleetCounter:
+    """Keeps the counts up to date member by member, and reports each change to the listener."""
+
+    def __init__(self, context: MemberContext, listener: MembershipListener) -> None:
+        self._clock = context.clock
+        self._local = context.local
+        self._members = context.members
+        self._listener = listener
+        self._live_peers = 0
+        self._live_peers_before_local = 0  # by name
+        self._expected_peers = 0
+        self.reported: FleetCounts | None = None  # None before start
+
+    def recount(self) -> None:
+        """Count all listed members anew, after the list changed."""
+        peers = self._members.by_name.values()
+        live = [peer.name for peer in peers if peer.counted_live]
+        self._live_peers = len(live)
+        self._live_peers_before_local = sum(name < self._local.name for name in live)
+        self._expected_peers = sum(peer.counted_expected for peer in peers)
+
+    def live_names(self) -> list[str]:
+        """Names of the peers that `live` counts, in alphabetical order."""
+        return [name for name in self._members.names if self._members.by_name[name].counted_live]
+
+    def report(self) -> None:
+        """Report the counts to the listener if they changed."""
+        counts = FleetCounts(1 + self._live_peers, self._live_peers_before_local, 1 + self._expected_peers)
+        if counts == self.reported or self._local.stopped:
+            return
+        self.reported = counts
+        self._listener.on_membership_changed(counts.live, counts.rank, counts.expected)
+
+    def on_state_changed(self, member: Member) -> None:
+        """Count a member that came; schedule that one that went is counted no more."""
+        member.state_changes += 1
+        state_changes = member.state_changes
+        if member.state in PRESENT_STATES:
+            self._set_counted(member, live=True, expected=True)
+        else:
+            self._clock.later(SHRINK_DELAY, lambda: self._on_shrink_delay_over(member, state_changes))
+
+    def schedule_removal_of_unknown(self) -> None:
+        """After SHRINK_DELAY, stop to count the members about which nothing was received until then."""
+        self._clock.later(SHRINK_DELAY, self._remove_unknown)
+
+    def _on_shrink_delay_over(self, member: Member, state_changes: int) -> None:
+        """Count a member no more, unless its state changed again during the delay."""
+        if state_changes != member.state_changes or self._local.stopped:
+            return
+        self._set_counted(member, live=False, expected=member.state != LEFT)
+        self.report()
+
+    def _remove_unknown(self) -> None:
+        """Count unknown members no more in `live`; they are still expected, as they did not leave."""
+        for member in self._members.by_name.values():
+            if member.state == UNKNOWN:
+                self._set_counted(member, live=False, expected=True)
+        self.report()
+
+    def _set_counted(self, member: Member, live: bool, expected: bool) -> None:
+        """Change how a member counts, unless it was removed from the list meanwhile."""
+        if self._members.by_name.get(member.name) is not member:
+            return
+        live_change = live - member.counted_live
+        self._live_peers += live_change
+        if member.name < self._local.name:
+            self._live_peers_before_local += live_change
+        self._expected_peers += expected - member.counted_expected
+        member.counted_live = live
+        member.counted_expected = expected
--- a/brookhub/membership/gossip.py
+++ b/brookhub/membership/gossip.py
@@ -1,65 +1,65 @@
-"""News that is spread on what is sent anyway: each piece some times, what was told least often first."""
+"""Gossip rounds: spread queued updates to random members while there are any."""
 
 from __future__ import annotations
 
-from dataclasses import dataclass
-from heapq import nsmallest
-from math import ceil, log10
-from typing import Iterable
+from typing import Callable
 
-from .messages import Piece, weight
+from .broadcast_queue import BroadcastQueue
+from .messages import MemberUpdate
+from .sender import MessageSender
+from .settings import MemberContext
 
-RETELL = 4.0  # times news is told for each factor of ten members
-FEW = 8  # pieces that are sorted as they are; of more only so many are looked for as may fit
-LIGHTEST = 20  # bytes of a piece, about, at the least
-
-
-@dataclass
-class Rumor:
-    """A piece of news, and how often it was told."""
-
-    piece: Piece
-    told: int = 0
+GOSSIP_INTERVAL = 0.1  # s between rounds while there is something to do: well below a suspicion's timeout
+GOSSIP_NODES = 2  # members that get a packet in each round
+LEAVE_NODES = 8  # members told directly of a planned end
 
 
 class Gossip:
-    """The news that a member still tells, the newest piece of each name."""
-
-    def __init__(self) -> None:
-        self.rumors: dict[str, Rumor] = {}
-
-    def __len__(self) -> int:
-        return len(self.rumors)
-
-    def add(self, piece: Piece) -> None:
-        """Tell this from now on, in place of what was told of the same name."""
-        self.rumors[piece[0]] = Rumor(piece)
-
-    def clear(self) -> None:
-        """Tell nothing any more."""
-        self.rumors.clear()
-
-    def pick(self, room: int, members: int) -> list[Piece]:
-        """The news told least often first, as much as fits into so many bytes.
-
-        What was told often enough for a fleet of so many members is dropped.
-        """
-        if not self.rumors:
-            return []
-        most = ceil(RETELL * log10(members + 10))
-        picked = []
-        for name, rumor in self._least_told(room):
-            room -= weight(rumor.piece)
-            if room < 0:
-                break
-            picked.append(rumor.piece)
-            rumor.told += 1
-            if rumor.told >= most:
-                del self.rumors[name]
-        return picked
-
-    def _least_told(self, room: int) -> list[tuple[str, Rumor]]:
-        items: Iterable[tuple[str, Rumor]] = self.rumors.items()
-        if len(self.rumors) > FEW:
-            items = nsmallest(room // LIGHTEST + 1, items, key=lambda item: item[1].told)
-        return sorted(items, key=lambda item: item[1].told)
+    """Runs gossip rounds while updates are queued or members are suspected.
+
+    `before_round` is called at the start of each round, to check the timeouts of suspicions.
+    """
+
+    def __init__(
+        self,
+        context: MemberContext,
+        broadcasts: BroadcastQueue,
+        sender: MessageSender,
+        before_round: Callable[[], None],
+    ) -> None:
+        self._clock = context.clock
+        self._random = context.random
+        self._local = context.local
+        self._members = context.members
+        self._broadcasts = broadcasts
+        self._sender = sender
+        self._before_round = before_round
+        self._round_scheduled = False
+
+    def broadcast(self, update: MemberUpdate) -> None:
+        """Queue an update, and start gossip rounds if none are running."""
+        self._broadcasts.add(update)
+        if self._round_scheduled or self._local.stopped:
+            return
+        self._round_scheduled = True
+        self._clock.later(GOSSIP_INTERVAL * (0.5 + self._random.random()), self._run_round)
+
+    def send_leave(self) -> None:
+        """Send the queued updates, among them the own leave, to LEAVE_NODES members at once."""
+        for peer in self._members.sample(LEAVE_NODES, self._members.present):
+            self._sender.send_gossip(peer)
+
+    def _run_round(self) -> None:
+        self._round_scheduled = False
+        if self._local.stopped:
+            return
+        self._before_round()
+        if self._broadcasts:
+            for peer in self._members.sample(GOSSIP_NODES, self._members.present):
+                self._sender.send_gossip(peer)
+            if not self._members.present:
+                self._broadcasts.clear()  # nobody to tell: a member that comes gets the full state
+        # A death that `before_round` declared may have scheduled a round already; both run
+        if self._broadcasts or self._members.suspicions:
+            self._round_scheduled = True
+            self._clock.later(GOSSIP_INTERVAL, self._run_round)
--- /dev/null
+++ b/brookhub/membership/port.py
@@ -0,0 +1,42 @@
+"""What membership needs from its driver (`MembershipPort`), in small protocols by use."""
+
+from __future__ import annotations
+
+from typing import Callable, Protocol
+
+from .state import MemberState
+
+
+class Clock(Protocol):
+    """A monotonic clock with timers. Callbacks run under the same lock as all calls of membership."""
+
+    @property
+    def now(self) -> float:
+        """Seconds on the member's monotonic clock."""
+
+    def later(self, seconds: float, callback: Callable[[], None]) -> None:
+        """Call `callback` once, `seconds` from now."""
+
+
+class DatagramTransport(Protocol):
+    """Sends datagrams to listed peers."""
+
+    def send(self, peer: str, data: bytes) -> None:
+        """Send a datagram to the listed `peer`; it may be lost, duplicated or reordered."""
+
+
+class MembershipListener(Protocol):
+    """Receives what membership finds out."""
+
+    def on_membership_changed(self, live: int, rank: int, expected: int) -> None:
+        """Handle changed counts of the fleet (`fleet_counts.FleetCounts`)."""
+
+    def on_member_state_changed(self, member: str, state: MemberState) -> None:
+        """Handle another state of a listed member."""
+
+    def on_payload_received(self, peer: str, topic: int, data: bytes) -> None:
+        """Handle a payload that a peer's component sent by `send_payload`."""
+
+
+class MembershipPort(Clock, DatagramTransport, MembershipListener, Protocol):
+    """All that the driver of one member implements."""
--- /dev/null
+++ b/brookhub/membership/push_pull.py
@@ -0,0 +1,97 @@
+"""Push-pull state exchange: repairs what gossip missed, and brings newcomers and split fleets together."""
+
+from __future__ import annotations
+
+from .messages import MemberUpdate, Message
+from .sender import PACKET_BYTES, MessageSender
+from .settings import MemberContext
+
+EXCHANGE_INTERVAL = 2.0  # s between sendings of a part of the state to one member, on average
+SLICE_BYTES = 450  # of updates in that part: a flat cost at any size of the fleet
+JOIN_INTERVAL = 1.0  # s between contacts with absent members: a split's sides find each other within it
+STARTUP_JOIN_INTERVAL = 0.15  # s between them soon after the start, while most members are absent
+STARTUP_TIME = 3.0  # s after the start for which that holds
+
+
+class PushPull:
+    """Sends the known state, a slice at intervals or all of it at once, and contacts absent members."""
+
+    def __init__(self, context: MemberContext, sender: MessageSender) -> None:
+        self._clock = context.clock
+        self._random = context.random
+        self._local = context.local
+        self._members = context.members
+        self._sender = sender
+        self._next_slice_start = 0  # index into the known members
+        self._started_at = context.clock.now
+
+    def schedule_exchange(self) -> None:
+        """Exchange a slice with a random member after a random interval, and so on."""
+        self._clock.later(EXCHANGE_INTERVAL * (0.5 + self._random.random()), self._exchange)
+
+    def join_absent(self) -> None:
+        """Contact a random absent member, and so on: a split heals, a machine comes back, a fleet starts."""
+        if self._local.stopped:
+            return
+        absent = self._members.absent()
+        if absent:
+            self._sender.send_join(self._random.choice(absent))
+        interval = JOIN_INTERVAL
+        starting = self._clock.now - self._started_at < STARTUP_TIME
+        if starting and 2 * len(absent) > len(self._members.names):
+            interval = STARTUP_JOIN_INTERVAL
+        self._clock.later(interval * (0.5 + self._random.random()), self.join_absent)
+
+    def send_full_state(self, peer: str) -> None:
+        """Send all that is known, in as many messages as it takes."""
+        updates = self._leading_updates(peer)
+        used_bytes = 0
+        for name in self._names_for(peer):
+            update = self._members.current_update(name)
+            used_bytes += update.max_encoded_bytes
+            if used_bytes > PACKET_BYTES:
+                self._sender.send_state(peer, updates, reply_wanted=False)
+                updates = []
+                used_bytes = update.max_encoded_bytes
+            updates.append(update)
+        self._sender.send_state(peer, updates, reply_wanted=False)
+
+    def on_state_received(self, peer: str, message: Message) -> None:
+        """Send back what is newer here, if the sender wants it. The updates are applied before."""
+        newer = [
+            self._members.current_update(update.name)
+            for update in message.updates
+            if self._members.knows_newer(update)
+        ]
+        if message.reply_wanted and newer:
+            self._sender.send_state(peer, newer, reply_wanted=False)
+
+    def _exchange(self) -> None:
+        if self._local.stopped:
+            return
+        for peer in self._members.sample(1, self._members.present):
+            self._send_slice(peer)
+        self.schedule_exchange()
+
+    def _send_slice(self, peer: str) -> None:
+        """Send the next SLICE_BYTES of the known state; the peer answers with what is newer there."""
+        updates = self._leading_updates(peer)
+        names = self._names_for(peer)
+        used_bytes = 0
+        for step in range(len(names)):
+            index = (self._next_slice_start + step) % len(names)
+            update = self._members.current_update(names[index])
+            used_bytes += update.max_encoded_bytes
+            if used_bytes > SLICE_BYTES:
+                self._next_slice_start = index
+                break
+            updates.append(update)
+        self._sender.send_state(peer, updates, reply_wanted=True)
+
+    def _names_for(self, peer: str) -> list[str]:
+        """The known members without the receiver itself."""
+        return [name for name in self._members.known() if name != peer]
+
+    def _leading_updates(self, peer: str) -> list[MemberUpdate]:
+        """The own state, and what the peer may have to refute."""
+        return [self._members.current_update(self._local.name), *self._sender.accusation(peer)]
--- /dev/null
+++ b/brookhub/membership/settings.py
@@ -0,0 +1,58 @@
+"""Settings of one member, and what its collaborators share."""
+
+from __future__ import annotations
+
+from collections import Counter
+from dataclasses import dataclass, field
+from random import Random
+
+from .member_list import MemberList
+from .messages import DropReason
+from .port import Clock
+from .state import LocalMember
+
+
+@dataclass(frozen=True)
+class MembershipSettings:
+    """Settings of one member.
+
+    Attributes:
+        fleet: name of the fleet, the same at all members; datagrams of other fleets are dropped.
+        name: the local member's name, unique in the fleet.
+        seed: of the member's random draws; two members draw differently with the same one.
+        probe_interval: seconds between probes, the same at all members.
+        lifeguard: whether Lifeguard's extensions are on; off is plain SWIM, a baseline for measurements.
+    """
+
+    fleet: str
+    name: str
+    seed: int
+    probe_interval: float = 0.25
+    lifeguard: bool = True
+
+    def random(self) -> Random:
+        """A random generator that depends on the seed and the member's name only."""
+        return Random(f"{self.seed}/{self.name}")
+
+
+@dataclass
+class Statistics:
+    """Counters of one member since its start."""
+
+    datagrams_sent: int = 0
+    bytes_sent: int = 0  # without UDP and IP headers
+    refutations: int = 0
+    stalls: int = 0  # times this member found that it had been stopped
+    dropped: Counter[DropReason] = field(default_factory=Counter)
+
+
+@dataclass(frozen=True)
+class MemberContext:
+    """What the collaborators of one member share. All draw from the one `random`, in the order of events."""
+
+    settings: MembershipSettings
+    clock: Clock
+    random: Random
+    local: LocalMember
+    members: MemberList
+    statistics: Statistics
--- a/brookhub/routing/maintenance.py
+++ b/brookhub/routing/maintenance.py
@@ -8,6 +8,7 @@
 from time import monotonic
 
 from ..maintenance import TOPIC, Machine, Maintenance, Plan, Settings, UnreadableError, pack, unpack
+from ..membership import DropReason
 
 TICK = 0.25  # s between looks: far below a lease
 LATELY = 10.0  # s over which served calls and their times are told
@@ -42,7 +43,7 @@
         try:
             message = unpack(data)
         except UnreadableError:
-            return self.peers.drop("unreadable")
+            return self.peers.drop(DropReason.MALFORMED)
         self.core.received(peer, message)
 
     def count(self, call, took: float, served: bool) -> None:
@@ -72,7 +73,7 @@
     def send(self, peer: str, message) -> None:
         """Send a message to a peer."""
         if peer in self.peers.core.members:
-            self.peers.core.say(TOPIC, pack(message), [peer])
+            self.peers.core.send_payload(TOPIC, pack(message), [peer])
 
     def up(self, machine: Machine) -> bool:
         """Whether its limiter is there and discovery lists all its servers as ready, held back or not."""
--- a/brookhub/routing/peers.py
+++ b/brookhub/routing/peers.py
@@ -1,7 +1,7 @@
 """Membership's driver: one UDP socket, a thread that reads it, timers and sends by the port.
 
-What is unreadable, foreign, oversized or from an unlisted address is dropped and counted before the lock is
-taken.
+What is malformed, of another fleet, oversized or from an unlisted address is dropped and counted before the
+lock is taken.
 """
 
 from __future__ import annotations
@@ -13,7 +13,15 @@
 from xxhash import xxh3_64_intdigest
 
 from ..coordination import TOPIC, ByPeers, Parts, Shared, SharedEjections, Turns, UnusableError, unpack
-from ..membership import LARGEST, WORDS, Membership, UnreadableError, decode
+from ..membership import (
+    MAX_DATAGRAM_BYTES,
+    DropReason,
+    MalformedMessageError,
+    Membership,
+    MembershipSettings,
+    MemberState,
+    decode,
+)
 from ..transport.threads import spawn
 
 BUFFER = 256 * 1024  # bytes that the system holds of datagrams not yet read: a burst after a split heals
@@ -47,7 +55,9 @@
         self.by_name: dict[str, tuple[str, int]] = {}
         self.by_address: dict[tuple[str, int], str] = {}
         self.list(spec)
-        self.core = Membership(self, spec.fleet, spec.name, self.by_name, seed, spec.period_s)
+        self.core = Membership(
+            self, MembershipSettings(spec.fleet, spec.name, seed, spec.period_s), self.by_name
+        )
         self.dropped: dict[str, int] = {}
         self.dropped_told: dict[str, int] = {}
         self.saying, self.said_at = False, -SAYS
@@ -57,7 +67,7 @@
         self.on_topic: dict[int, object] = {}  # what other parts take of the peers' words
         self.ejections = SharedEjections(ByPeers(self, self.core), self.turns) if spec.signals else None
         self.parts = (
-            Parts(self.turns.key, spec.name, self.by_name, self.core.counted) if spec.subsets else None
+            Parts(self.turns.key, spec.name, self.by_name, self.core.live_names) if spec.subsets else None
         )
         if self.ejections or self.parts:
             port.gateway.choices_told(Shared(self.ejections, self.parts))
@@ -82,7 +92,7 @@
         Its own name and address hold until the next start.
         """
         self.list(spec)
-        self.core.relist(self.by_name)
+        self.core.update_peers(self.by_name)
         if self.parts:
             self.parts.relist(self.by_name)
 
@@ -90,7 +100,7 @@
         """The thread: whatever arrives, to the end of the program."""
         while True:
             try:
-                data, source = self.sock.recvfrom(LARGEST + 1)
+                data, source = self.sock.recvfrom(MAX_DATAGRAM_BYTES + 1)
             except OSError:
                 return
             peer = self.by_address.get(source)
@@ -99,10 +109,10 @@
                 continue
             try:
                 message = decode(data, self.fleet)
-            except UnreadableError as bad:
+            except MalformedMessageError as bad:
                 self.drop(bad.reason)
                 continue
-            self.port.run(monotonic(), self.core.received, peer, message)
+            self.port.run(monotonic(), self.core.on_message, peer, message)
 
     def drop(self, reason: str) -> None:
         """Count a datagram that is not taken."""
@@ -135,21 +145,21 @@
         with suppress(OSError):  # nobody there, or no room: the network loses datagrams, and this is one
             self.sock.sendto(data, socket.MSG_DONTWAIT, at)
 
-    def told(self, live: int, rank: int, sure: int) -> None:
-        """Membership tells how many are there."""
-        self.numbers = (live, rank, sure)
-        self.port.gateway.fleet_told(live, rank, sure)
+    def on_membership_changed(self, live: int, rank: int, expected: int) -> None:
+        """Pass the fleet's counts on to the decisions and to recovery."""
+        self.numbers = (live, rank, expected)
+        self.port.gateway.fleet_told(live, rank, expected)
         if self.port.recovery:
-            self.port.recovery.fleet(sure)
+            self.port.recovery.fleet(expected)
         self.soon()
 
-    def changed(self, member: str, state: int) -> None:
-        """A member came or went."""
+    def on_member_state_changed(self, member: str, state: MemberState) -> None:
+        """Handle a member that came or went."""
         self.turns.told(self.core.present)
         self.soon()
 
-    def said(self, peer: str, topic: int, data: bytes) -> None:
-        """Another part's word. What can't be read is counted; a topic that is off here is nobody's."""
+    def on_payload_received(self, peer: str, topic: int, data: bytes) -> None:
+        """Pass a payload to its component; drop what is malformed or has a topic that is off here."""
         if topic in self.on_topic:
             return self.on_topic[topic](peer, data)
         if topic != TOPIC or not self.ejections:
@@ -157,7 +167,7 @@
         try:
             self.ejections.received(peer, unpack(data))
         except UnusableError:
-            self.drop("unreadable")
+            self.drop(DropReason.MALFORMED)
 
     def look(self) -> None:
         """Log which servers the fleet leaves alone, where that changed."""
@@ -191,7 +201,7 @@
         """Log the state of the fleet."""
         self.saying, self.said_at = False, self.now
         absent = [
-            f"{name} {WORDS[one.state]}"
+            f"{name} {one.state.name.lower()}"
             for name, one in sorted(self.core.members.items())
             if name not in self.core.present
         ]
@@ -215,9 +225,9 @@
         counts = {
             **self.dropped,
             **{
-                name: self.core.counts[name]
-                for name in ("foreign", "unlisted-member")
-                if self.core.counts[name]
+                reason: count
+                for reason in (DropReason.WRONG_SOURCE, DropReason.UNLISTED_MEMBER)
+                if (count := self.core.statistics.dropped[reason])
             },
         }
         if counts != self.dropped_told:
--- a/tests/test_choices_processes.py
+++ b/tests/test_choices_processes.py
@@ -14,7 +14,7 @@
 from brookhub.coordination.ejections import EJECTED_MOST, PROBE_AT, REPORT_TTL
 from brookhub.coordination.epoch_leases import GRACE
 from brookhub.experiments.processes import ProcessLab
-from brookhub.membership.core import SHRINK
+from brookhub.membership import SHRINK_DELAY
 from brookhub.protocol import hosts
 from helpers import experiment, until
 from test_fleet_processes import all_hold, fleet
@@ -277,12 +277,12 @@
         lab.kill(lab.limiters[5])
         rest = [name for name in names if name != "n5"]
         assert until(lambda: present_of(lab, rest) == {13}, 6)
-        sleep(SHRINK + 1.5)  # one that was away for a moment keeps its part
+        sleep(SHRINK_DELAY + 1.5)  # one that was away for a moment keeps its part
         keeps(lab, rest, 3.0)
         side = rest[:1]
         lab.split([lab.limiters[int(name[1:])] for name in side], True)
         assert until(lambda: present_of(lab, rest[1:]) == {12}, 8)
-        sleep(SHRINK + 1.5)
+        sleep(SHRINK_DELAY + 1.5)
         keeps(lab, rest[1:], 2.0)
         lab.split([], False)
         assert until(lambda: present_of(lab, rest) == {13}, 8)
--- a/tests/test_fleet_processes.py
+++ b/tests/test_fleet_processes.py
@@ -155,7 +155,7 @@
         stranger.close()
         assert until(lambda: any(line["event"] == "peer datagrams dropped" for line in target.lines()), 12)
         told = [line for line in target.lines() if line["event"] == "peer datagrams dropped"][-1]
-        assert told["unlisted"] > 1000 and told["unreadable"] > 1000
+        assert told["unlisted"] > 1000 and told["malformed"] > 1000
         assert memory() - before < 8 * 1024 * 1024 / os.sysconf("SC_PAGE_SIZE")
         assert until(all_hold(lab, 4), 5) and {fleet(one)["sure"] for one in lab.limiters} == {4}
 
