--- a/brookhub/emulator/peers.py
+++ b/brookhub/emulator/peers.py
@@ -110,9 +110,9 @@
 
         self.when_awake(take, AFTER_TIMERS)
 
-    def on_membership_changed(self, live: int, rank: int, expected: int) -> None:
+    def on_membership_changed(self, live: int, rank: int, possible: int) -> None:
         """Handle changed counts of the fleet."""
-        self.on_told(live, rank, expected)
+        self.on_told(live, rank, possible)
 
     def on_member_state_changed(self, member: str, state: MemberState) -> None:
         """Handle another state of a member."""
--- a/brookhub/membership/fleet_counts.py
+++ b/brookhub/membership/fleet_counts.py
@@ -16,7 +16,7 @@
 
     live: int  # members present now or until SHRINK_DELAY ago, the local one included
     rank: int  # the local member's place among those by name, from 0
-    expected: int  # listed members not known to have left, the local one included
+    possible: int  # listed members not known to have left, the local one included
 
 
 class FleetCounter:
@@ -29,7 +29,7 @@
         self._listener = listener
         self._live_peers = 0
         self._live_peers_before_local = 0  # by name
-        self._expected_peers = 0
+        self._possible_peers = 0
         self.reported: FleetCounts | None = None  # None before start
 
     def recount(self) -> None:
@@ -38,7 +38,7 @@
         live = [peer.name for peer in peers if peer.counted_live]
         self._live_peers = len(live)
         self._live_peers_before_local = sum(name < self._local.name for name in live)
-        self._expected_peers = sum(peer.counted_expected for peer in peers)
+        self._possible_peers = sum(peer.counted_possible for peer in peers)
 
     def live_names(self) -> list[str]:
         """Names of the peers that `live` counts, in alphabetical order."""
@@ -46,18 +46,18 @@
 
     def report(self) -> None:
         """Report the counts to the listener if they changed."""
-        counts = FleetCounts(1 + self._live_peers, self._live_peers_before_local, 1 + self._expected_peers)
+        counts = FleetCounts(1 + self._live_peers, self._live_peers_before_local, 1 + self._possible_peers)
         if counts == self.reported or self._local.stopped:
             return
         self.reported = counts
-        self._listener.on_membership_changed(counts.live, counts.rank, counts.expected)
+        self._listener.on_membership_changed(counts.live, counts.rank, counts.possible)
 
     def on_state_changed(self, member: Member) -> None:
         """Count a member that came; schedule that one that went is counted no more."""
         member.state_changes += 1
         state_changes = member.state_changes
         if member.state in PRESENT_STATES:
-            self._set_counted(member, live=True, expected=True)
+            self._set_counted(member, live=True, possible=True)
         else:
             self._clock.later(SHRINK_DELAY, lambda: self._on_shrink_delay_over(member, state_changes))
 
@@ -69,17 +69,17 @@
         """Count a member no more, unless its state changed again during the delay."""
         if state_changes != member.state_changes or self._local.stopped:
             return
-        self._set_counted(member, live=False, expected=member.state != LEFT)
+        self._set_counted(member, live=False, possible=member.state != LEFT)
         self.report()
 
     def _remove_unknown(self) -> None:
-        """Count unknown members no more in `live`; they are still expected, as they did not leave."""
+        """Count unknown members no more in `live`; they stay in `possible`, as they did not leave."""
         for member in self._members.by_name.values():
             if member.state == UNKNOWN:
-                self._set_counted(member, live=False, expected=True)
+                self._set_counted(member, live=False, possible=True)
         self.report()
 
-    def _set_counted(self, member: Member, live: bool, expected: bool) -> None:
+    def _set_counted(self, member: Member, live: bool, possible: bool) -> None:
         """Change how a member counts, unless it was removed from the list meanwhile."""
         if self._members.by_name.get(member.name) is not member:
             return
@@ -87,6 +87,6 @@
         self._live_peers += live_change
         if member.name < self._local.name:
             self._live_peers_before_local += live_change
-        self._expected_peers += expected - member.counted_expected
+        self._possible_peers += possible - member.counted_possible
         member.counted_live = live
-        member.counted_expected = expected
+        member.counted_possible = possible
--- a/brookhub/membership/port.py
+++ b/brookhub/membership/port.py
@@ -28,7 +28,7 @@
 class MembershipListener(Protocol):
     """Receives what membership finds out."""
 
-    def on_membership_changed(self, live: int, rank: int, expected: int) -> None:
+    def on_membership_changed(self, live: int, rank: int, possible: int) -> None:
         """Handle changed counts of the fleet (`fleet_counts.FleetCounts`)."""
 
     def on_member_state_changed(self, member: str, state: MemberState) -> None:
--- a/brookhub/membership/state.py
+++ b/brookhub/membership/state.py
@@ -52,7 +52,7 @@
     Attributes:
         state_changes: number of state changes, to recognise an outdated timer.
         counted_live: whether it counts in `FleetCounts.live`; cleared only some time after it went.
-        counted_expected: whether it counts in `FleetCounts.expected`; cleared by a planned end only.
+        counted_possible: whether it counts in `FleetCounts.possible`; cleared by a planned end only.
     """
 
     name: str
@@ -60,7 +60,7 @@
     incarnation: int = UNKNOWN_INCARNATION
     state_changes: int = 0
     counted_live: bool = True
-    counted_expected: bool = True
+    counted_possible: bool = True
 
     def is_superseded_by(self, state: MemberState, incarnation: int) -> bool:
         """Whether an update with this state and incarnation is newer than what is known."""
--- a/brookhub/membership/suspicion.py
+++ b/brookhub/membership/suspicion.py
@@ -49,11 +49,11 @@
         minimum = minimum_timeout(present, probe_interval)
         if not lifeguard:
             return minimum
-        possible = min(CONFIRMATIONS, present - 1)  # the suspect itself does not confirm
-        if possible < 1:
+        possible_confirmations = min(CONFIRMATIONS, present - 1)  # the suspect itself does not confirm
+        if possible_confirmations < 1:
             return UNCONFIRMABLE_TIMEOUT_FACTOR * minimum
         maximum = MAX_TIMEOUT_FACTOR * minimum
-        confirmed = log(len(self._accusers)) / log(possible + 1)
+        confirmed = log(len(self._accusers)) / log(possible_confirmations + 1)
         return max(minimum, maximum - (maximum - minimum) * confirmed)
 
 
--- a/brookhub/routing/peers.py
+++ b/brookhub/routing/peers.py
@@ -70,7 +70,7 @@
             Parts(self.turns.key, spec.name, self.by_name, self.core.live_names) if spec.subsets else None
         )
         if self.ejections or self.parts:
-            port.gateway.choices_told(Shared(self.ejections, self.parts))
+            port.gateway.use_coordination(Shared(self.ejections, self.parts))
         if self.ejections:
             self.shunned: list[int] = []
             self.look()
@@ -145,12 +145,12 @@
         with suppress(OSError):  # nobody there, or no room: the network loses datagrams, and this is one
             self.sock.sendto(data, socket.MSG_DONTWAIT, at)
 
-    def on_membership_changed(self, live: int, rank: int, expected: int) -> None:
+    def on_membership_changed(self, live: int, rank: int, possible: int) -> None:
         """Pass the fleet's counts on to the decisions and to recovery."""
-        self.numbers = (live, rank, expected)
-        self.port.gateway.fleet_told(live, rank, expected)
+        self.numbers = (live, rank, possible)
+        self.port.gateway.on_membership_changed(live, rank, possible)
         if self.port.recovery:
-            self.port.recovery.fleet(expected)
+            self.port.recovery.fleet(possible)
         self.soon()
 
     def on_member_state_changed(self, member: str, state: MemberState) -> None:
--- a/tests/test_emulator.py
+++ b/tests/test_emulator.py
@@ -90,12 +90,14 @@
     fleet.engine.at(
         10.5,
         lambda: told.append(
-            {(seat.gateway.upstreams.gateways, seat.gateway.sure_gateways) for seat in fleet.seats}
+            {(seat.gateway.fleet_size.live, seat.gateway.fleet_size.possible) for seat in fleet.seats}
         ),
     )
     fleet.run()
     assert told == [{(3, 6)}]  # each half of six sees three; both halves are still there
-    assert {(seat.gateway.upstreams.gateways, seat.gateway.sure_gateways) for seat in fleet.seats} == {(6, 6)}
+    assert {(seat.gateway.fleet_size.live, seat.gateway.fleet_size.possible) for seat in fleet.seats} == {
+        (6, 6)
+    }
 
 
 def test_a_seed_replayed_gives_the_same_trail_and_another_seed_does_not():
@@ -169,7 +171,7 @@
     """The decisions, copied with one line changed: every outcome counts as proof that nothing ran."""
     copied = shutil.copytree(Path(policy.__file__).parent, folder / "policy_broken")
     constants = copied / "constants.py"
-    line = "NEVER_RAN = (Outcome.FULL, Outcome.UNCONNECTED, Outcome.UNSENT)"
+    line = "NEVER_RAN = (Outcome.BUSY, Outcome.CONNECT_FAILED, Outcome.NOT_SENT)"
     assert line in constants.read_text()
     constants.write_text(constants.read_text().replace(line, "NEVER_RAN = tuple(Outcome)"))
     spec = importlib.util.spec_from_file_location(
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -170,7 +170,7 @@
         present == (side if name in side else set(crew.names) - side) - {name}
         for name, present in views(crew).items()
     )
-    assert {seat.core.counts.expected for seat in crew.seats.values()} == {count}  # neither side left
+    assert {seat.core.counts.possible for seat in crew.seats.values()} == {count}  # neither side left
     assert {seat.core.counts.live for seat in crew.seats.values()} == {len(side)}
     crew.net.apart = None
     crew.run(5)
@@ -184,7 +184,7 @@
     for flap in range(20):  # cut for longer than a death takes, healed for less than SHRINK_DELAY
         crew.net.apart = (lambda a, b: "n4" in (a, b)) if flap % 2 == 0 else None
         crew.run(SHRINK_DELAY - 1.5)
-    assert all(live == 6 and expected == 6 for live, _, expected in reported)
+    assert all(live == 6 and possible == 6 for live, _, possible in reported)
 
 
 def test_growth_is_counted_at_once_and_shrinking_after_the_delay() -> None:
@@ -196,20 +196,20 @@
     crew.seats["n3"].kill()
     began = crew.engine.now
     crew.run(SHRINK_DELAY + 1)
-    reported_at, live, rank, expected = reported[-1]
-    assert (live, rank, expected) == (4, 0, 4) and abs(reported_at - began - SHRINK_DELAY) < 0.5
+    reported_at, live, rank, possible = reported[-1]
+    assert (live, rank, possible) == (4, 0, 4) and abs(reported_at - began - SHRINK_DELAY) < 0.5
     crew.launch("n3")
     began = crew.engine.now
     crew.run(2)
     assert reported[-1][1:] == (5, 0, 5) and reported[-1][0] - began < 1.0
-    crew.seats["n3"].kill()  # dead, not left: no longer live, but still expected
+    crew.seats["n3"].kill()  # dead, not left: it no longer counts as live, but still as possible
     crew.run(SHRINK_DELAY + 6)
     assert reported[-1][1:] == (4, 0, 5)
 
 
 @pytest.mark.parametrize("seed", range(8))
 def test_counts_are_right_at_every_step_of_a_random_run_and_shares_never_sum_above_one(seed: int) -> None:
-    """Joint quotas are divided by `expected`.
+    """Joint quotas are divided by `possible`.
 
     The shares of all running members then add up to one at most, whatever their views, unless a member that
     left comes back (docs/membership.md states the bound for that).
@@ -236,17 +236,17 @@
         for name, seat in crew.seats.items():
             core = seat.core
             if seat.alive:
-                live, rank, expected = core.counts
+                live, rank, possible = core.counts
                 counted = [member.name for member in core.members.values() if member.counted_live]
                 assert core.present <= set(counted)
                 assert (live, rank) == (1 + len(counted), sum(other < name for other in counted))
-                assert expected == 1 + sum(member.counted_expected for member in core.members.values())
-                assert live <= expected <= 12
+                assert possible == 1 + sum(member.counted_possible for member in core.members.values())
+                assert live <= possible <= 12
                 assert all(
                     (member.state in PRESENT_STATES) == (member.name in core.present)
                     for member in core.members.values()
                 )
-                total += 1.0 / expected
+                total += 1.0 / possible
         assert total <= 1.0 + 1e-9
     crew.net.apart, crew.net.loss = None, 0.0
     crew.run(12)
@@ -254,7 +254,7 @@
 
 
 def test_left_member_that_returns_in_a_partition_exceeds_the_sum_by_no_more_than_the_bound() -> None:
-    """The only case in which `expected` can be too small.
+    """The only case in which `possible` can be too small.
 
     A member left, all know, and it runs again on the far side of a partition.
     """
@@ -268,10 +268,10 @@
     crew.net.apart = lambda a, b: (a in side) != (b in side)
     crew.launch("n7")
     crew.run(5)
-    expected_counts = {name: seat.core.counts.expected for name, seat in crew.seats.items() if seat.alive}
-    assert {expected_counts[name] for name in side} == {7}
-    assert {expected_counts[name] for name in set(expected_counts) - side} == {8}
-    assert 1.0 < sum(1 / expected for expected in expected_counts.values()) <= 1 + 1 / (8 - 1)
+    possible_counts = {name: seat.core.counts.possible for name, seat in crew.seats.items() if seat.alive}
+    assert {possible_counts[name] for name in side} == {7}
+    assert {possible_counts[name] for name in set(possible_counts) - side} == {8}
+    assert 1.0 < sum(1 / possible for possible in possible_counts.values()) <= 1 + 1 / (8 - 1)
 
 
 def test_datagrams_fit_and_traffic_per_member_stays_flat_as_the_fleet_grows() -> None:
@@ -332,4 +332,4 @@
     assert set(core.members) == {"n1", "n2", "n9"}
     assert core.present == {"n1", "n2"}
     crew.run(SHRINK_DELAY + 1)
-    assert core.counts == (3, 0, 4)  # nothing was received of n9: not live, but expected
+    assert core.counts == (3, 0, 4)  # nothing was received of n9: it counts as possible, not as live
