--- a/brookhub/membership/awareness.py
+++ b/brookhub/membership/awareness.py
@@ -20,7 +20,7 @@
         self.score = 0
 
     def degrade(self, by: int = 1) -> None:
-        """Raise the score, up to MAX_SCORE."""
+        """Raise the score by `by`, up to MAX_SCORE. Does nothing in plain SWIM."""
         if self._enabled:
             self.score = min(MAX_SCORE, self.score + by)
 
--- a/brookhub/membership/gossip.py
+++ b/brookhub/membership/gossip.py
@@ -50,6 +50,7 @@
             self._sender.send_gossip(peer)
 
     def _run_round(self) -> None:
+        """Send queued updates to GOSSIP_NODES members, and schedule the next round if one is needed."""
         self._round_scheduled = False
         if self._local.stopped:
             return
@@ -58,7 +59,7 @@
             for peer in self._members.sample(GOSSIP_NODES, self._members.present):
                 self._sender.send_gossip(peer)
             if not self._members.present:
-                self._broadcasts.clear()  # nobody to tell: a member that comes gets the full state
+                self._broadcasts.clear()  # no receivers: a member that comes gets the full state
         # A death that `before_round` declared may have scheduled a round already; both run
         if self._broadcasts or self._members.suspicions:
             self._round_scheduled = True
--- a/brookhub/membership/heartbeats.py
+++ b/brookhub/membership/heartbeats.py
@@ -14,7 +14,10 @@
 
 
 class Heartbeats:
-    """Sends a datagram to each peer every probe interval; one not received from for long counts as dead."""
+    """Sends a datagram to each peer every probe interval.
+
+    A peer that is silent for MISSED_HEARTBEATS intervals counts as dead.
+    """
 
     def __init__(self, port: MembershipPort, settings: MembershipSettings, peers: Iterable[str]) -> None:
         self.settings = settings
@@ -67,6 +70,7 @@
         self._port.later(self.settings.probe_interval, self._run_round)
 
     def _set_state(self, name: str, state: MemberState) -> None:
+        """Set a member's state and notify the port."""
         self.members[name].state = state
         if state == ALIVE:
             self.present.add(name)
--- a/brookhub/membership/indirect_probes.py
+++ b/brookhub/membership/indirect_probes.py
@@ -73,4 +73,5 @@
         self._clock.later(self._settings.probe_interval, lambda: self._forget(number))
 
     def _forget(self, number: int) -> None:
+        """Forward an ack no more."""
         self._overdue.pop(number, None)
--- a/brookhub/membership/membership.py
+++ b/brookhub/membership/membership.py
@@ -193,5 +193,6 @@
         self._suspicion_timeouts.restart()
 
     def _before_gossip_round(self) -> None:
+        """Check for a stall first: suspicions must not time out because of it."""
         self._stall_detector.check()
         self._suspicion_timeouts.check()
--- a/brookhub/membership/probing.py
+++ b/brookhub/membership/probing.py
@@ -50,6 +50,7 @@
         self._targets = [member for member in self._targets if member.name in self._members.by_name]
 
     def _start_round(self) -> None:
+        """Shuffle the present members for a new round."""
         members = self._members
         self._targets = [members.by_name[name] for name in members.names if name in members.present]
         self._random.shuffle(self._targets)
@@ -129,7 +130,7 @@
             self._health.improve()
 
     def on_nack(self, message: Message) -> None:
-        """Handle a helper's notice that it got no ack either; it shows that this member is heard."""
+        """Handle a helper's notice that it got no ack either; it shows that this member is reachable."""
         if self._probe and message.sequence_number == self._probe.number:
             self._probe.nacks += 1
 
@@ -149,6 +150,7 @@
         self._clock.later(interval, self._probe_next)
 
     def _start_probe(self, target: Member) -> None:
+        """Ping the target, and wait for its ack."""
         probe = Probe(target, self._sequence_numbers.next())
         self._probe = probe
         self._sender.send_ping(target.name, probe.number)
@@ -172,6 +174,7 @@
 
         Helpers that did not even send a nack suggest that the local member itself is at fault.
         """
+        # Negative if the network duplicated nacks: the score then falls, even below 0 (known fault)
         silent_helpers = probe.helpers - probe.nacks
         self._health.degrade(silent_helpers if probe.helpers else 1)
         self._on_failure(probe.target)
--- a/brookhub/membership/push_pull.py
+++ b/brookhub/membership/push_pull.py
@@ -67,6 +67,7 @@
             self._sender.send_state(peer, newer, reply_wanted=False)
 
     def _exchange(self) -> None:
+        """Send a slice to a random present member, and schedule the next exchange."""
         if self._local.stopped:
             return
         for peer in self._members.sample(1, self._members.present):
--- a/brookhub/membership/settings.py
+++ b/brookhub/membership/settings.py
@@ -48,7 +48,7 @@
 
 @dataclass(frozen=True)
 class MemberContext:
-    """What the collaborators of one member share. All draw from the one `random`, in the order of events."""
+    """What the collaborators of one member share; `random` is drawn from in the order of events."""
 
     settings: MembershipSettings
     clock: Clock
