--- a/brookhub/routing/peers.py
+++ b/brookhub/routing/peers.py
@@ -150,7 +150,7 @@
         self.numbers = (live, rank, possible)
         self.port.gateway.on_membership_changed(live, rank, possible)
         if self.port.recovery:
-            self.port.recovery.fleet(possible)
+            self.port.recovery.set_fleet_size(possible)
         self.soon()
 
     def on_member_state_changed(self, member: str, state: MemberState) -> None:
