--- a/brookhub/coordination/subset_assignment.py
+++ b/brookhub/coordination/subset_assignment.py
@@ -38,8 +38,8 @@
     """The subset of one limiter, kept up to date with the members and the servers.
 
     `key`: the fleet's, the same at all limiters; `me` and `peers`: the names that the operator lists;
-    `present_peers()`: the peers that count as present (membership.Membership.counted), called each time the
-    decisions choose servers. Names that are not listed get no subset.
+    `present_peers()`: the peers that count as present (`Membership.live_names`), called each time
+    the decisions choose servers. Names that are not listed get no subset.
     """
 
     def __init__(
--- a/brookhub/emulator/fleet.py
+++ b/brookhub/emulator/fleet.py
@@ -24,7 +24,7 @@
     UnsharedClock,
     decode_reports,
 )
-from ..membership import ALIVE, Membership
+from ..membership import Membership, MembershipSettings
 from ..model import Request, ServerState
 from ..recovery import Ledger
 from ..site import DeduplicationScope, GatewaySettings, Idempotency, Plan, Route
@@ -207,19 +207,16 @@
             peer.on_said = lambda source, topic, data: (
                 topic == REPORT_TOPIC and detector.on_reports(source, decode_reports(data))
             )
-        peer.core = Membership(
-            peer, FLEET, peer.name, [f"n{index}" for index in range(count)], self.seed, spec.period_s
-        )
+        settings = MembershipSettings(FLEET, peer.name, self.seed, spec.period_s)
+        peer.core = Membership(peer, settings, [f"n{index}" for index in range(count)])
         if self.engine.now == 0.0:
-            for member in peer.core.members.values():
-                member.state, member.incarnation = ALIVE, 0
-            peer.core.present = set(peer.core.names)
+            peer.core.assume_all_alive()
         if spec.signals:
             leases.set_present(peer.core.present)
             detector = OutlierDetector(peer, GossipReportTransport(peer.core), leases)
             seat.detector = detector
         if spec.subsets:
-            assignment = SubsetAssignment(self.seed, peer.name, peer.core.names, peer.core.counted)
+            assignment = SubsetAssignment(self.seed, peer.name, peer.core.names, peer.core.live_names)
         if detector or assignment:
             seat.gateway.use_coordination(FleetCoordinator(detector, assignment))
         peer.core.start()
--- a/brookhub/routing/peers.py
+++ b/brookhub/routing/peers.py
@@ -1,7 +1,7 @@
 """Membership's driver: one UDP socket, a thread that reads it, timers and sends by the port.
 
-What is unreadable, foreign, oversized or from an unlisted address is dropped and counted before the lock is
-taken.
+What is malformed, of another fleet, oversized or from an unlisted address is dropped and counted before the
+lock is taken.
 """
 
 from __future__ import annotations
@@ -22,7 +22,15 @@
     SubsetAssignment,
     decode_reports,
 )
-from ..membership import LARGEST, WORDS, Membership, UnreadableError, decode
+from ..membership import (
+    MAX_DATAGRAM_BYTES,
+    DropReason,
+    MalformedMessageError,
+    Membership,
+    MembershipSettings,
+    MemberState,
+    decode,
+)
 from ..transport.threads import spawn
 
 BUFFER = 256 * 1024  # bytes that the system holds of datagrams not yet read: a burst after a split heals
@@ -56,7 +64,9 @@
         self.by_name: dict[str, tuple[str, int]] = {}
         self.by_address: dict[tuple[str, int], str] = {}
         self.list(spec)
-        self.core = Membership(self, spec.fleet, spec.name, self.by_name, seed, spec.period_s)
+        self.core = Membership(
+            self, MembershipSettings(spec.fleet, spec.name, seed, spec.period_s), self.by_name
+        )
         self.dropped: dict[str, int] = {}
         self.dropped_told: dict[str, int] = {}
         self.saying, self.said_at = False, -SAYS
@@ -71,7 +81,7 @@
             self.detector = OutlierDetector(self, GossipReportTransport(self.core), self.leases)
         self.assignment: SubsetAssignment | None = None
         if spec.subsets:
-            self.assignment = SubsetAssignment(self.leases.key, spec.name, self.by_name, self.core.counted)
+            self.assignment = SubsetAssignment(self.leases.key, spec.name, self.by_name, self.core.live_names)
         if self.detector or self.assignment:
             port.gateway.use_coordination(FleetCoordinator(self.detector, self.assignment))
         if self.detector:
@@ -95,7 +105,7 @@
         Its own name and address hold until the next start.
         """
         self.list(spec)
-        self.core.relist(self.by_name)
+        self.core.update_peers(self.by_name)
         if self.assignment:
             self.assignment.set_peers(self.by_name)
 
@@ -103,7 +113,7 @@
         """The thread: whatever arrives, to the end of the program."""
         while True:
             try:
-                data, source = self.sock.recvfrom(LARGEST + 1)
+                data, source = self.sock.recvfrom(MAX_DATAGRAM_BYTES + 1)
             except OSError:
                 return
             peer = self.by_address.get(source)
@@ -112,10 +122,10 @@
                 continue
             try:
                 message = decode(data, self.fleet)
-            except UnreadableError as bad:
+            except MalformedMessageError as bad:
                 self.drop(bad.reason)
                 continue
-            self.port.run(monotonic(), self.core.received, peer, message)
+            self.port.run(monotonic(), self.core.on_message, peer, message)
 
     def drop(self, reason: str) -> None:
         """Count a datagram that is not taken."""
@@ -148,21 +158,21 @@
         with suppress(OSError):  # nobody there, or no room: the network loses datagrams, and this is one
             self.sock.sendto(data, socket.MSG_DONTWAIT, at)
 
-    def told(self, live: int, rank: int, sure: int) -> None:
-        """Membership tells how many are there."""
-        self.numbers = (live, rank, sure)
-        self.port.gateway.on_membership_changed(live, rank, sure)
+    def on_membership_changed(self, live: int, rank: int, possible: int) -> None:
+        """Pass the fleet's counts on to the decisions and to recovery."""
+        self.numbers = (live, rank, possible)
+        self.port.gateway.on_membership_changed(live, rank, possible)
         if self.port.recovery:
-            self.port.recovery.set_fleet_size(sure)
+            self.port.recovery.set_fleet_size(possible)
         self.soon()
 
-    def changed(self, member: str, state: int) -> None:
-        """A member came or went."""
+    def on_member_state_changed(self, member: str, state: MemberState) -> None:
+        """Handle a member that came or went."""
         self.leases.set_present(self.core.present)
         self.soon()
 
-    def said(self, peer: str, topic: int, data: bytes) -> None:
-        """Another part's word. What can't be read is counted; a topic that is off here is nobody's."""
+    def on_payload_received(self, peer: str, topic: int, data: bytes) -> None:
+        """Pass a payload to its component; drop what is malformed or has a topic that is off here."""
         if topic in self.on_topic:
             return self.on_topic[topic](peer, data)
         if topic != REPORT_TOPIC or not self.detector:
@@ -170,7 +180,7 @@
         try:
             self.detector.on_reports(peer, decode_reports(data))
         except InvalidReportsError:
-            self.drop("unreadable")
+            self.drop(DropReason.MALFORMED)
 
     def log_ejections(self) -> None:
         """Log which servers the fleet has ejected, where that changed."""
@@ -204,7 +214,7 @@
         """Log the state of the fleet."""
         self.saying, self.said_at = False, self.now
         absent = [
-            f"{name} {WORDS[one.state]}"
+            f"{name} {one.state.name.lower()}"
             for name, one in sorted(self.core.members.items())
             if name not in self.core.present
         ]
@@ -228,9 +238,9 @@
         counts = {
             **self.dropped,
             **{
-                name: self.core.counts[name]
-                for name in ("foreign", "unlisted-member")
-                if self.core.counts[name]
+                reason: count
+                for reason in (DropReason.WRONG_SOURCE, DropReason.UNLISTED_MEMBER)
+                if (count := self.core.statistics.dropped[reason])
             },
         }
         if counts != self.dropped_told:
--- a/tests/test_coordination_processes.py
+++ b/tests/test_coordination_processes.py
@@ -16,7 +16,7 @@
 from brookhub.coordination.outlier_detector import probe_resource
 from brookhub.coordination.reports import REPORT_TTL_SECONDS
 from brookhub.experiments.processes import ProcessLab
-from brookhub.membership.core import SHRINK
+from brookhub.membership import SHRINK_DELAY
 from brookhub.protocol import hosts
 from helpers import experiment, until
 from test_fleet_processes import all_hold, fleet
@@ -308,11 +308,11 @@
         lab.kill(lab.limiters[5])
         survivors = [name for name in trial.names if name != "n5"]
         assert until(lambda: trial.present_counts(survivors) == {13}, 6)
-        sleep(SHRINK + 1.5)  # a limiter that is absent for a moment keeps its subset
+        sleep(SHRINK_DELAY + 1.5)  # a limiter that is absent for a moment keeps its subset
         trial.assert_kept(survivors, 3.0)
         lab.split([limiter_of(lab, survivors[0])], True)
         assert until(lambda: trial.present_counts(survivors[1:]) == {12}, 8)
-        sleep(SHRINK + 1.5)
+        sleep(SHRINK_DELAY + 1.5)
         trial.assert_kept(survivors[1:], 2.0)
         lab.split([], False)
         assert until(lambda: trial.present_counts(survivors) == {13}, 8)
