--- a/brookhub/coordination/report_transport.py
+++ b/brookhub/coordination/report_transport.py
@@ -24,7 +24,7 @@
 class GossipPort(Protocol):
     """Sends payloads of other components with membership's datagrams (membership.Membership)."""
 
-    def say(self, topic: int, data: bytes) -> None:
+    def send_payload(self, topic: int, data: bytes) -> None:
         """Send to all present members; each datagram may be lost."""
 
 
@@ -37,7 +37,7 @@
     def send(self, reports: list[Report]) -> None:
         """Send to all present members; each datagram may be lost."""
         for payload in encode_reports(reports):
-            self._membership.say(REPORT_TOPIC, payload)
+            self._membership.send_payload(REPORT_TOPIC, payload)
 
 
 class ReportCounterPort(LocalClock, Protocol):
--- a/brookhub/routing/fleet_log.py
+++ b/brookhub/routing/fleet_log.py
@@ -6,7 +6,7 @@
 from __future__ import annotations
 
 from ..coordination import OutlierDetector
-from ..membership import WORDS, Membership
+from ..membership import DropReason, Membership
 from .event_loop import EventLoop
 from .log import EventLogger
 
@@ -26,9 +26,9 @@
         self._logged_at = -self.INTERVAL
         self._counts = (0, 0, 0)
 
-    def on_membership_changed(self, live: int, rank: int, sure: int) -> None:
+    def on_membership_changed(self, live: int, rank: int, possible: int) -> None:
         """The counts of the fleet changed: members, this one's rank, members not known to have left."""
-        self._counts = (live, rank, sure)
+        self._counts = (live, rank, possible)
         self.on_change()
 
     def on_change(self) -> None:
@@ -42,15 +42,15 @@
         self._logged_at = self._loop.now
         present = self._membership.present
         absent = [
-            f"{name} {WORDS[member.state]}"
+            f"{name} {member.state.name.lower()}"
             for name, member in sorted(self._membership.members.items())
             if name not in present
         ]
-        live, rank, sure = self._counts
+        live, rank, possible = self._counts
         fields = {
             "live": live,
             "rank": rank,
-            "sure": sure,
+            "sure": possible,
             "present": 1 + len(present),
             "absent": absent[:MAX_NAMES],
             "more": max(0, len(absent) - MAX_NAMES),
@@ -112,9 +112,10 @@
     def _check(self) -> None:
         """Log the counts where they changed. Repeats itself by a timer."""
         counts = dict(self._counts)
-        for name in ("foreign", "unlisted-member"):
-            if self._membership.counts[name]:
-                counts[name] = self._membership.counts[name]
+        for reason in (DropReason.WRONG_SOURCE, DropReason.UNLISTED_MEMBER):
+            count = self._membership.statistics.dropped[reason]
+            if count:
+                counts[reason] = count
         if counts != self._logged:
             self._logged = counts
             self._loop.defer(lambda: self._logger.warning("peer datagrams dropped", **counts))
--- a/brookhub/routing/maintenance.py
+++ b/brookhub/routing/maintenance.py
@@ -22,6 +22,7 @@
     pack,
     unpack,
 )
+from ..membership import DropReason
 from ..model import Request
 from .discovery import DiscoveryClient
 from .log import EventLogger
@@ -112,7 +113,7 @@
         try:
             message = unpack(data)
         except UnreadableError:
-            return self.peers.drop("unreadable")
+            return self.peers.drop(DropReason.MALFORMED)
         self.core.received(peer, message)
 
     def on_request_finished(self, request: Request, duration: float, served: bool) -> None:
@@ -136,7 +137,7 @@
     def send(self, peer: str, message: Message) -> None:
         """Send a message to a peer."""
         if peer in self.peers.core.members:
-            self.peers.core.say(TOPIC, pack(message), [peer])
+            self.peers.core.send_payload(TOPIC, pack(message), [peer])
 
     def machine_is_up(self, machine: Machine) -> bool:
         """Whether its limiter is there and discovery lists all its servers as ready, held back or not."""
--- a/brookhub/routing/peers.py
+++ b/brookhub/routing/peers.py
@@ -1,7 +1,7 @@
 """Membership on sockets: one UDP socket, a thread that reads it, and timers and sends by the port.
 
-Datagrams that are unreadable, foreign, oversized or from an unlisted address are dropped and counted before
-the event loop's lock is taken.
+Datagrams that are malformed, of another fleet, oversized or from an unlisted address are dropped and counted
+before the event loop's lock is taken.
 """
 
 from __future__ import annotations
@@ -23,7 +23,15 @@
     SubsetAssignment,
     decode_reports,
 )
-from ..membership import LARGEST, Membership, UnreadableError, decode
+from ..membership import (
+    MAX_DATAGRAM_BYTES,
+    DropReason,
+    MalformedMessageError,
+    Membership,
+    MembershipSettings,
+    MemberState,
+    decode,
+)
 from ..transport.threads import start_thread
 from .fleet_log import DroppedDatagramLog, EjectionLog, FleetLog
 from .log import EventLogger
@@ -52,7 +60,9 @@
         self.addresses: dict[str, Address] = {}  # of the peers, by name
         self.names: dict[Address, str] = {}
         self._set_peers(settings.peers)
-        self.core = Membership(self, settings.fleet, settings.name, self.addresses, seed, settings.period)
+        self.core = Membership(
+            self, MembershipSettings(settings.fleet, settings.name, seed, settings.period), self.addresses
+        )
         self.fleet_log = FleetLog(port, logger, self.core)
         self.dropped = DroppedDatagramLog(port, logger, self.core)
         self.clock_offset = time() - monotonic()  # s, wall time over `now`; measured with each check
@@ -65,7 +75,7 @@
         self.assignment: SubsetAssignment | None = None
         if settings.uses_subsets:
             self.assignment = SubsetAssignment(
-                self.leases.key, settings.name, self.addresses, self.core.counted
+                self.leases.key, settings.name, self.addresses, self.core.live_names
             )
         if self.detector or self.assignment:
             port.gateway.use_coordination(FleetCoordinator(self.detector, self.assignment))
@@ -85,7 +95,7 @@
         This limiter's own name and address hold until the next start.
         """
         self._set_peers(settings.peers)
-        self.core.relist(self.addresses)
+        self.core.update_peers(self.addresses)
         if self.assignment:
             self.assignment.set_peers(self.addresses)
 
@@ -93,7 +103,7 @@
         """Read datagrams until the program ends. Runs in a thread of its own."""
         while True:
             try:
-                data, source = self.sock.recvfrom(LARGEST + 1)
+                data, source = self.sock.recvfrom(MAX_DATAGRAM_BYTES + 1)
             except OSError:
                 return
             peer = self.names.get(source)
@@ -102,10 +112,10 @@
                 continue
             try:
                 message = decode(data, self.fleet)
-            except UnreadableError as error:
+            except MalformedMessageError as error:
                 self.drop(error.reason)
                 continue
-            self.port.run(monotonic(), self.core.received, peer, message)
+            self.port.run(monotonic(), self.core.on_message, peer, message)
 
     def drop(self, reason: str) -> None:
         """Count a datagram that was dropped. Called by any thread."""
@@ -137,20 +147,20 @@
         if address:
             self.port.defer(self._send_datagram, data, address)
 
-    def told(self, live: int, rank: int, sure: int) -> None:
-        """Membership tells how many are there."""
-        self.port.gateway.on_membership_changed(live, rank, sure)
+    def on_membership_changed(self, live: int, rank: int, possible: int) -> None:
+        """Pass the fleet's counts on to the decisions and to recovery."""
+        self.port.gateway.on_membership_changed(live, rank, possible)
         if self.port.recovery:
-            self.port.recovery.set_fleet_size(sure)
-        self.fleet_log.on_membership_changed(live, rank, sure)
+            self.port.recovery.set_fleet_size(possible)
+        self.fleet_log.on_membership_changed(live, rank, possible)
 
-    def changed(self, member: str, state: int) -> None:
-        """A member came or went."""
+    def on_member_state_changed(self, member: str, state: MemberState) -> None:
+        """Handle a member that came or went."""
         self.leases.set_present(self.core.present)
         self.fleet_log.on_change()
 
-    def said(self, peer: str, topic: int, data: bytes) -> None:
-        """Pass a payload to its part; drop one that is unreadable or has a topic that is off here."""
+    def on_payload_received(self, peer: str, topic: int, data: bytes) -> None:
+        """Pass a payload to its part; drop one that is malformed or has a topic that is off here."""
         handler = self.payload_handlers.get(topic)
         if handler:
             return handler(peer, data)
@@ -159,7 +169,7 @@
         try:
             self.detector.on_reports(peer, decode_reports(data))
         except InvalidReportsError:
-            self.drop("unreadable")
+            self.drop(DropReason.MALFORMED)
 
     # steps of the above
 
--- a/tests/test_golden_bytes.py
+++ b/tests/test_golden_bytes.py
@@ -260,7 +260,7 @@
 
     fleet.net.send, fleet.net.loss = record, 0.3
     fleet.run(2.0)
-    fleet.seats["n0"].core.say(MAINTENANCE_TOPIC, b"word")
+    fleet.seats["n0"].core.send_payload(MAINTENANCE_TOPIC, b"word")
     fleet.seats["n4"].core.leave()
     fleet.run(2.0)
     fleet.seats["n3"].kill()
