--- a/brookhub/program/start_file.py
+++ b/brookhub/program/start_file.py
@@ -11,6 +11,7 @@
 
 from ..protocol import server_list
 from ..protocol.errors import MalformedError
+from ..routing.peer_settings import PeerSettings
 from ..settings import SettingsError, parse_object, read_gateway_settings, read_number, read_section
 from ..site import GatewaySettings
 
@@ -179,6 +180,19 @@
         raise StartError(f"membership: {error}") from None
 
 
+def peer_settings(file: MembershipFile) -> PeerSettings:
+    """The settings of the membership; the file's addresses are checked already."""
+    return PeerSettings(
+        fleet=file.fleet,
+        name=file.name,
+        listen=server_list.parse_address(file.listen),
+        period=file.period_s,
+        peers={peer.name: server_list.parse_address(peer.address) for peer in file.peers},
+        shares_ejections=file.signals,
+        uses_subsets=file.subsets,
+    )
+
+
 def read_recovery_file(path: str) -> RecoveryFile:
     """The operators' file of the counter's recovery. Raises StartError."""
     from ..config import ConfigError, RecoveryFile, load
@@ -204,7 +218,22 @@
     except ConfigError as error:
         raise StartError(f"maintenance: {error}") from None
     machines = tuple(
-        Machine(one.name, one.zone, one.capacity, tuple(one.servers), one.limiter) for one in spec.machines
+        Machine(machine.name, machine.zone, machine.capacity, tuple(machine.servers), machine.limiter)
+        for machine in spec.machines
+    )
+    return Plan(
+        version=spec.version,
+        machines=machines,
+        voters=tuple(spec.voters),
+        max_out=spec.most_out,
+        max_out_per_zone=spec.most_zone,
+        min_capacity_share=spec.capacity_least,
+        min_served_share=spec.served_least,
+        max_response_s=spec.answer_most_s,
+        max_work_s=spec.work_most_s,
+        start_within_s=spec.start_within_s,
+        warm_up_s=spec.fill_s,
+        pause_s=spec.pause_s,
+        next_voters=tuple(spec.voters_next),
+        resume=spec.resume,
     )
-    figures = spec.model_dump(exclude={"machines", "voters", "voters_next"})
-    return Plan(**figures, machines=machines, voters=tuple(spec.voters), voters_next=tuple(spec.voters_next))
--- a/brookhub/routing/port.py
+++ b/brookhub/routing/port.py
@@ -6,11 +6,10 @@
 
 from __future__ import annotations
 
-from typing import Callable, Collection, Protocol, cast
+from typing import Callable, Collection, Iterable, Protocol, cast
 
 from ..model import Attempt, Outcome, Request, Server
-from ..policy import Gateway
-from ..ports import CounterCallback
+from ..ports import CounterCallback, FleetCoordination
 from ..protocol import request_codec
 from ..protocol.request_codec import ServerResponse
 from .client_request import ClientRequest
@@ -19,11 +18,47 @@
 RequestObserver = Callable[[Request, float, bool], None]
 """Told of each final answer: the request, the seconds it took, whether it is a server's answer."""
 
-
 NO_RESPONSE = ServerResponse(None)
 """Of an attempt that ended without an answer."""
 
 
+class GatewayEvents(Protocol):
+    """The decisions, as far as they receive events (`policy.Gateway`). Called under the lock."""
+
+    def on_request(self, request: Request, /) -> None:
+        """A client's request arrived."""
+
+    def on_client_disconnected(self, request: Request, /) -> None:
+        """The client of an open request left."""
+
+    def on_attempt_ended(
+        self,
+        attempt: Attempt,
+        duration: float,
+        answered: bool,
+        charged_units: float,
+        used: float | None,
+        report: dict[str, float],
+        /,
+    ) -> None:
+        """An attempt ended after so many seconds; its outcome is set.
+
+        `answered`: its request has its final answer; the rest is as sent by the server.
+        """
+
+    def on_servers_updated(self, servers: Iterable[Server], /) -> None:
+        """The server list changed in these servers."""
+
+    def on_membership_changed(self, live: int, rank: int, possible: int, /) -> None:
+        """The fleet changed: live members, this one's rank among them, members not known to have left."""
+
+    def on_granted_share_changed(self, share: float, /) -> None:
+        """The counter grants another share of each quota from now on."""
+
+    def use_coordination(self, coordination: FleetCoordination, /) -> None:
+        """Decide together with the other gateways of the fleet."""
+
+
 class Upstreams(Protocol):
     """The connections to upstream servers (`upstreams.UpstreamConnections`). Called under the lock."""
 
@@ -65,7 +100,7 @@
     those without a default must be, but for `counter` where the settings have none.
     """
 
-    gateway: Gateway
+    gateway: GatewayEvents
     upstreams: Upstreams
     counter: Counter
 
