--- a/benchmarks/rolling_upgrade.py
+++ b/benchmarks/rolling_upgrade.py
@@ -77,10 +77,10 @@
     serving: tuple[str, ...] = ("serving",)  # the first line of a life
     fleet: tuple[str, ...] = ("fleet",)
     ejected_servers: tuple[str, ...] = ("servers left alone", "upstreams ejected")
-    counter_known: tuple[str, ...] = ("counter known",)
-    counter_changed: tuple[str, ...] = ("counter changed",)
-    counter_sure: tuple[str, ...] = ("counter sure",)
-    ledger_read: tuple[str, ...] = ("ledger read",)
+    counter_known: tuple[str, ...] = ("counter known", "counter epoch joined")
+    counter_changed: tuple[str, ...] = ("counter changed", "counter epoch changed")
+    counter_sure: tuple[str, ...] = ("counter sure", "counter reconciled")
+    ledger_read: tuple[str, ...] = ("ledger read", "ledger loaded")
     plan_taken: tuple[str, ...] = ("plan taken", "plan adopted")
     plan_refused: tuple[str, ...] = ("plan refused", "plan rejected")
     leads_plan: tuple[str, ...] = ("steward", "leadership acquired")
@@ -91,6 +91,13 @@
 
 
 LOG_EVENTS = LogEvents()
+# Fields of `ledger_read`, and what versions up to 0.11 call them
+LEDGER_FIELDS = {
+    "entries": "names",
+    "records": "records",
+    "corrupt_records": "skipped",
+    "truncated_bytes": "torn",
+}
 FOLLOWED_EVENT = LOG_EVENTS.safe_to_work[-1]  # what this checkout's `Workers` look for
 
 
@@ -394,8 +401,9 @@
         for limiter, count in zip(swapped, reads, strict=True):
             lines = lines_of(limiter, LOG_EVENTS.ledger_read)
             read = lines[-1] if len(lines) > count else {}
-            sound = bool(read) and read["records"] > 0 and not read["skipped"] and not read["torn"]
-            facts = {key: read.get(key) for key in ("names", "records", "skipped", "torn")}
+            facts = {field: read.get(field, read.get(old)) for field, old in LEDGER_FIELDS.items()}
+            intact = facts["corrupt_records"] == 0 and facts["truncated_bytes"] == 0
+            sound = bool(read) and facts["records"] > 0 and intact
             detail = f"n{limiter.index}, now of the {self.version(limiter)} version: {json.dumps(facts)}"
             self.check("upgrade: the other version's ledger is read", sound, detail)
         sleep(SETTLED_S)  # for the others to log that these were away
--- a/brookhub/program/run.py
+++ b/brookhub/program/run.py
@@ -31,7 +31,7 @@
     from ..maintenance import Plan
     from ..routing.maintenance import MaintenanceDriver
     from ..routing.peers import Peers
-    from ..routing.recovery import Recovering
+    from ..routing.recovery import RecoveryDriver
 
 UNUSABLE_START_FILE = 2  # exit code
 TIMER_RESOLUTION = 0.001  # s between two wake-ups of the timer thread: each costs a switch of threads
@@ -150,7 +150,7 @@
         except OSError as error:
             raise StartError(f"membership: can't listen at {file.listen}: {error.strerror}") from None
 
-    def create_recovery(self) -> Recovering | None:
+    def create_recovery(self) -> RecoveryDriver | None:
         """Create the recovery of the counter, where its file is named and the settings have a counter.
 
         Else nothing of it is imported.
@@ -162,19 +162,17 @@
         if not start.counter:
             self.log.warning("recovery disabled", why="the settings have no counter")
             return None
-        from ..recovery import Settings
-        from ..routing.recovery import Recovering
+        from ..recovery import RecoverySettings
+        from ..routing.recovery import RecoveryDriver, RecoveryDriverSettings
 
-        driver = Recovering(
-            self.port,
-            self.log,
+        settings = RecoveryDriverSettings(
             start.gateway_settings.index,
             start.gateway_settings.gateways,
-            Settings(file.beat_s, file.missing_most),
+            RecoverySettings(file.beat_s, file.missing_most),
             Path(file.ledger) if file.ledger else None,
-            Random(start.seed ^ 1).random,
         )
-        self.port.recovery = driver.core
+        driver = RecoveryDriver(self.port, self.log, settings, Random(start.seed ^ 1).random)
+        self.port.recovery = driver.recovery
         return driver
 
     def create_maintenance(self) -> MaintenanceDriver | None:
@@ -211,7 +209,7 @@
         """Submit a maintenance plan, and log where it is rejected. Called under the lock."""
         rejection = driver.submit_plan(plan)
         if rejection:
-            self.port.defer(lambda: self.log.error("plan rejected", why=rejection))
+            self.port.defer(lambda: self.log.error("plan submission failed", why=rejection))
 
     def log_internal_error(self, error: BaseException) -> None:
         """Log an error that nothing handled, with its trace. Called by any thread."""
--- a/brookhub/routing/port.py
+++ b/brookhub/routing/port.py
@@ -89,7 +89,7 @@
 class CounterRecovery(Counter, Protocol):
     """Recovery of lost counts (`recovery.Recovery`): takes the calls to the counter where it is in use."""
 
-    def fleet(self, limiters: int, /) -> None:
+    def set_fleet_size(self, limiters: int, /) -> None:
         """The number of limiters not known to have left changed."""
 
 
