--- a/brookhub/protocol/resp.py
+++ b/brookhub/protocol/resp.py
@@ -2,8 +2,9 @@
 
 from __future__ import annotations
 
+from collections.abc import Iterator
 from enum import Enum, auto
-from typing import Iterator, TypeAlias
+from typing import TypeAlias
 
 from ..transport.close_reason import CloseReason
 from ..transport.ring_buffer import RingBuffer
--- a/brookhub/protocol/server_list.py
+++ b/brookhub/protocol/server_list.py
@@ -11,6 +11,7 @@
 from .errors import MalformedError
 
 STATES_BY_HEALTH = {"Ready": ServerState.READY, "Terminating": ServerState.DRAINING, "Gone": ServerState.GONE}
+MAX_PORT = 65535
 SERVER_ID_BYTES = 6  # of the hash of a server's name
 MAX_NUMBER = 1e15  # magnitude below which a number in an entry has to be
 
@@ -91,7 +92,7 @@
 def parse_address(text: str) -> tuple[str, int]:
     """Read an address of the form HOST:PORT, an IPv6 host in brackets. Raises ValueError."""
     host, _, port = text.rpartition(":")
-    if not host or not port.isdecimal() or not 0 < int(port) < 65536:
+    if not host or not port.isdecimal() or not 0 < int(port) <= MAX_PORT:
         raise ValueError(f"not an address of the form HOST:PORT: {text!r}")
     return host.strip("[]"), int(port)
 
--- a/brookhub/routing/client_table.py
+++ b/brookhub/routing/client_table.py
@@ -2,8 +2,9 @@
 
 from __future__ import annotations
 
+from collections.abc import Iterator
 from itertools import islice
-from typing import Iterator, TypeAlias
+from typing import TypeAlias
 
 from .client_connection import ClientConnection
 
--- a/brookhub/routing/clients.py
+++ b/brookhub/routing/clients.py
@@ -3,9 +3,9 @@
 from __future__ import annotations
 
 import socket
+from collections.abc import Callable
 from dataclasses import dataclass
 from time import monotonic
-from typing import Callable
 
 from ..protocol import request_codec, resp
 from ..protocol.request_codec import ParsedRequest
--- a/brookhub/routing/connections.py
+++ b/brookhub/routing/connections.py
@@ -3,11 +3,12 @@
 from __future__ import annotations
 
 import socket
+from collections.abc import Callable
 from dataclasses import dataclass
 from math import inf
 from threading import Event
 from time import monotonic
-from typing import Callable, Protocol
+from typing import Protocol
 
 from ..model import Server
 from ..protocol.errors import MalformedError
--- a/brookhub/transport/sockets.py
+++ b/brookhub/transport/sockets.py
@@ -5,9 +5,9 @@
 import contextlib
 import socket
 import struct
+from collections.abc import Callable
 from threading import Event
 from time import sleep
-from typing import Callable
 
 ACCEPT_BACKLOG = 512  # connections that the system holds until they are accepted
 SOCKET_BUFFER_BYTES = 64 * 1024  # asked for in each direction: the largest value; the system doubles it
--- a/brookhub/transport/stream.py
+++ b/brookhub/transport/stream.py
@@ -5,8 +5,8 @@
 import contextlib
 import socket
 import sys
+from collections.abc import Callable
 from threading import Lock
-from typing import Callable
 
 from .close_reason import CloseReason
 from .ring_buffer import RingBuffer
--- a/brookhub/transport/threads.py
+++ b/brookhub/transport/threads.py
@@ -4,7 +4,8 @@
 
 import _thread
 import threading
-from typing import Callable, TypeVarTuple
+from collections.abc import Callable
+from typing import TypeVarTuple
 
 Arguments = TypeVarTuple("Arguments")
 STACK_BYTES = 256 * 1024  # address space of a thread's stack; only what is touched takes memory
