--- a/brookhub/routing/fleet_log.py
+++ b/brookhub/routing/fleet_log.py
@@ -5,8 +5,7 @@
 
 from __future__ import annotations
 
-from typing import Iterable, Protocol
-
+from ..coordination import OutlierDetector
 from ..membership import WORDS, Membership
 from .event_loop import EventLoop
 from .log import EventLogger
@@ -14,20 +13,6 @@
 MAX_NAMES = 8  # in one line
 
 
-class Ejections(Protocol):
-    """The servers that the fleet ejects together (`coordination.SharedEjections`)."""
-
-    sent: int
-    disbelieved: int
-
-    @property
-    def ejections(self) -> Iterable[int]:
-        """The servers with an ejection."""
-
-    def is_ejected(self, server: int) -> bool:
-        """Whether the fleet sends nothing to a server now."""
-
-
 class FleetLog:
     """Logs the state of the fleet. Called under the event loop's lock."""
 
@@ -78,24 +63,24 @@
 
     INTERVAL = 1.0  # s between two checks
 
-    def __init__(self, loop: EventLoop, logger: EventLogger, ejections: Ejections):
+    def __init__(self, loop: EventLoop, logger: EventLogger, detector: OutlierDetector):
         self._loop = loop
         self._logger = logger
-        self._ejections = ejections
+        self._detector = detector
         self._logged: list[int] = []
 
     def check(self) -> None:
         """Log the ejected servers where they changed."""
-        ejections = self._ejections
-        ejected = [server for server in ejections.ejections if ejections.is_ejected(server)]
+        detector = self._detector
+        ejected = detector.ejected_servers()
         if ejected == self._logged:
             return
         self._logged = ejected
         fields = {
             "servers": ejected[:MAX_NAMES],
             "more": max(0, len(ejected) - MAX_NAMES),
-            "reports_sent": ejections.sent,
-            "reports_rejected": ejections.disbelieved,
+            "reports_sent": detector.sent_count,
+            "reports_distrusted": detector.distrusted_count,
         }
         self._loop.defer(lambda: self._logger.info("upstreams ejected", **fields))
 
