--- a/brookhub/routing/ledger_file.py
+++ b/brookhub/routing/ledger_file.py
@@ -5,19 +5,9 @@
 import os
 from io import FileIO
 from pathlib import Path
-from typing import Protocol
 
 from ..recovery import LogContents, UnusableLogError, read_log
-
-
-class Logger(Protocol):
-    """The program's log (structlog's)."""
-
-    def info(self, event: str, **fields: object) -> object:
-        """Log an event."""
-
-    def error(self, event: str, **fields: object) -> object:
-        """Log an error."""
+from .log import EventLogger
 
 
 class LedgerFile:
@@ -28,7 +18,7 @@
     raised: the limiter goes on in memory.
     """
 
-    def __init__(self, path: Path, logger: Logger):
+    def __init__(self, path: Path, logger: EventLogger):
         self._path = path
         self._logger = logger
         self._file: FileIO | None = None
