--- /dev/null
+++ b/tests/test_docs.py
@@ -0,0 +1,255 @@
+"""The pages that name code name what exists: files, classes and their members, functions, tests, log events.
+
+Only names in backquotes count. A path is relative to the root or to `brookhub/`; `Class.member` and
+`function()` are looked up in the parsed source. Columns whose header is one of FORMER_HEADERS hold names that
+are no more, and are left out.
+"""
+
+from __future__ import annotations
+
+import ast
+import re
+from collections.abc import Iterator
+from dataclasses import dataclass, field
+from functools import cache
+from pathlib import Path
+
+import pytest
+
+ROOT = Path(__file__).parent.parent
+PACKAGE = ROOT / "brookhub"
+ON_CALL = ROOT / "docs" / "on-call.md"
+PAGES = (ON_CALL, ROOT / "docs" / "lifecycle.md", ROOT / "docs" / "architecture.md", ROOT / "README.md")
+
+FORMER_HEADERS = {"old", "former"}
+CODE_BLOCK = re.compile(r"^```.*?^```", re.MULTILINE | re.DOTALL)
+BACKQUOTED = re.compile(r"`([^`\n]+)`")
+FILE_SUFFIXES = (".py", ".md", ".toml")
+CHECKED_FOLDERS = {"brookhub", "tests", "docs"}
+CLASS = r"[A-Z][a-z0-9]+(?:[A-Z][a-z0-9]*)+"  # two words at least, as `QuotaFilter`
+CLASS_NAME = re.compile(CLASS)
+CLASS_MEMBER = re.compile(r"([A-Z][a-z]\w*)\.(\w+)(?:\(\))?")  # `QuotaFilter.admit`, `Outcome.BUSY`
+MODULE_MEMBER = re.compile(r"([a-z_]+(?:\.\w+)+)(?:\(\))?")  # `policy.gateway`, `routing.clients.Clients`
+FUNCTION = re.compile(r"([a-z_]\w*)\(\)")
+TEST = re.compile(r"test_\w+")
+
+
+@dataclass
+class SourceNames:
+    """What the parsed source defines. Members of a class include its own fields and those set on `self`."""
+
+    functions: set[str] = field(default_factory=set)
+    classes: dict[str, set[str]] = field(default_factory=dict)
+    base_classes: dict[str, set[str]] = field(default_factory=dict)
+
+    def has_member(self, class_name: str, member: str) -> bool:
+        """Whether a class, or one that it derives from, has a member."""
+        if member in self.classes.get(class_name, ()):
+            return True
+        return any(self.has_member(base, member) for base in self.base_classes.get(class_name, ()))
+
+
+@dataclass(frozen=True)
+class Row:
+    """A row of a table: its cells by the header of their column."""
+
+    cells: dict[str, str]
+
+    def names(self, header: str) -> list[str]:
+        """The names in backquotes of a column."""
+        return BACKQUOTED.findall(self.cells[header])
+
+
+def assigned_names(node: ast.stmt | ast.expr) -> Iterator[str]:
+    """The names and attributes of `self` that a statement assigns to."""
+    targets: list[ast.expr] = []
+    if isinstance(node, ast.Assign):
+        targets = node.targets
+    elif isinstance(node, ast.AnnAssign):
+        targets = [node.target]
+    for target in targets:
+        for part in ast.walk(target):
+            if isinstance(part, ast.Name):
+                yield part.id
+            elif isinstance(part, ast.Attribute):
+                yield part.attr
+
+
+def class_members(definition: ast.ClassDef) -> set[str]:
+    """The methods and fields of a class, with the attributes that its methods assign."""
+    members: set[str] = set()
+    for node in ast.walk(definition):
+        if isinstance(node, ast.FunctionDef):
+            members.add(node.name)
+        elif isinstance(node, ast.Assign | ast.AnnAssign):
+            members.update(assigned_names(node))
+    return members
+
+
+@cache
+def source_names(folder: Path) -> SourceNames:
+    """What the Python files below a folder define. Two classes of one name are taken together."""
+    names = SourceNames()
+    for path in folder.rglob("*.py"):
+        for node in ast.walk(ast.parse(path.read_text())):
+            if isinstance(node, ast.FunctionDef):
+                names.functions.add(node.name)
+            elif isinstance(node, ast.ClassDef):
+                names.classes.setdefault(node.name, set()).update(class_members(node))
+                bases = {base.id for base in node.bases if isinstance(base, ast.Name)}
+                names.base_classes.setdefault(node.name, set()).update(bases - {node.name})
+    return names
+
+
+def split_cells(line: str) -> list[str]:
+    """The cells of a line of a table."""
+    return [cell.strip() for cell in line.strip().strip("|").split("|")]
+
+
+def tables(text: str) -> Iterator[list[Row]]:
+    """The tables of a page."""
+    for block in re.findall(r"(?:^\|.*\n?)+", text, re.MULTILINE):
+        header, _, *lines = block.strip().splitlines()
+        headers = split_cells(header)
+        yield [Row(dict(zip(headers, split_cells(line), strict=True))) for line in lines]
+
+
+def without_former_names(text: str) -> str:
+    """A page without code blocks and without the columns of former names."""
+    text = CODE_BLOCK.sub("", text)
+    for table in tables(text):
+        for row in table:
+            for header in FORMER_HEADERS & row.cells.keys():
+                text = text.replace(f"| {row.cells[header]} |", "| |", 1)
+    return text
+
+
+def names_in(page: Path) -> list[str]:
+    """The names in backquotes of a page, each once."""
+    return sorted(set(BACKQUOTED.findall(without_former_names(page.read_text()))))
+
+
+def is_path(name: str) -> bool:
+    """Whether a name claims to be a file or folder of the project."""
+    if re.search(r"[\s{}<>=:]", name) or name.startswith(("/", "..", "-")):
+        return False
+    if "/" not in name:
+        return name.endswith(".py")
+    return name.endswith(FILE_SUFFIXES) or name.split("/")[0] in CHECKED_FOLDERS
+
+
+def path_exists(name: str) -> bool:
+    """Whether a path exists below the root or the package; a bare file name anywhere in the package."""
+    pattern = name.rstrip("/")
+    if "/" not in name:
+        return any(PACKAGE.rglob(pattern)) or any((ROOT / "tests").rglob(pattern))
+    return any(ROOT.glob(pattern)) or any(PACKAGE.glob(pattern))
+
+
+def is_package(name: str) -> bool:
+    """Whether a name is `brookhub` or one of its packages."""
+    return name == PACKAGE.name or (PACKAGE / name / "__init__.py").exists()
+
+
+def module_member_exists(dotted: str) -> bool:
+    """Whether a dotted name is a module, or a name that occurs in the module which its first part is."""
+    parts = dotted.removeprefix("brookhub.").split(".")
+    place = PACKAGE
+    while parts and (place / parts[0]).is_dir():
+        place /= parts.pop(0)
+    if parts and (place / f"{parts[0]}.py").exists():
+        place /= f"{parts.pop(0)}.py"
+    elif parts:
+        place /= "__init__.py"
+    return all(re.search(rf"\b{part}\b", place.read_text()) for part in parts)
+
+
+def is_missing(name: str) -> bool:
+    """Whether a name claims to be code of the project, and is not."""
+    names = source_names(PACKAGE)
+    if is_path(name):
+        return not path_exists(name)
+    if TEST.fullmatch(name):
+        return name not in source_names(ROOT / "tests").functions
+    if CLASS_NAME.fullmatch(name):
+        return name not in names.classes
+    if match := CLASS_MEMBER.fullmatch(name):
+        return not names.has_member(match[1], match[2])
+    if match := FUNCTION.fullmatch(name):
+        return match[1] not in names.functions
+    if (match := MODULE_MEMBER.fullmatch(name)) and is_package(name.split(".")[0]):
+        return not module_member_exists(match[1])
+    return False
+
+
+def rows_with(*headers: str) -> list[Row]:
+    """The rows of the on-call page's tables that have these columns."""
+    found = [row for table in tables(ON_CALL.read_text()) for row in table]
+    return [row for row in found if row.cells.keys() >= set(headers)]
+
+
+@pytest.mark.parametrize("page", PAGES, ids=lambda page: page.name)
+def test_code_named_on_a_page_exists(page: Path) -> None:
+    names = names_in(page)
+    assert names
+    assert [name for name in names if is_missing(name)] == []
+
+
+@pytest.mark.parametrize("row", rows_with("event", "written by"), ids=lambda row: row.cells["event"])
+def test_log_event_occurs_in_each_file_that_writes_it(row: Row) -> None:
+    events, files = row.names("event"), row.names("written by")
+    assert events
+    assert files
+    for file in files:
+        text = (ROOT / file).read_text()
+        assert [event for event in events if f'"{event}"' not in text] == []
+
+
+@pytest.mark.parametrize("row", rows_with("reason", "set in"), ids=lambda row: row.cells["reason"])
+def test_reason_code_is_set_in_the_files_that_its_row_names(row: Row) -> None:
+    members = [f"CloseReason.{reason.upper().replace('-', '_')}" for reason in row.names("reason")]
+    texts = {file: (ROOT / file).read_text() for file in row.names("set in")}
+    assert members
+    assert texts
+    assert [member for member in members if not any(member in text for text in texts.values())] == []
+    assert [file for file, text in texts.items() if not any(member in text for member in members)] == []
+
+
+def test_reason_codes_of_the_page_are_those_of_the_code() -> None:
+    source = (PACKAGE / "transport" / "close_reason.py").read_text()
+    codes = set(re.findall(r'^    [A-Z_]+ = "([a-z-]+)"$', source, re.MULTILINE))
+    assert codes
+    assert {reason for row in rows_with("reason", "set in") for reason in row.names("reason")} == codes
+
+
+@pytest.mark.parametrize(
+    "name",
+    [
+        "policy/no_such_file.py",
+        "brookhub/no_such_package/",
+        "QuotaFilter.no_such_method",
+        "NoSuchClass",
+        "no_such_function()",
+        "policy.no_such_module.Thing",
+        "test_no_such_test",
+    ],
+)
+def test_name_of_no_code_is_found_missing(name: str) -> None:
+    assert is_missing(name)
+
+
+@pytest.mark.parametrize(
+    "name",
+    [
+        "policy/quota.py",
+        "brookhub/policy/",
+        "tests/test_policy_*.py",
+        "QuotaFilter.admit",
+        "Outcome.BUSY",
+        "policy.gateway.Gateway",
+        "limits.open_cap",
+        "connection closed",
+    ],
+)
+def test_name_of_code_or_of_something_else_is_not_missing(name: str) -> None:
+    assert not is_missing(name)
