--- a/tests/test_docs.py
+++ b/tests/test_docs.py
@@ -33,6 +33,19 @@
 FUNCTION = re.compile(r"([a-z_]\w*)\(\)")
 TEST = re.compile(r"test_\w+")
 
+OWNER = "state, and who owns it"
+SERVING_PACKAGES = (
+    "program",
+    "routing",
+    "maintenance",
+    "recovery",
+    "membership",
+    "coordination",
+    "transport",
+)
+LOG_METHODS = {"info", "warning", "error", "log"}
+LOGGERS = {"log", "logger", "port"}  # what they are called on, without a leading underscore
+
 
 @dataclass
 class SourceNames:
@@ -182,6 +195,26 @@
     return False
 
 
+def is_log_call(node: ast.AST) -> bool:
+    """Whether a node is a call such as `self._logger.info(...)` or `self.port.log(...)`."""
+    if not isinstance(node, ast.Call) or not isinstance(node.func, ast.Attribute) or not node.args:
+        return False
+    receiver = ast.unparse(node.func.value).split(".")[-1].lstrip("_")
+    return node.func.attr in LOG_METHODS and receiver in LOGGERS
+
+
+def events_logged_by(path: Path) -> set[str]:
+    """The log events that a file names in its calls of a logger, also where a condition chooses one."""
+    events: set[str] = set()
+    for node in ast.walk(ast.parse(path.read_text())):
+        if isinstance(node, ast.Call) and is_log_call(node):
+            choices = [node.args[0]]
+            if isinstance(node.args[0], ast.IfExp):
+                choices = [node.args[0].body, node.args[0].orelse]
+            events.update(str(choice.value) for choice in choices if isinstance(choice, ast.Constant))
+    return events
+
+
 def rows_with(*headers: str) -> list[Row]:
     """The rows of the on-call page's tables that have these columns."""
     found = [row for table in tables(ON_CALL.read_text()) for row in table]
@@ -205,6 +238,22 @@
         assert [event for event in events if f'"{event}"' not in text] == []
 
 
+def test_every_log_event_of_the_gateway_has_a_row() -> None:
+    logged: set[str] = set()
+    for package in SERVING_PACKAGES:
+        for path in (PACKAGE / package).rglob("*.py"):
+            logged |= events_logged_by(path)
+    assert logged
+    assert logged == {event for row in rows_with("event", "written by") for event in row.names("event")}
+
+
+@pytest.mark.parametrize("row", rows_with("event", OWNER), ids=lambda row: row.cells["event"])
+def test_owner_of_the_state_of_a_log_event_exists(row: Row) -> None:
+    assert row.cells[OWNER]
+    classes = [name for name in row.names(OWNER) if name[0].isupper()]
+    assert [name for name in classes if name not in source_names(PACKAGE).classes] == []
+
+
 @pytest.mark.parametrize("row", rows_with("reason", "set in"), ids=lambda row: row.cells["reason"])
 def test_reason_code_is_set_in_the_files_that_its_row_names(row: Row) -> None:
     members = [f"CloseReason.{reason.upper().replace('-', '_')}" for reason in row.names("reason")]
