--- a/tests/test_docs.py
+++ b/tests/test_docs.py
@@ -19,7 +19,13 @@
 ROOT = Path(__file__).parent.parent
 PACKAGE = ROOT / "brookhub"
 ON_CALL = ROOT / "docs" / "on-call.md"
-PAGES = (ON_CALL, ROOT / "docs" / "lifecycle.md", ROOT / "docs" / "architecture.md", ROOT / "README.md")
+PAGES = (
+    ON_CALL,
+    ROOT / "docs" / "lifecycle.md",
+    ROOT / "docs" / "architecture.md",
+    ROOT / "docs" / "design.md",
+    ROOT / "README.md",
+)
 
 FORMER_HEADERS = {"old", "former"}
 CODE_BLOCK = re.compile(r"^```.*?^```", re.MULTILINE | re.DOTALL)
