--- a/brookhub/program/run.py
+++ b/brookhub/program/run.py
@@ -141,7 +141,7 @@
             return None
         file = start_file.read_membership_file(path)
         if not self.start.allows_peer_messages:
-            self.log.warning("membership disabled", why="the settings do not allow peer messages")
+            self.log.warning("membership disabled", reason="the settings do not allow peer messages")
             return None
         from ..routing.peers import Peers
 
@@ -160,7 +160,7 @@
             return None
         file = start_file.read_recovery_file(start.recovery_path)
         if not start.counter:
-            self.log.warning("recovery disabled", why="the settings have no counter")
+            self.log.warning("recovery disabled", reason="the settings have no counter")
             return None
         from ..recovery import RecoverySettings
         from ..routing.recovery import RecoveryDriver, RecoveryDriverSettings
@@ -209,7 +209,7 @@
         """Submit a maintenance plan, and log where it is rejected. Called under the lock."""
         rejection = driver.submit_plan(plan)
         if rejection:
-            self.port.defer(lambda: self.log.error("plan submission failed", why=rejection))
+            self.port.defer(lambda: self.log.error("plan submission failed", reason=rejection))
 
     def log_internal_error(self, error: BaseException) -> None:
         """Log an error that nothing handled, with its trace. Called by any thread."""
@@ -265,7 +265,7 @@
             if self.maintenance and start.maintenance_path:
                 plan = start_file.read_plan_if_present(start.maintenance_path)
         except StartError as error:
-            self.log.error("reload failed", why=str(error))
+            self.log.error("reload failed", reason=str(error))
             return
         self.port.run(monotonic(), self.discovery.set_address, start.discovery)
         if self.counter and start.counter:
