--- a/brookhub/routing/fleet_log.py
+++ b/brookhub/routing/fleet_log.py
@@ -46,11 +46,11 @@
             for name, member in sorted(self._membership.members.items())
             if name not in present
         ]
-        live, rank, possible = self._counts
+        live, rank, sure = self._counts
         fields = {
             "live": live,
             "rank": rank,
-            "sure": possible,
+            "sure": sure,
             "present": 1 + len(present),
             "absent": absent[:MAX_NAMES],
             "more": max(0, len(absent) - MAX_NAMES),
@@ -112,10 +112,10 @@
     def _check(self) -> None:
         """Log the counts where they changed. Repeats itself by a timer."""
         counts = dict(self._counts)
+        dropped_by_membership = self._membership.statistics.dropped
         for reason in (DropReason.WRONG_SOURCE, DropReason.UNLISTED_MEMBER):
-            count = self._membership.statistics.dropped[reason]
-            if count:
-                counts[reason] = count
+            if dropped_by_membership[reason]:
+                counts[reason] = dropped_by_membership[reason]
         if counts != self._logged:
             self._logged = counts
             self._loop.defer(lambda: self._logger.warning("peer datagrams dropped", **counts))
--- a/brookhub/routing/peers.py
+++ b/brookhub/routing/peers.py
@@ -60,9 +60,8 @@
         self.addresses: dict[str, Address] = {}  # of the peers, by name
         self.names: dict[Address, str] = {}
         self._set_peers(settings.peers)
-        self.core = Membership(
-            self, MembershipSettings(settings.fleet, settings.name, seed, settings.period), self.addresses
-        )
+        membership_settings = MembershipSettings(settings.fleet, settings.name, seed, settings.period)
+        self.core = Membership(self, membership_settings, self.addresses)
         self.fleet_log = FleetLog(port, logger, self.core)
         self.dropped = DroppedDatagramLog(port, logger, self.core)
         self.clock_offset = time() - monotonic()  # s, wall time over `now`; measured with each check
@@ -148,7 +147,7 @@
             self.port.defer(self._send_datagram, data, address)
 
     def on_membership_changed(self, live: int, rank: int, possible: int) -> None:
-        """Pass the fleet's counts on to the decisions and to recovery."""
+        """Pass the fleet's counts on to the decisions, to recovery and to the log."""
         self.port.gateway.on_membership_changed(live, rank, possible)
         if self.port.recovery:
             self.port.recovery.set_fleet_size(possible)
