--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -15,7 +15,6 @@
 
 from brookhub.config import Experiment
 from brookhub.fakes import FakeCounter, FakeDiscovery, FakeServer, host, read_value
-from gateway_harness import DEFAULT_SETTINGS as DEFAULT_SETTINGS
 
 # Stand-ins on loopback for the integration tests, and the program itself.
 
--- a/tests/test_routing.py
+++ b/tests/test_routing.py
@@ -35,7 +35,7 @@
 from brookhub.transport.ring_buffer import RingBuffer
 from brookhub.transport.sockets import Listener
 from brookhub.transport.stream import Stream
-from helpers import DEFAULT_SETTINGS
+from gateway_harness import DEFAULT_SETTINGS
 
 
 class RecordingStream:
