--- a/brookhub/coordination/clocks.py
+++ b/brookhub/coordination/clocks.py
@@ -2,7 +2,8 @@
 
 from __future__ import annotations
 
-from typing import Callable, Protocol
+from collections.abc import Callable
+from typing import Protocol
 
 TICK_SECONDS = 0.25
 MAX_TICK_AGE_SECONDS = 1.0  # a last tick that is older means that this process was paused
--- a/brookhub/coordination/coordinator.py
+++ b/brookhub/coordination/coordinator.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from typing import Sequence
+from collections.abc import Sequence
 
 from ..model import Outcome, Server, Upstream
 from .outlier_detector import OutlierDetector
--- a/brookhub/coordination/epoch_leases.py
+++ b/brookhub/coordination/epoch_leases.py
@@ -10,7 +10,8 @@
 
 from __future__ import annotations
 
-from typing import Iterable, NamedTuple
+from collections.abc import Iterable
+from typing import NamedTuple
 
 from .hashing import uniform_hash
 
--- a/brookhub/coordination/outlier_detector.py
+++ b/brookhub/coordination/outlier_detector.py
@@ -12,7 +12,7 @@
 
 from __future__ import annotations
 
-from typing import Iterable
+from collections.abc import Iterable
 
 from ..model import Outcome
 from .clocks import FleetClock, PauseDetector
--- a/brookhub/coordination/subset_assignment.py
+++ b/brookhub/coordination/subset_assignment.py
@@ -12,9 +12,10 @@
 
 from __future__ import annotations
 
+from collections.abc import Callable, Iterable, Mapping
 from itertools import zip_longest
 from math import floor, log
-from typing import Callable, Iterable, Mapping, NamedTuple
+from typing import NamedTuple
 
 from .subset_matching import SubsetMatching, subset_size
 
--- a/brookhub/coordination/subset_matching.py
+++ b/brookhub/coordination/subset_matching.py
@@ -14,9 +14,10 @@
 from __future__ import annotations
 
 from bisect import bisect_left, insort
+from collections.abc import Mapping, Sequence
 from heapq import heappush, heapreplace
 from math import ceil, floor, log
-from typing import Generic, Mapping, Sequence, TypeVar
+from typing import Generic, TypeVar
 
 from .hashing import stratified_hashes, uniform_hash
 
--- a/brookhub/maintenance/messages.py
+++ b/brookhub/maintenance/messages.py
@@ -10,7 +10,7 @@
 from __future__ import annotations
 
 from enum import IntEnum
-from typing import Annotated, NamedTuple, Union
+from typing import Annotated, NamedTuple
 
 import msgspec
 
@@ -185,7 +185,7 @@
 
     origin: Name
     destination: Name
-    message: Union[FetchRequest, FetchReply]
+    message: FetchRequest | FetchReply
 
 
 class Commit(TaggedMessage, frozen=True, tag="Told"):
@@ -225,23 +225,23 @@
     data: ChunkData
 
 
-RegisterMessage = Union[Prepare, Promise, Reject, Accept, Accepted, FetchRequest, FetchReply]
-ExchangeMessage = Union[PlanAnnouncement, ChunkRequest, PlanChunk]
-Message = Union[
-    Prepare,
-    Promise,
-    Reject,
-    Accept,
-    Accepted,
-    FetchRequest,
-    FetchReply,
-    Relay,
-    Commit,
-    CommitAck,
-    PlanAnnouncement,
-    ChunkRequest,
-    PlanChunk,
-]
+RegisterMessage = Prepare | Promise | Reject | Accept | Accepted | FetchRequest | FetchReply
+ExchangeMessage = PlanAnnouncement | ChunkRequest | PlanChunk
+Message = (
+    Prepare
+    | Promise
+    | Reject
+    | Accept
+    | Accepted
+    | FetchRequest
+    | FetchReply
+    | Relay
+    | Commit
+    | CommitAck
+    | PlanAnnouncement
+    | ChunkRequest
+    | PlanChunk
+)
 _encoder = msgspec.msgpack.Encoder()
 _decoder: msgspec.msgpack.Decoder[Message] = msgspec.msgpack.Decoder(Message)
 
--- a/brookhub/membership/awareness.py
+++ b/brookhub/membership/awareness.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from typing import Callable
+from collections.abc import Callable
 
 from .settings import MemberContext, MembershipSettings
 
--- a/brookhub/membership/broadcast_queue.py
+++ b/brookhub/membership/broadcast_queue.py
@@ -2,10 +2,10 @@
 
 from __future__ import annotations
 
+from collections.abc import Iterable
 from dataclasses import dataclass
 from heapq import nsmallest
 from math import ceil, log10
-from typing import Iterable
 
 from .messages import MemberUpdate
 
--- a/brookhub/membership/member_list.py
+++ b/brookhub/membership/member_list.py
@@ -2,8 +2,8 @@
 
 from __future__ import annotations
 
+from collections.abc import Iterable
 from random import Random
-from typing import Iterable
 
 from .messages import MemberUpdate
 from .state import ABSENT_STATES, ALIVE, PRESENT_STATES, UNKNOWN, LocalMember, Member
--- a/brookhub/membership/membership.py
+++ b/brookhub/membership/membership.py
@@ -6,7 +6,7 @@
 
 from __future__ import annotations
 
-from typing import Callable, Iterable
+from collections.abc import Callable, Iterable
 
 from .awareness import LocalHealth, StallDetector
 from .broadcast_queue import BroadcastQueue
--- a/brookhub/membership/probing.py
+++ b/brookhub/membership/probing.py
@@ -2,9 +2,9 @@
 
 from __future__ import annotations
 
+from collections.abc import Callable
 from dataclasses import dataclass
 from random import Random
-from typing import Callable
 
 from .awareness import LocalHealth, StallDetector
 from .member_list import MemberList
--- a/brookhub/membership/sender.py
+++ b/brookhub/membership/sender.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from typing import Iterable
+from collections.abc import Iterable
 
 from . import messages
 from .broadcast_queue import BroadcastQueue
--- a/brookhub/policy/account_table.py
+++ b/brookhub/policy/account_table.py
@@ -2,8 +2,8 @@
 
 from __future__ import annotations
 
+from collections.abc import Iterator
 from itertools import islice
-from typing import Iterator
 
 from ..model import Account, Request
 from ..ports import Clock
--- a/brookhub/policy/gateway.py
+++ b/brookhub/policy/gateway.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from typing import Iterable
+from collections.abc import Iterable
 
 from ..model import Attempt, PendingRequest, Request, Server
 from ..ports import FleetCoordination, GatewayPort
--- a/brookhub/policy/subset.py
+++ b/brookhub/policy/subset.py
@@ -5,8 +5,8 @@
 
 from __future__ import annotations
 
+from collections.abc import Iterable
 from math import floor
-from typing import Iterable
 
 from ..model import Server, ServerState, Upstream
 from ..ports import Clock, FleetCoordination, IndependentCoordination
--- a/brookhub/ports.py
+++ b/brookhub/ports.py
@@ -7,7 +7,8 @@
 
 from __future__ import annotations
 
-from typing import Callable, Protocol, Sequence
+from collections.abc import Callable, Sequence
+from typing import Protocol
 
 from .model import Attempt, Outcome, Request, Server, Upstream
 
--- a/brookhub/program/log.py
+++ b/brookhub/program/log.py
@@ -22,7 +22,7 @@
     because no request may fail for want of a log.
     """
 
-    def __init__(self, file: TextIO):
+    def __init__(self, file: TextIO) -> None:
         self._file = file
         self.dropped = 0  # lines
 
@@ -71,7 +71,7 @@
 class ConnectionLogger:
     """Logs the end of each connection. Implements `routing.connections.ConnectionLog`."""
 
-    def __init__(self, logger: FilteringBoundLogger):
+    def __init__(self, logger: FilteringBoundLogger) -> None:
         self._logger = logger
 
     def __call__(
--- a/brookhub/program/run.py
+++ b/brookhub/program/run.py
@@ -16,6 +16,7 @@
 from typing import TYPE_CHECKING
 
 from ..policy import Gateway
+from ..protocol.server_list import format_address
 from ..routing.clients import Clients
 from ..routing.connections import Reconnector
 from ..routing.counter import CounterClient
@@ -53,7 +54,7 @@
     otherwise.
     """
 
-    def __init__(self, start: StartFile):
+    def __init__(self, start: StartFile) -> None:
         """Raises StartError where the start file asks for what cannot be had."""
         self.start = start
         self.log = log.open_log(start.name)
@@ -279,9 +280,9 @@
         )
         self.log.info(
             "reloaded",
-            discovery="%s:%d" % start.discovery,
+            discovery=format_address(start.discovery),
             restart_required=needs_restart,
-            counter="%s:%d" % start.counter if start.counter else None,
+            counter=format_address(start.counter) if start.counter else None,
         )
 
     def shut_down(self, signalled_at: float) -> None:
--- a/brookhub/program/start_file.py
+++ b/brookhub/program/start_file.py
@@ -5,9 +5,10 @@
 
 from __future__ import annotations
 
+from collections.abc import Mapping
 from dataclasses import dataclass
 from pathlib import Path
-from typing import TYPE_CHECKING, Any, Mapping
+from typing import TYPE_CHECKING, Any
 
 from ..protocol import server_list
 from ..protocol.errors import MalformedError
--- a/brookhub/protocol/server_list.py
+++ b/brookhub/protocol/server_list.py
@@ -97,6 +97,12 @@
     return host.strip("[]"), int(port)
 
 
+def format_address(address: tuple[str, int]) -> str:
+    """An address in the form HOST:PORT."""
+    host, port = address
+    return f"{host}:{port}"
+
+
 def read_text(item: dict[str, Any], name: str, default: str | None = None) -> str:
     """Read a text of an entry; without a default it has to be there. Raises MalformedError."""
     value = item.get(name, default)
--- a/brookhub/recovery/core.py
+++ b/brookhub/recovery/core.py
@@ -39,7 +39,7 @@
         settings: RecoverySettings = DEFAULT_SETTINGS,
         ledger: Ledger | None = None,
         on_units_added: UnitsListener = ignore_units,
-    ):
+    ) -> None:
         self.port = port
         self.settings = settings
         self.ledger = ledger if ledger is not None else Ledger()
--- a/brookhub/recovery/counting.py
+++ b/brookhub/recovery/counting.py
@@ -2,9 +2,9 @@
 
 from __future__ import annotations
 
+from collections.abc import Callable
 from dataclasses import dataclass
 from functools import partial
-from typing import Callable
 
 from ..model import Outcome
 from ..ports import CounterCallback
@@ -56,7 +56,7 @@
         grant: QuotaGrant,
         replay: LedgerReplay,
         listeners: CountingListeners,
-    ):
+    ) -> None:
         self._port = port
         self._epochs = epochs
         self._ledger = ledger
--- a/brookhub/recovery/epoch_membership.py
+++ b/brookhub/recovery/epoch_membership.py
@@ -2,8 +2,8 @@
 
 from __future__ import annotations
 
+from collections.abc import Callable
 from dataclasses import dataclass
-from typing import Callable
 
 from ..model import Outcome
 from .epochs import NO_EPOCH, EpochNumber, Epochs
@@ -26,7 +26,7 @@
     `on_member_count` is called when `epochs` has a new member count.
     """
 
-    def __init__(self, port: RecoveryPort, epochs: Epochs, on_member_count: Callable[[], None]):
+    def __init__(self, port: RecoveryPort, epochs: Epochs, on_member_count: Callable[[], None]) -> None:
         self._port = port
         self._epochs = epochs
         self._lifetime = LIFETIME_INTERVALS * epochs.heartbeat_interval
--- a/brookhub/recovery/epoch_register.py
+++ b/brookhub/recovery/epoch_register.py
@@ -2,8 +2,8 @@
 
 from __future__ import annotations
 
+from collections.abc import Callable
 from enum import StrEnum
-from typing import Callable
 
 from ..model import Outcome
 from .epochs import MAX_TOKEN, Epochs, RegisterState
@@ -39,7 +39,7 @@
         epochs: Epochs,
         on_epoch_installed: EpochListener,
         on_claim_lost: Callable[[], None],
-    ):
+    ) -> None:
         self._port = port
         self._epochs = epochs
         self._heartbeat_interval = epochs.heartbeat_interval
--- a/brookhub/recovery/epochs.py
+++ b/brookhub/recovery/epochs.py
@@ -61,7 +61,7 @@
     shared clock.
     """
 
-    def __init__(self, slot: int, limiters: int, heartbeat_interval: float):
+    def __init__(self, slot: int, limiters: int, heartbeat_interval: float) -> None:
         self.slot = slot
         self.limiters = max(1, limiters)
         self.heartbeat_interval = heartbeat_interval
--- a/brookhub/recovery/ports.py
+++ b/brookhub/recovery/ports.py
@@ -7,7 +7,8 @@
 
 from __future__ import annotations
 
-from typing import Callable, NewType, Protocol
+from collections.abc import Callable
+from typing import NewType, Protocol
 
 from ..model import Outcome
 from ..ports import CounterCallback
--- a/brookhub/recovery/quota_grant.py
+++ b/brookhub/recovery/quota_grant.py
@@ -18,7 +18,7 @@
     `limiters` is the size of the fleet.
     """
 
-    def __init__(self, port: RecoveryPort, epochs: Epochs, settings: RecoverySettings, limiters: int):
+    def __init__(self, port: RecoveryPort, epochs: Epochs, settings: RecoverySettings, limiters: int) -> None:
         self._port = port
         self._epochs = epochs
         self._max_missing_share = settings.max_missing_share
--- a/brookhub/recovery/replay.py
+++ b/brookhub/recovery/replay.py
@@ -18,7 +18,7 @@
 class LedgerReplay:
     """Sends outstanding units until none are left and the counts are reconciled."""
 
-    def __init__(self, port: RecoveryPort, epochs: Epochs, ledger: Ledger, grant: QuotaGrant):
+    def __init__(self, port: RecoveryPort, epochs: Epochs, ledger: Ledger, grant: QuotaGrant) -> None:
         self._port = port
         self._epochs = epochs
         self._ledger = ledger
--- a/brookhub/routing/clients.py
+++ b/brookhub/routing/clients.py
@@ -202,7 +202,8 @@
         if self._exceeds_request_limits(parsed):
             response.complete(request_codec.encode_rejected(0.0))
             return
-        assert parsed.route_name is not None and parsed.plan_name is not None  # checked by the decoder
+        assert parsed.route_name is not None
+        assert parsed.plan_name is not None
         route = self.decoder.routes[parsed.route_name]
         plan = self.decoder.plans[parsed.plan_name]
         request = ClientRequest(
--- a/brookhub/routing/counter.py
+++ b/brookhub/routing/counter.py
@@ -4,9 +4,9 @@
 
 import socket
 from collections import deque
+from collections.abc import Callable
 from functools import partial
 from time import monotonic
-from typing import Callable
 
 from ..model import Outcome
 from ..ports import CounterCallback
@@ -25,7 +25,7 @@
 
     __slots__ = ("callback", "started_at", "end_offset")
 
-    def __init__(self, callback: CounterCallback | None, started_at: float):
+    def __init__(self, callback: CounterCallback | None, started_at: float) -> None:
         self.callback = callback  # None once it was called, and of a heartbeat
         self.started_at = started_at
         self.end_offset = 0  # bytes queued on the connection up to the end of this call
@@ -44,7 +44,7 @@
     Its thread owns the socket. The event loop's lock guards all fields.
     """
 
-    def __init__(self, client: CounterClient, index: int, reconnector: Reconnector):
+    def __init__(self, client: CounterClient, index: int, reconnector: Reconnector) -> None:
         self.client = client
         self.port = client.port
         self.index = index  # among the client's connections
@@ -186,7 +186,7 @@
         call_timeout: float,
         connections: int,
         read_timeout: float,
-    ):
+    ) -> None:
         """`read_timeout`: after which a counter that answers none of the pending calls is left."""
         self.port = port
         self.create_reconnector = create_reconnector
--- a/brookhub/routing/discovery.py
+++ b/brookhub/routing/discovery.py
@@ -3,8 +3,8 @@
 from __future__ import annotations
 
 import socket
+from collections.abc import Callable, Iterable
 from time import monotonic
-from typing import Callable, Iterable
 
 from ..model import Server, ServerState
 from ..protocol import http, server_list
@@ -27,7 +27,7 @@
     Its thread owns the socket. The event loop's lock guards `stream`.
     """
 
-    def __init__(self, discovery: DiscoveryClient, reconnector: Reconnector):
+    def __init__(self, discovery: DiscoveryClient, reconnector: Reconnector) -> None:
         self.discovery = discovery
         self.port = discovery.port
         self.reconnector = reconnector
@@ -75,7 +75,7 @@
     def on_connected(self, stream: Stream) -> None:
         """The connection is up: ask for the changes since the last known version."""
         self.stream = stream
-        host = "%s:%d" % self.reconnector.address
+        host = server_list.format_address(self.reconnector.address)
         path = f"/v1/servers?stream=1&index={self.discovery.version}"
         stream.enqueue(http.encode_get(host, path))
         if self.reconnector.stopped.is_set():
@@ -107,7 +107,7 @@
         kinds: Iterable[str],
         clock_offset: float,
         read_timeout: float,
-    ):
+    ) -> None:
         """`zones`, `kinds`: their names, by number; names not among them are numbered as they appear.
 
         `clock_offset`: seconds by which discovery's clock is ahead of the monotonic one; `read_timeout`:
--- a/brookhub/routing/event_loop.py
+++ b/brookhub/routing/event_loop.py
@@ -3,9 +3,10 @@
 from __future__ import annotations
 
 from collections import deque
+from collections.abc import Callable
 from threading import Lock
 from time import monotonic
-from typing import Callable, TypeVarTuple
+from typing import TypeVarTuple
 
 from .timers import TimerCallback, TimerQueue
 
@@ -24,7 +25,7 @@
     `lock` guards all fields but `report_error`, and all state of the objects that are told of events.
     """
 
-    def __init__(self, report_error: ErrorReporter, timer_resolution: float):
+    def __init__(self, report_error: ErrorReporter, timer_resolution: float) -> None:
         """`report_error`: called without the lock with each error that no event handled."""
         self.lock = Lock()
         self.now = monotonic()  # s, the time of the present event; it never goes back
--- a/brookhub/routing/fleet_log.py
+++ b/brookhub/routing/fleet_log.py
@@ -18,7 +18,7 @@
 
     INTERVAL = 1.0  # s between two lines at least
 
-    def __init__(self, loop: EventLoop, logger: EventLogger, membership: Membership):
+    def __init__(self, loop: EventLoop, logger: EventLogger, membership: Membership) -> None:
         self._loop = loop
         self._logger = logger
         self._membership = membership
@@ -63,7 +63,7 @@
 
     INTERVAL = 1.0  # s between two checks
 
-    def __init__(self, loop: EventLoop, logger: EventLogger, detector: OutlierDetector):
+    def __init__(self, loop: EventLoop, logger: EventLogger, detector: OutlierDetector) -> None:
         self._loop = loop
         self._logger = logger
         self._detector = detector
@@ -94,7 +94,7 @@
 
     INTERVAL = 5.0  # s between two checks
 
-    def __init__(self, loop: EventLoop, logger: EventLogger, membership: Membership):
+    def __init__(self, loop: EventLoop, logger: EventLogger, membership: Membership) -> None:
         self._loop = loop
         self._logger = logger
         self._membership = membership
--- a/brookhub/routing/ledger_file.py
+++ b/brookhub/routing/ledger_file.py
@@ -18,7 +18,7 @@
     raised: the limiter goes on in memory.
     """
 
-    def __init__(self, path: Path, logger: EventLogger):
+    def __init__(self, path: Path, logger: EventLogger) -> None:
         self._path = path
         self._logger = logger
         self._file: FileIO | None = None
@@ -63,11 +63,11 @@
     def _write_synced(self, data: bytes) -> None:
         """Write a file beside the old one and rename it when the disk has it."""
         new_path = self._path.with_name(self._path.name + ".new")
-        with open(new_path, "wb") as file:
+        with new_path.open("wb") as file:
             file.write(data)
             file.flush()
             os.fsync(file.fileno())
-        os.replace(new_path, self._path)
+        new_path.replace(self._path)
 
     def append(self, data: bytes) -> None:
         """Append records; unbuffered, so that a killed process loses nothing that was appended."""
--- a/brookhub/routing/maintenance.py
+++ b/brookhub/routing/maintenance.py
@@ -85,7 +85,7 @@
         peers: Peers,
         discovery: DiscoveryClient,
         settings: Settings,
-    ):
+    ) -> None:
         """`peers`: whose membership carries the messages; `discovery`: which holds servers back."""
         self.port = port
         self.logger = logger
@@ -115,6 +115,7 @@
         except UnreadableError:
             return self.peers.drop(DropReason.MALFORMED)
         self.core.received(peer, message)
+        return None
 
     def on_request_finished(self, request: Request, duration: float, served: bool) -> None:
         """A request got its final answer after so many seconds (`port.RequestObserver`)."""
--- a/brookhub/routing/peers.py
+++ b/brookhub/routing/peers.py
@@ -7,9 +7,9 @@
 from __future__ import annotations
 
 import socket
+from collections.abc import Callable
 from contextlib import suppress
 from time import monotonic, time
-from typing import Callable
 
 from xxhash import xxh3_64_intdigest
 
@@ -51,7 +51,9 @@
     lock, which guards all fields but those of `dropped`.
     """
 
-    def __init__(self, port: SocketGatewayPort, logger: EventLogger, settings: PeerSettings, seed: int):
+    def __init__(
+        self, port: SocketGatewayPort, logger: EventLogger, settings: PeerSettings, seed: int
+    ) -> None:
         """Raises OSError where the address to listen at cannot be had."""
         self.port = port
         self.logger = logger
@@ -164,7 +166,7 @@
         if handler:
             return handler(peer, data)
         if topic != REPORT_TOPIC or not self.detector:
-            return
+            return None
         try:
             self.detector.on_reports(peer, decode_reports(data))
         except InvalidReportsError:
--- a/brookhub/routing/port.py
+++ b/brookhub/routing/port.py
@@ -6,7 +6,8 @@
 
 from __future__ import annotations
 
-from typing import Callable, Collection, Iterable, Protocol, cast
+from collections.abc import Callable, Collection, Iterable
+from typing import Protocol, cast
 
 from ..model import Attempt, Outcome, Request, Server
 from ..ports import CounterCallback, FleetCoordination
@@ -109,7 +110,7 @@
         report_error: ErrorReporter,
         timer_resolution: float,
         log_suspension: Callable[[float], None] = lambda seconds: None,
-    ):
+    ) -> None:
         """`log_suspension`: called without the lock with the seconds for which this process was suspended."""
         super().__init__(report_error, timer_resolution)
         self.log_suspension = log_suspension
--- a/brookhub/routing/recovery.py
+++ b/brookhub/routing/recovery.py
@@ -5,10 +5,10 @@
 
 from __future__ import annotations
 
+from collections.abc import Callable
 from dataclasses import dataclass
 from pathlib import Path
 from time import monotonic, time
-from typing import Callable
 
 from ..ports import CounterCallback
 from ..recovery import (
@@ -55,7 +55,7 @@
         logger: EventLogger,
         settings: RecoveryDriverSettings,
         random: Callable[[], float],
-    ):
+    ) -> None:
         self._port = port
         self._logger = logger
         self.random = random
--- a/brookhub/routing/timers.py
+++ b/brookhub/routing/timers.py
@@ -2,10 +2,10 @@
 
 from __future__ import annotations
 
+from collections.abc import Callable
 from heapq import heappop, heappush
 from math import inf
 from threading import TIMEOUT_MAX, Lock
-from typing import Callable
 
 TimerCallback = Callable[[], None]
 
@@ -17,7 +17,7 @@
     on the monotonic clock.
     """
 
-    def __init__(self, resolution: float):
+    def __init__(self, resolution: float) -> None:
         """`resolution`: seconds that the timer thread sleeps at least: close timers share a wake-up."""
         self._resolution = resolution
         self._heap: list[tuple[float, int, TimerCallback]] = []  # due at, number in the order of adding
--- a/brookhub/routing/upstreams.py
+++ b/brookhub/routing/upstreams.py
@@ -50,7 +50,7 @@
 
     def __init__(
         self, connections: UpstreamConnections, pool: ConnectionPool, server: Server, attempt: Attempt
-    ):
+    ) -> None:
         self.connections = connections
         self.pool = pool
         self.server = server
@@ -112,7 +112,7 @@
     Its methods but `start` are called under the event loop's lock, which guards all fields.
     """
 
-    def __init__(self, port: SocketGatewayPort, log_end: ConnectionLog, settings: UpstreamSettings):
+    def __init__(self, port: SocketGatewayPort, log_end: ConnectionLog, settings: UpstreamSettings) -> None:
         """`log_end`: called without the lock with the end of each connection."""
         self.port = port
         self.log_end = log_end
