--- a/brookhub/emulator/fleet.py
+++ b/brookhub/emulator/fleet.py
@@ -336,17 +336,15 @@
         """A plan of work has a limiter send nothing to these, whatever the list says."""
         seat = self.seats[index]
         told = [
-            (
-                *entry[:4],
-                ServerState.DRAINING if entry[0] in servers and entry[4] is ServerState.READY else entry[4],
-                *entry[5:],
-            )
+            replace(entry, state=ServerState.DRAINING)
+            if entry.server_id in servers and entry.state is ServerState.READY
+            else entry
             for entry in self.entries()
-            if entry[0] in seat.off ^ servers
+            if entry.server_id in seat.off ^ servers
         ]
         seat.off = set(servers)
         if seat.alive and told:
-            seat.gateway.on_servers_updated(seat.roster.update(told, whole=False))
+            seat.gateway.on_servers_updated(seat.roster.update(told, complete=False))
 
     def restart(self, index: int) -> None:
         """Start a limiter anew in its place."""
--- a/brookhub/emulator/limiter.py
+++ b/brookhub/emulator/limiter.py
@@ -176,8 +176,8 @@
         """The server list, or changes of it, arrive."""
         if self.alive:
             off = [
-                (*entry[:4], ServerState.DRAINING, *entry[5:])
-                if entry[0] in self.off and entry[4] is ServerState.READY
+                replace(entry, state=ServerState.DRAINING)
+                if entry.server_id in self.off and entry.state is ServerState.READY
                 else entry
                 for entry in entries
             ]
--- a/brookhub/emulator/world.py
+++ b/brookhub/emulator/world.py
@@ -16,6 +16,7 @@
 
 from ..config.models import ServerSpec
 from ..model import Outcome, ServerState
+from ..registry import ServerEntry
 
 CONNECT = 0.001  # s until a refused or turned-away try is known: one round trip on a local network
 MODES = ("ok", "slow", "failing", "silent", "dead")
@@ -70,9 +71,9 @@
             error_share=spec.error_share,
         )
 
-    def entry(self) -> tuple:
-        """As discovery tells it: (id, zone, kind, cell, state, weight, up since)."""
-        return (self.id, self.zone, 0, self.cell, self.state, 1.0, self.started_at)
+    def entry(self) -> ServerEntry:
+        """This server in the server list."""
+        return ServerEntry(self.id, self.zone, 0, self.cell, self.state, 1.0, self.started_at)
 
     def capacity(self, now: float) -> float:
         """Places that the server has now, fewer while it is cold."""
--- a/brookhub/registry.py
+++ b/brookhub/registry.py
@@ -1,59 +1,80 @@
-"""What both adapters keep of the world at the door: the servers and customers that ids stand for."""
+"""The servers and customers that ids stand for, as both adapters keep them."""
 
 from __future__ import annotations
 
-from typing import Any, Iterable
+from dataclasses import dataclass
+from typing import Iterable
 from weakref import WeakValueDictionary
 
 from .model import Customer, Server, ServerState
 from .site import Plan
 
 
+@dataclass(frozen=True, slots=True)
+class ServerEntry:
+    """One server in a server list, or its removal where the state is GONE."""
+
+    server_id: int
+    zone: int
+    kind: int
+    cell: int
+    state: ServerState
+    weight: float
+    started_at: float  # s on the gateway's clock; 0: long ago
+
+
 class ServerRegistry:
-    """The servers as the list tells them.
+    """The servers of the server list, by id.
 
-    One that is gone is forgotten; who still holds it sees its last state.
+    A server that is gone is forgotten; whoever still holds it sees the state GONE.
     """
 
     def __init__(self) -> None:
         self.servers: dict[int, Server] = {}
 
-    def update(self, entries: Iterable[tuple[Any, ...]], whole: bool) -> list[Server]:
-        """Take in entries (id, zone, kind, cell, state, weight, start).
+    def update(self, entries: Iterable[ServerEntry], complete: bool) -> list[Server]:
+        """Apply a server list and return the servers it is about.
 
-        Those absent from a whole list are gone.
+        `complete`: the entries are the whole list, and known servers that it lacks are gone. They come last.
         """
-        told = []
-        for ident, zone, kind, cell, state, weight, since in entries:
-            server = self.servers.get(ident)
-            if server is None:
-                server = self.servers[ident] = Server(ident)
-            server.zone, server.kind, server.cell, server.weight = zone, kind, cell, weight
-            server.state, server.started_at = state, since
-            told.append(server)
-            if state is ServerState.GONE:
-                del self.servers[ident]
-        if whole:
-            listed = {server.id for server in told}
-            told += [self.remove(server) for server in list(self.servers.values()) if server.id not in listed]
-        return told
+        updated = [self._apply(entry) for entry in entries]
+        if complete:
+            listed = {server.id for server in updated}
+            missing = [server for server in self.servers.values() if server.id not in listed]
+            updated += [self.remove(server) for server in missing]
+        return updated
+
+    def _apply(self, entry: ServerEntry) -> Server:
+        """Apply one entry; its server."""
+        server = self.servers.get(entry.server_id)
+        if server is None:
+            server = self.servers[entry.server_id] = Server(entry.server_id)
+        server.zone = entry.zone
+        server.kind = entry.kind
+        server.cell = entry.cell
+        server.weight = entry.weight
+        server.state = entry.state
+        server.started_at = entry.started_at
+        if entry.state is ServerState.GONE:
+            del self.servers[entry.server_id]
+        return server
 
     def remove(self, server: Server) -> Server:
-        """Forget a server; who still holds it sees that it is gone."""
+        """Forget a server and set its state to GONE."""
         server.state = ServerState.GONE
         self.servers.pop(server.id, None)
         return server
 
 
 class CustomerRegistry:
-    """The customers that somebody still holds, by their ids."""
+    """The customers with a request or an account, by id; others are forgotten (weak references)."""
 
     def __init__(self) -> None:
-        self.held: WeakValueDictionary[int, Customer] = WeakValueDictionary()
+        self._customers: WeakValueDictionary[int, Customer] = WeakValueDictionary()
 
-    def find(self, ident: int, plan: Plan) -> Customer:
-        """The customer of an id, a new one where nobody holds it."""
-        customer = self.held.get(ident)
+    def find(self, customer_id: int, plan: Plan) -> Customer:
+        """The customer of an id; a new one where none is known."""
+        customer = self._customers.get(customer_id)
         if customer is None:
-            customer = self.held[ident] = Customer(ident, plan)
+            customer = self._customers[customer_id] = Customer(customer_id, plan)
         return customer
--- a/brookhub/settings.py
+++ b/brookhub/settings.py
@@ -1,17 +1,22 @@
-"""Reads the operators' settings into the types of model.py. Unknown keys are skipped."""
+"""Reads the operators' settings, a JSON object, into the types of site.py.
+
+The names of the keys are the operators'; unknown keys are skipped. Times are seconds, quotas are units.
+"""
 
 from __future__ import annotations
 
 import json
-from typing import Any, TypeVar
+from math import inf
+from typing import TypeAlias, TypeVar
 
 from .site import DeduplicationScope, GatewaySettings, Idempotency, Plan, Route
 
 Choice = TypeVar("Choice")
+JsonObject: TypeAlias = dict[str, object]
 
 
 class SettingsError(ValueError):
-    """The settings can't be read: says which one and why."""
+    """A setting that cannot be used; the message names it and says why."""
 
 
 IDEMPOTENCY_BY_NAME = {
@@ -26,18 +31,18 @@
 }
 
 
-def parse_object(text: bytes) -> dict[str, Any]:
+def parse_object(text: bytes) -> JsonObject:
     """The JSON object that a text holds. Raises SettingsError."""
     try:
         settings = json.loads(text)
-    except ValueError as broken:
-        raise SettingsError(f"the settings are not JSON: {broken}") from broken
+    except ValueError as error:
+        raise SettingsError(f"the settings are not JSON: {error}") from error
     if not isinstance(settings, dict):
         raise SettingsError("the settings are not a JSON object")
     return settings
 
 
-def read_section(settings: dict[str, Any], name: str) -> dict[str, Any]:
+def read_section(settings: JsonObject, name: str) -> JsonObject:
     """An object within the settings, empty where it is absent. Raises SettingsError."""
     value = settings.get(name, {})
     if not isinstance(value, dict):
@@ -45,23 +50,23 @@
     return value
 
 
-def read_number(settings: dict[str, Any], name: str, absent: float = 0.0) -> float:
-    """A finite number, `absent` where there is none. Raises SettingsError."""
-    value = settings.get(name, absent)
-    if isinstance(value, bool) or not isinstance(value, (int, float)) or not abs(value) < float("inf"):
+def read_number(settings: JsonObject, name: str, default: float = 0.0) -> float:
+    """A finite number; `default` where the key is absent. Raises SettingsError."""
+    value = settings.get(name, default)
+    if isinstance(value, bool) or not isinstance(value, (int, float)) or not abs(value) < inf:
         raise SettingsError(f"{name} is not a number: {value!r}")
     return value
 
 
-def read_choice(choices: dict[str, Choice], settings: dict[str, Any], name: str, absent: str) -> Choice:
-    """What one of several words stands for. Raises SettingsError."""
-    value = settings.get(name, absent)
+def read_choice(choices: dict[str, Choice], settings: JsonObject, name: str, default: str) -> Choice:
+    """The choice that a word stands for; that of `default` where the key is absent. Raises SettingsError."""
+    value = settings.get(name, default)
     if not isinstance(value, str) or value not in choices:
         raise SettingsError(f"{name} has the unknown value {value!r}")
     return choices[value]
 
 
-def read_objects(settings: dict[str, Any], name: str) -> list[dict[str, Any]]:
+def read_objects(settings: JsonObject, name: str) -> list[JsonObject]:
     """A list of objects, empty where it is absent. Raises SettingsError."""
     value = settings.get(name, [])
     if not isinstance(value, list) or not all(isinstance(item, dict) for item in value):
@@ -69,8 +74,8 @@
     return value
 
 
-def read_routes(settings: dict[str, Any]) -> tuple[Route, ...]:
-    """The kinds of API calls. Raises SettingsError."""
+def read_routes(settings: JsonObject) -> tuple[Route, ...]:
+    """The routes of the site, in the order of their indices on the wire. Raises SettingsError."""
     return tuple(
         Route(
             name=str(item.get("name", index)),
@@ -88,8 +93,8 @@
     )
 
 
-def read_plans(settings: dict[str, Any]) -> tuple[Plan, ...]:
-    """The customers' plans. Raises SettingsError."""
+def read_plans(settings: JsonObject) -> tuple[Plan, ...]:
+    """The customers' plans, in the order of their indices on the wire. Raises SettingsError."""
     return tuple(
         Plan(
             name=str(item.get("name", index)),
@@ -107,9 +112,10 @@
     )
 
 
-def read_gateway_settings(settings: dict[str, Any]) -> GatewaySettings:
-    """What a gateway of the site goes by. Raises SettingsError."""
-    limits, extra = read_section(settings, "limits"), read_section(settings, "extra")
+def read_gateway_settings(settings: JsonObject) -> GatewaySettings:
+    """The settings of one gateway of the site. Raises SettingsError."""
+    limits = read_section(settings, "limits")
+    extra = read_section(settings, "extra")
     rules = read_section(settings, "invariants")
     retry_after = read_number(limits, "max_retry_after_s") if limits.get("retry_after") else 0.0
     try:
@@ -133,5 +139,5 @@
             polls_server_list=settings.get("membership_mode", "pushed") == "on_request",
             server_list_max_age=read_number(rules, "must_ask_in_s"),
         )
-    except ValueError as unusable:
-        raise SettingsError(str(unusable)) from None
+    except ValueError as error:  # GatewaySettings checks its values
+        raise SettingsError(str(error)) from None
--- a/brookhub/simulator/__main__.py
+++ b/brookhub/simulator/__main__.py
@@ -10,8 +10,8 @@
     """Play the decisions on the simulator's wire until it ends; the exit code."""
     try:
         Host(sys.stdin.buffer, sys.stdout.buffer).run()
-    except WireError as broken:
-        print(f"brookhub.simulator: {broken}", file=sys.stderr)
+    except WireError as error:
+        print(f"brookhub.simulator: {error}", file=sys.stderr)
         return 1
     return 0
 
--- /dev/null
+++ b/brookhub/simulator/events.py
@@ -0,0 +1,199 @@
+"""The events that the simulator sends to gateways: their codes on the wire, their layouts and their fields.
+
+Field order is the wire's. Times and durations are seconds; `gateway` is the number of the hosted gateway that
+the event is for; offsets and lengths are bytes of the batch's tail.
+"""
+
+from __future__ import annotations
+
+from struct import Struct
+from typing import NamedTuple, TypeAlias
+
+from ..model import Outcome, ServerState
+
+# The first byte of a record that comes in. Plain integers: reading an enum's member costs three times more.
+COUNTER_ANSWERED = 16
+TIMER_FIRED = 17
+PEER_MESSAGE = 18
+RESPONSE_STARTED = 19
+ATTEMPT_ENDED = 20
+REQUEST_ARRIVED = 21
+GATEWAY_KILLED = 22
+PROBE_ENDED = 23
+CLIENT_DISCONNECTED = 24
+SERVER_LIST = 25
+GATEWAY_LAUNCHED = 26
+
+# What a server list event holds: its scope
+CHANGES = 0
+COMPLETE = 2
+CACHED = 3  # complete, as discovery last had it
+FAILED = 4  # nothing: the list could not be had
+SERVER_LIST_SCOPES = (CHANGES, COMPLETE, CACHED, FAILED)
+
+# Bits of a request's flags
+RETRY_FLAG = 2
+WRITE_FLAG = 4
+
+OUTCOMES = {
+    10: Outcome.OK,
+    20: Outcome.ERROR,
+    30: Outcome.BUSY,
+    40: Outcome.TIMEOUT,
+    50: Outcome.CONNECT_FAILED,
+    60: Outcome.RESET,
+    70: Outcome.CANCELLED,
+    80: Outcome.NOT_SENT,
+}
+FIRST_LOAD_FIELD = 10  # index of `load_1` in AttemptEnded
+SERVER_STATES = {0: ServerState.READY, 1: ServerState.GONE, 2: ServerState.DRAINING}
+
+
+class CounterAnswered(NamedTuple):
+    """The shared counter answered, or did not: the oldest open call for the name has ended."""
+
+    gateway: int
+    name: int
+    outcome: int
+    total: float
+    duration: float
+
+
+class TimerFired(NamedTuple):
+    """A timer is due."""
+
+    gateway: int
+    timer: int
+
+
+class PeerMessage(NamedTuple):
+    """Another gateway sent a message."""
+
+    gateway: int
+    sender: int
+    offset: int
+    length: int
+
+
+class ResponseStarted(NamedTuple):
+    """A server's response began."""
+
+    gateway: int
+    request: int
+    duration: float
+    server: int
+    attempt: int
+
+
+class AttemptEnded(NamedTuple):
+    """An attempt ended. `final`: its response was the request's answer."""
+
+    gateway: int
+    request: int
+    attempt: int
+    server: int
+    outcome: int
+    duration: float
+    final: int
+    capacity_used: int  # as the server reports it, plus 1; 0: not reported
+    charged_units: int
+    load_columns: int  # how many of the load figures are set
+    load_1: float
+    load_2: float
+    load_3: float
+    load_4: float
+
+    @property
+    def load(self) -> tuple[float, ...]:
+        """The figures of the server's load report."""
+        return self[FIRST_LOAD_FIELD : FIRST_LOAD_FIELD + self.load_columns]
+
+
+class RequestArrived(NamedTuple):
+    """A client's request arrived."""
+
+    gateway: int
+    request: int
+    deadline: float
+    units: float
+    plan: int
+    customer: int
+    quota_holders: float  # gateways among which the customer's requests are spread
+    first_gateway: float
+    flags: int
+    route: int
+
+
+class GatewayKilled(NamedTuple):
+    """A gateway ended, with all that it held."""
+
+    gateway: int
+
+
+class ProbeEnded(NamedTuple):
+    """A health check ended."""
+
+    gateway: int
+    outcome: int
+    server: int
+    duration: float
+    load_columns: int
+    load_1: float
+    load_2: float
+    load_3: float
+    load_4: float
+
+
+class ClientDisconnected(NamedTuple):
+    """A client left before its answer."""
+
+    gateway: int
+    request: int
+
+
+class ServerListChanged(NamedTuple):
+    """The server list, or changes of it; the entries are in the batch's tail."""
+
+    gateway: int
+    scope: int
+    version: int
+    offset: int
+    entry_count: int
+
+
+class GatewayLaunched(NamedTuple):
+    """A gateway begins; its settings are in the batch's tail."""
+
+    gateway: int
+    seed: int
+    offset: int
+    length: int
+
+
+Event: TypeAlias = (
+    CounterAnswered
+    | TimerFired
+    | PeerMessage
+    | ResponseStarted
+    | AttemptEnded
+    | RequestArrived
+    | GatewayKilled
+    | ProbeEnded
+    | ClientDisconnected
+    | ServerListChanged
+    | GatewayLaunched
+)
+
+EVENTS: dict[int, tuple[Struct, type[Event]]] = {
+    COUNTER_ANSWERED: (Struct("<IQHfd"), CounterAnswered),
+    TIMER_FIRED: (Struct("<IQ"), TimerFired),
+    PEER_MESSAGE: (Struct("<IIII"), PeerMessage),
+    RESPONSE_STARTED: (Struct("<IQdIH"), ResponseStarted),
+    ATTEMPT_ENDED: (Struct("<IQHIHdBHHB4f"), AttemptEnded),
+    REQUEST_ARRIVED: (Struct("<IQdfHQffBB"), RequestArrived),
+    GATEWAY_KILLED: (Struct("<I"), GatewayKilled),
+    PROBE_ENDED: (Struct("<IHIdB4f"), ProbeEnded),
+    CLIENT_DISCONNECTED: (Struct("<IQ"), ClientDisconnected),
+    SERVER_LIST: (Struct("<IBQII"), ServerListChanged),
+    GATEWAY_LAUNCHED: (Struct("<IQII"), GatewayLaunched),
+}
--- a/tests/test_golden_keys.py
+++ b/tests/test_golden_keys.py
@@ -32,7 +32,7 @@
 from brookhub.config.site import SiteFile
 from brookhub.program import start_file
 from brookhub.settings import read_gateway_settings
-from brookhub.simulator.host import Seat
+from brookhub.simulator.hosted_gateway import HostedGateway
 from golden_cases import GOLDEN, golden_text
 
 ROOT = GOLDEN.parent.parent
@@ -133,7 +133,7 @@
 
 def load_columns(told: dict[str, Any]) -> list[str]:
     """The names of the figures that the simulator's load reports have."""
-    return Seat(1, 0, told["settings"], 0.0, NoReply()).columns
+    return HostedGateway(1, 0, told["settings"], 0.0, NoReply()).load_columns
 
 
 class NoReply:
--- a/tests/test_golden_simulator.py
+++ b/tests/test_golden_simulator.py
@@ -9,6 +9,7 @@
 from collections.abc import Iterator
 
 from brookhub.simulator import frames
+from brookhub.simulator.actions import ACTIONS
 from brookhub.simulator.host import Host
 from golden_cases import assert_golden, golden_bytes, golden_text
 
@@ -126,10 +127,10 @@
 def test_every_kind_of_action_has_the_golden_bytes() -> None:
     values = {"B": 3, "H": 1000, "I": 70_000, "Q": 2**40, "f": 0.5, "d": 1.25}
     actual = {}
-    for code, layout in sorted(frames.ACTIONS.items()):
+    for code, layout in sorted(ACTIONS.items()):
         reply = frames.Reply(code)
         reply.add(code, *(values[kind] for kind in layout.format[2:]))
-        assert reply.keep(b"tail") == (0, 4)
+        assert reply.append_to_tail(b"tail") == (0, 4)
         actual[str(code)] = reply.encode()
     assert_golden("simulator_actions.jsonl", actual)
 
@@ -137,7 +138,7 @@
 def test_a_fault_of_a_gateway_is_answered_with_its_traceback() -> None:
     host, outbound = Host(io.BytesIO(dict(session())["launch"]), io.BytesIO()), io.BytesIO()
     host.run()
-    host.seats[GATEWAY].gateway = None
+    host.gateways[GATEWAY].gateway = None
     host.source, host.sink = io.BytesIO(frame(2, 100.0, [arrival(1, 102.0)])), outbound
     host.run()
     answer = outbound.getvalue()
