--- a/benchmarks/cold_sum.py
+++ b/benchmarks/cold_sum.py
@@ -18,7 +18,7 @@
 
 from brookhub.config import Experiment
 from brookhub.emulator import Fleet
-from brookhub.emulator.world import ServerModel
+from brookhub.emulator.server_model import ServerModel
 from brookhub.experiments.processes import ProcessLab
 
 LATEST = 0.9  # s after which the last limiter hears of a start
@@ -72,7 +72,7 @@
 
     def changed(models) -> None:
         entries = [model.entry() for model in models]
-        for seat in fleet.seats:
+        for seat in fleet.limiters:
             seat.later(delays.uniform(0.05, LATEST), lambda seat=seat: seat.servers(entries, whole=False))
 
     fleet.discovery.changed = changed
--- a/brookhub/commands/lab.py
+++ b/brookhub/commands/lab.py
@@ -41,7 +41,7 @@
     strict: bool | None,
 ) -> None:
     """Play one experiment (without sweep) in the emulator; prints its metrics as JSON."""
-    from ..emulator import Fleet, RuleBrokenError
+    from ..emulator import Fleet, InvariantViolationError
     from ..experiments.sweep import with_value
 
     spec = experiment_or_default(experiment)
@@ -53,11 +53,11 @@
         spec = with_value(spec, "strict", strict)
     try:
         result = Fleet(spec, seed=seed).run()
-    except RuleBrokenError as broken:
-        click.echo(str(broken), err=True)
+    except InvariantViolationError as violation:
+        click.echo(str(violation), err=True)
         sys.exit(BROKEN)
     click.echo(json.dumps(result.metrics(), sort_keys=True))
-    sys.exit(BROKEN if result.broken and spec.strict else 0)
+    sys.exit(BROKEN if result.violations and spec.strict else 0)
 
 
 @click.command()
@@ -127,7 +127,7 @@
         with open(folder / sweeping.RESULTS, "a") as sink:
             sink.write(json.dumps(row, sort_keys=True) + "\n")
         click.echo(json.dumps(outcome.metrics(), sort_keys=True))
-        any_broken = any_broken or bool(outcome.result.broken)
+        any_broken = any_broken or bool(outcome.result.violations)
     sys.exit(BROKEN if any_broken else 0)
 
 
--- /dev/null
+++ b/brookhub/emulator/discovery.py
@@ -0,0 +1,35 @@
+"""Discovery: pushes each change of the server list to all limiters."""
+
+from __future__ import annotations
+
+from functools import partial
+from typing import Callable, Iterable, Protocol, Sequence
+
+from ..registry import RegistryEntry
+from .engine import Engine
+from .server_model import ServerModel
+
+
+class ServerListReader(Protocol):
+    """A limiter as discovery sees it."""
+
+    def later(self, seconds: float, callback: Callable[[], None]) -> None:
+        """Call back after so many seconds."""
+
+    def on_server_list(self, entries: list[RegistryEntry], complete: bool) -> None:
+        """Handle a server list, or changes of it."""
+
+
+class EmulatedDiscovery:
+    """Pushes changes, which reach each limiter `delay` seconds later."""
+
+    def __init__(self, engine: Engine, delay: float) -> None:
+        self.engine = engine
+        self.delay = delay
+        self.limiters: Sequence[ServerListReader] = []
+
+    def publish(self, models: Iterable[ServerModel]) -> None:
+        """Push the present state of these servers."""
+        entries = [model.registry_entry() for model in models]
+        for limiter in self.limiters:
+            limiter.later(self.delay, partial(limiter.on_server_list, entries, False))
--- a/brookhub/emulator/faults.py
+++ b/brookhub/emulator/faults.py
@@ -1,48 +1,80 @@
-"""Faults of an experiment, played on an emulated fleet. Each clears itself after its time."""
+"""Plays the faults of an experiment on an emulated fleet. Each ends by itself after its time."""
 
 from __future__ import annotations
 
 import random
-from typing import Any, Callable, Sequence
+from functools import partial
+from typing import Callable, Protocol, Sequence, TypeVar
 
 from ..config.models import FaultSpec
 from ..model import ServerState
-from .limiter import Seat
-from .world import ServerModel
+from ..site import Route
+from .counter import EmulatedCounter
+from .discovery import EmulatedDiscovery
+from .engine import Engine
+from .invariants import InvariantChecker
+from .limiter import EmulatedLimiter
+from .peers import PeerNetwork, member_name
+from .server_model import ServerMode, ServerModel
+from .servers import EmulatedServer, EmulatedServers
 
-RESTART_AFTER = 1.0  # s a restarted limiter is away: a process start
+RESTART_TIME = 1.0  # s that a restarted limiter is away: a process start
+DRAIN_MARGIN = 0.1  # s after the longest client timeout that a draining limiter ends
 
+Item = TypeVar("Item")
 
-def pick_share(chance: random.Random, items: Sequence[Any], share: float) -> list[Any]:
-    """A share of the items by chance: one at least, none where the share is 0."""
+
+def pick_share(rng: random.Random, items: Sequence[Item], share: float) -> list[Item]:
+    """A share of the items at random: at least one, none where the share is 0."""
     count = min(len(items), max(1, round(share * len(items)))) if share else 0
-    return chance.sample(items, count)
+    return rng.sample(items, count)
+
+
+class FaultTarget(Protocol):
+    """What faults are played on (fleet.Fleet)."""
+
+    engine: Engine
+    rng: random.Random
+    checker: InvariantChecker
+    routes: list[Route]
+    limiters: list[EmulatedLimiter]
+    servers: EmulatedServers
+    counter: EmulatedCounter
+    discovery: EmulatedDiscovery
+    network: PeerNetwork | None
+
+    def restart(self, index: int) -> None:
+        """Start a limiter anew."""
+
+    def add_server(self, replaced: ServerModel) -> EmulatedServer:
+        """Start a cold server in the place of another one."""
 
 
 class FaultPlayer:
-    """Plays faults on a `fleet.Fleet`; chance is the fleet's own, so that a run can be repeated."""
+    """Plays faults. What they hit is drawn from the fleet's own generator, so that a run can be repeated."""
 
-    def __init__(self, fleet: Any) -> None:
-        self.fleet, self.engine = fleet, fleet.engine
+    def __init__(self, fleet: FaultTarget) -> None:
+        self.fleet = fleet
+        self.engine = fleet.engine
         self.actions: dict[str, Callable[[FaultSpec], None]] = {
             "kill_limiters": self.kill_limiters,
             "restart_limiters": self.kill_limiters,
-            "term_limiters": self.end_limiters,
-            "stall_limiters": self.stall_limiters,
-            "split_limiters": self.hurt_peers,
-            "cut_peers": self.hurt_peers,
-            "lose_packets": self.hurt_peers,
+            "term_limiters": self.drain_limiters,
+            "stall_limiters": self.suspend_limiters,
+            "split_limiters": self.partition_peers,
+            "cut_peers": self.partition_peers,
+            "lose_packets": self.lose_datagrams,
             "cut_links": self.cut_links,
             "drain_servers": self.drain_servers,
             "replace_servers": self.drain_servers,
-            "zone_lost": self.lose_zone,
-            "slow_servers": self.spoil_servers,
-            "failing_servers": self.spoil_servers,
-            "silent_servers": self.spoil_servers,
+            "zone_lost": self.stop_zone,
+            "slow_servers": self.set_server_mode,
+            "failing_servers": self.set_server_mode,
+            "silent_servers": self.set_server_mode,
             "counter_down": self.stop_counter,
             "counter_wipe": lambda fault: self.fleet.counter.wipe(),
             "counter_lose": lambda fault: self.fleet.counter.lose(fault.share),
-            "counter_swap": self.swap_counter,
+            "counter_swap": self.replace_counter,
             "counter_late": self.delay_counter,
             "counter_split": self.split_counter,
             "lose_answers": self.lose_answers,
@@ -50,161 +82,169 @@
 
     def schedule(self, fault: FaultSpec) -> None:
         """Play a fault at its time."""
-        self.engine.at(fault.at_s, lambda: self.play(fault))
+        self.engine.call_at(fault.at_s, lambda: self.play(fault))
 
     def play(self, fault: FaultSpec) -> None:
         """Play a fault now. Raises ValueError for one that only processes can have."""
-        referee = self.fleet.referee
-        referee.now = self.engine.now
-        referee.note("fault", fault.action, fault.share, fault.zone, fault.for_s)
+        checker = self.fleet.checker
+        checker.now = self.engine.now
+        checker.record("fault", fault.action, fault.share, fault.zone, fault.for_s)
         action = self.actions.get(fault.action)
         if action is None:
             raise ValueError(f"{fault.action}: not played in the emulator, only on processes")
         action(fault)
 
-    def pick(self, items: Sequence[Any], share: float) -> list[Any]:
-        """A share of the items by the fleet's chance."""
+    def _pick(self, items: Sequence[Item], share: float) -> list[Item]:
+        """A share of the items by the fleet's generator."""
         return pick_share(self.fleet.rng, items, share)
 
-    def living(self) -> list[Seat]:
-        """The limiters that run."""
-        return [seat for seat in self.fleet.seats if seat.alive]
+    def _running_limiters(self) -> list[EmulatedLimiter]:
+        return [limiter for limiter in self.fleet.limiters if limiter.is_alive]
 
-    def models(self) -> list[ServerModel]:
+    def _all_servers(self) -> list[EmulatedServer]:
         """All servers that there have been."""
         return list(self.fleet.servers.models.values())
 
     # limiters
 
     def kill_limiters(self, fault: FaultSpec) -> None:
-        """At one moment, with all that they hold."""
-        for seat in self.pick(self.living(), fault.share):
-            seat.kill()
+        """Kill limiters with all that they hold; `restart_limiters` starts them again."""
+        for limiter in self._pick(self._running_limiters(), fault.share):
+            limiter.kill()
             if fault.action == "restart_limiters":
-                self.engine.after(RESTART_AFTER, lambda index=seat.index: self.fleet.restart(index))
-
-    def end_limiters(self, fault: FaultSpec) -> None:
-        """As planned: no new requests; gone when the longest one's time is over, then back."""
-        longest = max(route.client_timeout for route in self.fleet.routes)
-        for seat in self.pick(self.living(), fault.share):
-            seat.closing = True
-            if seat.peer:
-                seat.peer.core.leave()
-            self.engine.after(longest + 0.1, lambda seat=seat: self.replace_limiter(seat))
-
-    def replace_limiter(self, seat: Seat) -> None:
-        """End a limiter and start it anew."""
-        seat.kill()
-        self.engine.after(RESTART_AFTER, lambda: self.fleet.restart(seat.index))
-
-    def stall_limiters(self, fault: FaultSpec) -> None:
-        """They stand still for a while, as a stopped process does."""
-        for seat in self.pick(self.living(), fault.share):
-            seat.wakes = self.engine.now + fault.for_s
-            if seat.peer:
-                seat.peer.wakes = seat.wakes
+                self._restart_later(limiter)
+
+    def drain_limiters(self, fault: FaultSpec) -> None:
+        """Restart limiters gracefully: no new requests, gone when the longest request's time is over."""
+        drain_time = max(route.client_timeout for route in self.fleet.routes) + DRAIN_MARGIN
+        for limiter in self._pick(self._running_limiters(), fault.share):
+            limiter.is_draining = True
+            if limiter.member:
+                limiter.member.core.leave()
+            self.engine.call_later(drain_time, partial(self._replace_limiter, limiter))
+
+    def _replace_limiter(self, limiter: EmulatedLimiter) -> None:
+        limiter.kill()
+        self._restart_later(limiter)
+
+    def _restart_later(self, limiter: EmulatedLimiter) -> None:
+        self.engine.call_later(RESTART_TIME, lambda: self.fleet.restart(limiter.index))
+
+    def suspend_limiters(self, fault: FaultSpec) -> None:
+        """Stop limiters for a while, as processes are stopped."""
+        for limiter in self._pick(self._running_limiters(), fault.share):
+            limiter.suspend(fault.for_s)
 
     # links
 
-    def hurt_peers(self, fault: FaultSpec) -> None:
-        """Datagrams between limiters are lost, or do not pass between two sides."""
-        net = self.fleet.net
-        if not net:
+    def _peer_network(self, fault: FaultSpec) -> PeerNetwork:
+        """The links between limiters. Raises ValueError where the fleet has no membership."""
+        if not self.fleet.network:
             raise ValueError(f"{fault.action}: the experiment's fleet has no membership, so no peer links")
-        if fault.action == "lose_packets":
-            net.loss = net.doubled = net.reordered = fault.share
-        else:
-            side = {f"n{seat.index}" for seat in self.pick(self.fleet.seats, fault.share)}
-            net.apart = lambda a, b: (
-                (fault.way != "back" and a in side and b not in side)
-                or (fault.way != "forward" and b in side and a not in side)
-            )
-        self.engine.after(fault.for_s, self.heal_peers)
-
-    def heal_peers(self) -> None:
-        """All datagrams arrive again."""
-        net = self.fleet.net
-        net.loss = net.doubled = net.reordered = 0.0
-        net.apart = None
+        return self.fleet.network
+
+    def lose_datagrams(self, fault: FaultSpec) -> None:
+        """Lose, duplicate and reorder a share of the datagrams between limiters."""
+        network = self._peer_network(fault)
+        network.set_noise(fault.share)
+        self.engine.call_later(fault.for_s, network.heal)
+
+    def partition_peers(self, fault: FaultSpec) -> None:
+        """Let no datagrams pass between two sides, or only in one direction."""
+        network = self._peer_network(fault)
+        side = {member_name(limiter.index) for limiter in self._pick(self.fleet.limiters, fault.share)}
+
+        def is_blocked(source: str, peer: str) -> bool:
+            leaves = source in side and peer not in side
+            enters = peer in side and source not in side
+            return (fault.way != "back" and leaves) or (fault.way != "forward" and enters)
+
+        network.is_blocked = is_blocked
+        self.engine.call_later(fault.for_s, network.heal)
 
     def cut_links(self, fault: FaultSpec) -> None:
-        """Links from limiters to servers carry nothing."""
-        for seat in self.fleet.seats:
-            for model in self.models():
+        """Cut a share of the links from limiters to servers."""
+        for limiter in self.fleet.limiters:
+            for model in self._all_servers():
                 if self.fleet.rng.random() < fault.share:
-                    seat.cut[model.id] = self.engine.now + fault.for_s
+                    limiter.unreachable_until[model.id] = self.engine.now + fault.for_s
 
     # servers
 
     def drain_servers(self, fault: FaultSpec) -> None:
-        """They drain and are gone after a while, replaced by cold ones where the action says so."""
-        ready = [model for model in self.models() if model.state is ServerState.READY]
-        drained = self.pick(ready, fault.share)
+        """Drain servers, which are gone afterwards; `replace_servers` starts cold ones in their places."""
+        ready = [model for model in self._all_servers() if model.state is ServerState.READY]
+        drained = self._pick(ready, fault.share)
         for model in drained:
-            model.state, model.drained_at = ServerState.DRAINING, self.engine.now
-        self.fleet.discovery.changed(drained)
-        replaced = fault.action == "replace_servers"
-        self.engine.after(fault.for_s, lambda: self.remove_servers(drained, replaced))
+            model.state = ServerState.DRAINING
+            model.drained_at = self.engine.now
+        self.fleet.discovery.publish(drained)
+        are_replaced = fault.action == "replace_servers"
+        self.engine.call_later(fault.for_s, lambda: self._remove_servers(drained, are_replaced))
 
-    def remove_servers(self, drained: list[ServerModel], replaced: bool) -> None:
-        """They are gone."""
+    def _remove_servers(self, drained: list[EmulatedServer], are_replaced: bool) -> None:
         for model in drained:
             model.state = ServerState.GONE
-        fresh = [self.fleet.add_server(model) for model in drained] if replaced else []
-        self.fleet.discovery.changed(drained + fresh)
-
-    def lose_zone(self, fault: FaultSpec) -> None:
-        """All servers of a zone are dead for a while and come back cold."""
-        lost = [model for model in self.models() if model.zone == fault.zone]
-        for model in lost:
-            model.mode = "dead"
-        self.engine.after(fault.for_s, lambda: self.return_servers(lost))
-
-    def return_servers(self, lost: list[ServerModel]) -> None:
-        """Dead servers are back, and cold."""
-        for model in lost:
-            model.mode, model.started_at = "ok", self.engine.now
-        self.fleet.discovery.changed(lost)
-
-    def spoil_servers(self, fault: FaultSpec) -> None:
-        """They are slow, fail or stay silent for a while."""
-        hit = self.pick(self.models(), fault.share)
-        for model in hit:
-            model.mode, model.slow_factor = fault.action.removesuffix("_servers"), fault.factor
-        self.engine.after(fault.for_s, lambda: self.mend_servers(hit))
-
-    def mend_servers(self, hit: list[ServerModel]) -> None:
-        """They work as they should again."""
-        for model in hit:
-            model.mode = "ok"
+        started = [self.fleet.add_server(model) for model in drained] if are_replaced else []
+        self.fleet.discovery.publish(drained + started)
+
+    def stop_zone(self, fault: FaultSpec) -> None:
+        """Stop all servers of a zone for a while; they come back cold."""
+        stopped = [model for model in self._all_servers() if model.zone == fault.zone]
+        for model in stopped:
+            model.mode = ServerMode.DEAD
+        self.engine.call_later(fault.for_s, lambda: self._restart_servers(stopped))
+
+    def _restart_servers(self, stopped: list[EmulatedServer]) -> None:
+        for model in stopped:
+            model.restart(self.engine.now)
+        self.fleet.discovery.publish(stopped)
+
+    def set_server_mode(self, fault: FaultSpec) -> None:
+        """Make servers slow, failing or silent for a while."""
+        faulty = self._pick(self._all_servers(), fault.share)
+        for model in faulty:
+            model.mode = ServerMode(fault.action.removesuffix("_servers"))
+            model.slow_factor = fault.factor
+        self.engine.call_later(fault.for_s, lambda: self._repair_servers(faulty))
+
+    def _repair_servers(self, faulty: list[EmulatedServer]) -> None:
+        for model in faulty:
+            model.mode = ServerMode.OK
 
     # the counter
 
     def stop_counter(self, fault: FaultSpec) -> None:
-        """It answers nothing for a while."""
-        self.fleet.counter.down = True
-        self.engine.after(fault.for_s, lambda: setattr(self.fleet.counter, "down", False))
+        """Let the counter answer nothing for a while."""
+        self._set_counter_down(True)
+        self.engine.call_later(fault.for_s, lambda: self._set_counter_down(False))
 
-    def swap_counter(self, fault: FaultSpec) -> None:
-        """An empty one takes its place for a while."""
-        self.engine.after(fault.for_s, self.fleet.counter.swap())
+    def _set_counter_down(self, is_down: bool) -> None:
+        self.fleet.counter.is_down = is_down
+
+    def replace_counter(self, fault: FaultSpec) -> None:
+        """Put an empty counter instance in place for a while."""
+        restore = self.fleet.counter.replace_instance()
+        self.engine.call_later(fault.for_s, restore)
 
     def delay_counter(self, fault: FaultSpec) -> None:
-        """It answers later for a while."""
-        counter = self.fleet.counter
-        counter.delay += fault.delay_s
-        self.engine.after(fault.for_s, lambda: setattr(counter, "delay", counter.delay - fault.delay_s))
+        """Let the counter answer later for a while."""
+        self._change_counter_delay(fault.delay_s)
+        self.engine.call_later(fault.for_s, lambda: self._change_counter_delay(-fault.delay_s))
+
+    def _change_counter_delay(self, seconds: float) -> None:
+        self.fleet.counter.delay += seconds
 
     def split_counter(self, fault: FaultSpec) -> None:
-        """Half of the limiters reach another one for a while."""
-        self.fleet.counter.split(True)
-        self.engine.after(fault.for_s, lambda: self.fleet.counter.split(False))
+        """Let half of the limiters reach another counter instance for a while."""
+        self.fleet.counter.split()
+        self.engine.call_later(fault.for_s, self.fleet.counter.heal)
 
     def lose_answers(self, fault: FaultSpec) -> None:
-        """Answers of servers and counter get lost for a while."""
-        self.set_lost_share(fault.share)
-        self.engine.after(fault.for_s, lambda: self.set_lost_share(0.0))
+        """Lose a share of the answers of servers and counter for a while."""
+        self._set_lost_share(fault.share)
+        self.engine.call_later(fault.for_s, lambda: self._set_lost_share(0.0))
 
-    def set_lost_share(self, share: float) -> None:
-        """So many of the answers get lost from now on."""
-        self.fleet.servers.lost_share = self.fleet.counter.lost_share = share
+    def _set_lost_share(self, share: float) -> None:
+        self.fleet.servers.lost_share = share
+        self.fleet.counter.lost_share = share
--- a/brookhub/emulator/limiter.py
+++ b/brookhub/emulator/limiter.py
@@ -1,7 +1,7 @@
-"""One emulated limiter: the real policy.Gateway behind a Port whose clock is the engine's.
+"""One emulated limiter: the real policy.Gateway behind a port whose clock is the engine's.
 
-The same port the sockets program and the drill implement (ports.GatewayPort); only the world behind it is a
-model.
+It implements the same port as the sockets program and the simulator's adapter (ports.GatewayPort); what is
+behind it is a model.
 """
 
 from __future__ import annotations
@@ -10,57 +10,73 @@
 from dataclasses import replace
 from typing import Callable
 
-from ..model import Attempt, Outcome, Request, Server, ServerState
+from ..config.models import CounterSpec
+from ..coordination import SharedEjections
+from ..model import Answer, Attempt, Outcome, Request, Server, ServerState
 from ..ports import CounterCallback
 from ..recovery import Ledger, Recovery
 from ..recovery import Settings as RecoverySettings
-from ..registry import CustomerRegistry, ServerRegistry
+from ..registry import CustomerRegistry, RegistryEntry, ServerRegistry
 from ..site import GatewaySettings
+from .environment import Environment, RecoveryEvent
+from .peers import EmulatedMember
 
-CONNECT_WITHIN = 0.25  # s that a dial over a cut link is waited for
+CONNECT_TIMEOUT = 0.25  # s after which a connection attempt over a cut link is given up
 
 
-class Counted:
-    """Recovery's port at a seat: one calendar for all, the simulated time."""
+class RecoveryAdapter:
+    """The port of a limiter's recovery; all share one wall clock, the simulated time."""
 
-    def __init__(self, seat: "Seat", rng: random.Random):
-        self.seat, self.chance = seat, rng.random
-        self.add, self.later = seat.add, seat.later
+    def __init__(self, limiter: EmulatedLimiter, rng: random.Random) -> None:
+        self.limiter = limiter
+        self.chance = rng.random
+        self.add = limiter.add_at_instance
+        self.later = limiter.later
 
     def now(self) -> float:
         """Simulated seconds."""
-        return self.seat.now
+        return self.limiter.now
 
     clock = now
 
     def grant(self, part: float) -> None:
-        """Tell the decisions which part of each quota is granted."""
-        self.seat.gateway.on_granted_share_changed(part)
+        """Have the decisions grant a share of each quota."""
+        self.limiter.gateway.on_granted_share_changed(part)
 
-    def log(self, event: str, **facts) -> None:
-        """Note an event."""
-        self.seat.fleet.heard.append((self.seat.now, self.seat.index, event, facts))
+    def log(self, event: str, **facts: object) -> None:
+        """Keep an event."""
+        environment = self.limiter.environment
+        environment.recovery_log.append(RecoveryEvent(self.now(), self.limiter.index, event, facts))
 
 
-class Seat:
-    """A limiter's place in the fleet.
+class EmulatedLimiter:
+    """A limiter of the fleet, and the port of its decisions.
 
-    After `kill()` nothing it scheduled runs, and its API calls are lost.
+    After `kill()` nothing that it scheduled runs, and its requests are lost. While it is suspended, as a
+    stopped process is, nothing of it runs; what arrives is handled afterwards, in order.
     """
 
-    def __init__(self, fleet, index: int, zone: int, seed: int, settings: GatewaySettings):
-        self.fleet, self.engine, self.index, self.zone = fleet, fleet.engine, index, zone
-        # While stalled nothing of it runs; what came waits, in order
-        self.alive, self.closing, self.wakes = True, False, 0.0
+    def __init__(
+        self, environment: Environment, index: int, zone: int, seed: int, settings: GatewaySettings
+    ) -> None:
+        self.environment = environment
+        self.engine = environment.engine
+        self.index = index
+        self.zone = zone
+        self.is_alive = True
+        self.is_draining = False  # gets no new requests
+        self.suspended_until = 0.0
         self.recovery: Recovery | None = None
-        # Its membership's place and its part in the shared ejections, where the fleet has them
-        self.peer = self.ejections = None
-        self.off: set[int] = set()  # servers that a plan of work keeps it off
-        self.cut: dict[int, float] = {}  # servers that its links do not reach, each until when (s)
-        self.roster, self.customers = ServerRegistry(), CustomerRegistry()
-        self.calls: dict[int, Request] = {}
-        self.logged = self.asked = self.served = 0
-        self.gateway = fleet.decisions.Gateway(self, seed, replace(settings, index=index))
+        self.member: EmulatedMember | None = None  # its membership
+        self.ejections: SharedEjections | None = None
+        self.withheld_servers: set[int] = set()  # ids that a maintenance plan withholds traffic from
+        self.unreachable_until: dict[int, float] = {}  # by the id of the server that a cut link leads to
+        self.registry = ServerRegistry()
+        self.customers = CustomerRegistry()
+        self.requests: dict[int, Request] = {}
+        self.received = 0
+        self.served = 0
+        self.gateway = environment.create_gateway(self, seed, replace(settings, index=index, zone=zone))
 
     @property
     def now(self) -> float:
@@ -69,158 +85,162 @@
 
     def kill(self) -> None:
         """End it, with all that it holds."""
-        self.alive = False
-        if self.peer:
-            self.peer.kill()
-        for request in self.calls.values():
-            self.fleet.lost(request)
-        self.calls.clear()
+        self.is_alive = False
+        if self.member:
+            self.member.kill()
+        for request in self.requests.values():
+            self.environment.accounting.on_lost(request)
+        self.requests.clear()
+
+    def suspend(self, seconds: float) -> None:
+        """Stop it for so long, as a process is stopped."""
+        self.suspended_until = self.engine.now + seconds
+        if self.member:
+            self.member.suspended_until = self.suspended_until
+
+    def start_recovery(self, spec: CounterSpec, limiters: int, ledger: Ledger | None) -> Ledger:
+        """Put recovery between the decisions and the counter; returns its ledger."""
+        rng = random.Random(f"recovery/{self.environment.seed}/{self.index}/{self.now}")
+        port = RecoveryAdapter(self, rng)
+        self.recovery = Recovery(port, self.index, limiters, RecoverySettings(spec.beat_s), ledger)
+        self.recovery.start()
+        return self.recovery.ledger
 
-    # the port
+    # ports.GatewayPort
 
     def start_attempt(self, request: Request, server: Server, timeout: float) -> Attempt:
-        """Begin an attempt (ports.GatewayPort)."""
-        model = self.fleet.servers.models[server.id]
-        self.fleet.referee.note("send", self.index, request.id, server.id, len(request.attempts))
-        self.fleet.referee.sending(
-            request, server, self.fleet.second_copies, model.drained_at, self.fleet.grace
-        )
-        one = Attempt(request, server, len(request.attempts), self.now)
-        request.attempts.append(one)
-        left = request.deadline - self.now
-        left = min(timeout, left) if timeout > 0 else left
-        if self.now < self.cut.get(server.id, 0.0):  # a dial that never comes up
-            self.later(min(left, CONNECT_WITHIN), lambda: self.end_try(one, Outcome.CONNECT_FAILED))
+        """Send a request to a server."""
+        environment = self.environment
+        model = environment.servers.models[server.id]
+        environment.checker.record("send", self.index, request.id, server.id, len(request.attempts))
+        environment.checker.check_attempt(request, server, model.drained_at)
+        attempt = Attempt(request, server, len(request.attempts), self.now)
+        request.attempts.append(attempt)
+        time_left = request.deadline - self.now
+        if timeout > 0:
+            time_left = min(timeout, time_left)
+        if self.now < self.unreachable_until.get(server.id, 0.0):
+            connect_timeout = min(time_left, CONNECT_TIMEOUT)
+            self.later(connect_timeout, lambda: self.end_attempt(attempt, Outcome.CONNECT_FAILED))
         else:
-            self.fleet.servers.take(one, self)
-        self.later(left, lambda: self.give_up(one, Outcome.TIMEOUT))
-        return one
+            environment.servers.receive(attempt, self)
+        self.later(time_left, lambda: self._time_out(attempt))
+        return attempt
 
     def cancel_attempt(self, attempt: Attempt) -> None:
-        """Give an attempt up (ports.GatewayPort)."""
+        """Stop waiting for an attempt."""
         if attempt.outcome is None:
-            self.fleet.servers.abandon(attempt)
-            self.later(0.0, lambda: self.end_try(attempt, Outcome.CANCELLED))
+            self.environment.servers.cancel(attempt)
+            self.later(0.0, lambda: self.end_attempt(attempt, Outcome.CANCELLED))
 
     def reject_request(self, request: Request, retry_after: float) -> None:
-        """Refuse a request (ports.GatewayPort)."""
-        self.fleet.referee.rate_limiting(request)
-        self.fleet.answer(self, request, "rate-limited", retry_after)
-        self.release(request)
+        """Reject a request."""
+        self.environment.checker.check_rejection(request)
+        self.environment.accounting.on_answer(self, request, Answer.REJECTED, retry_after)
+        self._forget_if_finished(request)
 
     def fail_request(self, request: Request) -> None:
-        """Tell that a request failed (ports.GatewayPort)."""
-        self.fleet.answer(self, request, "errored")
-        self.release(request)
-
-    def release(self, request: Request) -> None:
-        """Forget an answered call once none of its tries is out (one refused unsent was kept for ever)."""
-        if all(one.outcome for one in request.attempts):
-            self.calls.pop(request.id, None)
+        """Answer that a request failed."""
+        self.environment.accounting.on_answer(self, request, Answer.FAILED)
+        self._forget_if_finished(request)
 
     def add_to_counter(self, name: int, amount: float, lifetime: float, callback: CounterCallback) -> None:
-        """Add to a count (ports.GatewayPort)."""
-        (self.recovery.count if self.recovery else self.add)(name, amount, lifetime, callback)
-
-    def add(self, name: int, amount: float, lifetime: float, callback: CounterCallback) -> None:
-        """Add to a count at the counter."""
-        self.fleet.counter.count(self, name, amount, lifetime, callback)
-
-    def recover(self, spec, limiters: int, ledger: Ledger | None) -> None:
-        """Recovery between the decisions and the counter; its port is this seat."""
-        self.recovery = Recovery(
-            Counted(self, random.Random(f"recovery/{self.fleet.seed}/{self.index}/{self.now}")),
-            self.index,
-            limiters,
-            RecoverySettings(spec.beat_s),
-            ledger,
-        )
-        self.recovery.start()
-
-    def probe(self, server: Server) -> None:
-        """Unused by the decisions today (docs/emulator.md): no probe is modelled."""
-
-    def tell(self, peer: int | None, data: bytes) -> None:
-        """Unused by the decisions today: gateways learn of each other through the counter."""
+        """Add to a named count, by way of recovery where it is on."""
+        if self.recovery:
+            self.recovery.count(name, amount, lifetime, callback)
+        else:
+            self.add_at_instance(name, amount, lifetime, callback)
 
-    def close_idle(self, server: Server) -> None:
-        """Connections are not modelled."""
+    def add_at_instance(self, name: int, amount: float, lifetime: float, callback: CounterCallback) -> None:
+        """Add to a named count of the counter instance that this limiter reaches."""
+        self.environment.counter.add(self, name, amount, lifetime, callback)
 
     def watch_servers(self, on: bool) -> None:
-        """Discovery pushes every change to every living limiter."""
-
-    def fetch_servers(self) -> None:
-        """Ask for the whole server list (ports.GatewayPort)."""
-        self.later(self.fleet.discovery.delay, lambda: self.servers(self.fleet.entries(), whole=True))
+        """Nothing to do: discovery pushes every change to every limiter."""
 
     def later(self, seconds: float, callback: Callable[[], None]) -> None:
-        """Call back after so many seconds, once it is awake."""
-        self.engine.after(seconds, lambda: self.when_awake(callback))
+        """Call back after so many seconds, once it is not suspended."""
+        self.engine.call_later(seconds, lambda: self._call_when_running(callback))
 
-    def when_awake(self, callback: Callable[[], None]) -> None:
-        """Call back now, or once it is awake."""
-        if not self.alive:
+    def _call_when_running(self, callback: Callable[[], None]) -> None:
+        """Call back now, or at the end of its suspension; never once it was killed."""
+        if not self.is_alive:
             return
-        if self.engine.now < self.wakes:
-            self.engine.at(self.wakes, lambda: self.when_awake(callback))
+        if self.engine.now < self.suspended_until:
+            self.engine.call_at(self.suspended_until, lambda: self._call_when_running(callback))
         else:
             callback()
 
-    def log(self, text: str) -> None:
-        """Note an event."""
-        self.logged += 1
-
-    # what comes in
-
-    def servers(self, entries: list[tuple], whole: bool) -> None:
-        """The server list, or changes of it, arrive."""
-        if self.alive:
-            off = [
-                replace(entry, state=ServerState.DRAINING)
-                if entry.server_id in self.off and entry.state is ServerState.READY
-                else entry
-                for entry in entries
-            ]
-            self.gateway.on_servers_updated(self.roster.update(off, whole))
-
-    def arrive(self, request: Request) -> None:
-        """A request arrives."""
-        if (
-            self.engine.now < self.wakes
-        ):  # it waits in the system; woken too late, its connection is ended unread
-            self.engine.at(
-                self.wakes,
-                lambda: (
-                    self.arrive(request) if self.engine.now < request.deadline else self.fleet.lost(request)
-                ),
-            )
+    # events
+
+    def on_server_list(self, entries: list[RegistryEntry], complete: bool) -> None:
+        """Handle a server list, or changes of it."""
+        if not self.is_alive:
+            return
+        updated = self.registry.update(map(self._without_withheld, entries), complete)
+        self.gateway.on_servers_updated(updated)
+
+    def withhold_servers(self, server_ids: set[int], entries: list[RegistryEntry]) -> None:
+        """Send nothing to these servers from now on, whatever the list says; `entries`: the whole list."""
+        changed_ids = self.withheld_servers ^ server_ids
+        self.withheld_servers = set(server_ids)
+        changed = [entry for entry in entries if entry.server_id in changed_ids]
+        if changed:
+            self.on_server_list(changed, complete=False)
+
+    def _without_withheld(self, entry: RegistryEntry) -> RegistryEntry:
+        """The entry as the decisions see it: withheld servers are draining."""
+        if entry.server_id in self.withheld_servers and entry.state is ServerState.READY:
+            return replace(entry, state=ServerState.DRAINING)
+        return entry
+
+    def on_request(self, request: Request) -> None:
+        """Handle a client's request."""
+        if self.engine.now < self.suspended_until:
+            self.engine.call_at(self.suspended_until, lambda: self._on_delayed_request(request))
+            return
+        if not self.is_alive:
+            self.environment.accounting.on_lost(request)
             return
-        if not self.alive:
-            return self.fleet.lost(request)
-        self.calls[request.id] = request
-        self.asked += 1
-        self.fleet.referee.note("arrive", self.index, request.id, request.customer.id, request.route.name)
+        self.requests[request.id] = request
+        self.received += 1
+        self.environment.checker.record(
+            "arrive", self.index, request.id, request.customer.id, request.route.name
+        )
         self.gateway.on_request(request)
 
-    def give_up(self, one: Attempt, outcome: Outcome) -> None:
-        """End an attempt from this side."""
-        if one.outcome is None:
-            self.fleet.servers.abandon(one)
-            self.end_try(one, outcome)
+    def _on_delayed_request(self, request: Request) -> None:
+        """Handle a request that waited for the end of a suspension; too late, its connection has ended."""
+        if self.engine.now < request.deadline:
+            self.on_request(request)
+        else:
+            self.environment.accounting.on_lost(request)
+
+    def _time_out(self, attempt: Attempt) -> None:
+        """End an attempt whose time is over."""
+        if attempt.outcome is None:
+            self.environment.servers.cancel(attempt)
+            self.end_attempt(attempt, Outcome.TIMEOUT)
 
-    def end_try(self, one: Attempt, outcome: Outcome) -> None:
-        """An attempt ended: tell the decisions."""
-        if self.alive and self.engine.now < self.wakes:
-            self.engine.at(self.wakes, lambda: self.end_try(one, outcome))
+    def end_attempt(self, attempt: Attempt, outcome: Outcome) -> None:
+        """Handle the end of an attempt; an attempt ends once."""
+        if self.is_alive and self.engine.now < self.suspended_until:
+            self.engine.call_at(self.suspended_until, lambda: self.end_attempt(attempt, outcome))
             return
-        if one.outcome is not None or not self.alive:
+        if attempt.outcome is not None or not self.is_alive:
             return
-        one.outcome = outcome
-        self.fleet.referee.note("end", self.index, one.request.id, one.index, outcome.value)
-        final = one.request.pending is None
-        if outcome is Outcome.OK and not final:
-            self.fleet.answer(self, one.request, "proxied", 0.0, one)
-            final = True
-        self.gateway.on_attempt_ended(one, self.now - one.sent_at, final, 0.0, None, {})
-        if one.request.pending is None:
-            self.release(one.request)
+        attempt.outcome = outcome
+        request = attempt.request
+        self.environment.checker.record("end", self.index, request.id, attempt.index, outcome.value)
+        is_final = request.pending is None
+        if outcome is Outcome.OK and not is_final:
+            self.environment.accounting.on_answer(self, request, Answer.SERVED)
+            is_final = True
+        self.gateway.on_attempt_ended(attempt, self.now - attempt.sent_at, is_final, 0.0, None, {})
+        if request.pending is None:
+            self._forget_if_finished(request)
+
+    def _forget_if_finished(self, request: Request) -> None:
+        """Forget an answered request once none of its attempts is in flight."""
+        if all(attempt.outcome for attempt in request.attempts):
+            self.requests.pop(request.id, None)
--- a/brookhub/emulator/peers.py
+++ b/brookhub/emulator/peers.py
@@ -1,71 +1,103 @@
 """A fleet's membership in simulated time: the real core of each member over modelled links.
 
-`PeerNet` carries datagrams with delay, loss, doubles, cuts; `Crew(...)` runs N members and notes who held
-whom for dead and when. Times in s (simulated), sizes in bytes; UDP and IP headers are counted as HEADER bytes
-a datagram.
+`PeerNetwork` carries datagrams with delay, loss, duplicates and partitions; `MemberCluster(...)` runs N
+members and records which one declared which other dead, and when. Times are simulated seconds, sizes bytes.
 """
 
 from __future__ import annotations
 
+from collections import Counter
+from dataclasses import dataclass
 from random import Random
 from typing import Callable
 
 from ..membership import ABSENT, ALIVE, DEAD, LEFT, Heartbeats, Membership, UnreadableError, decode
 from .engine import Engine
 
-HEADER = 28  # bytes of UDP and IPv4 heads
+HEADER_BYTES = 28  # of a datagram: UDP and IPv4
 # Seconds that a datagram takes between two machines of a site: the least, and chance on top
 DELAY, SPREAD = 0.0005, 0.001
-AFTER_TIMERS = 0.0001  # s after waking at which the datagrams that waited are read
+REORDERED_DELAY = 0.02  # s that a reordered datagram takes longer
+AFTER_TIMERS = 0.0001  # s after a suspension at which the datagrams that waited are read
 FLEET = "emulated"
 
 
-class PeerNet:
+def member_name(index: int) -> str:
+    """The name by which the limiter of an index is known to the others."""
+    return f"n{index}"
+
+
+class PeerNetwork:
     """Datagrams between members by name.
 
-    `loss`, `doubled`, `reordered`: shares; `apart(a, b)`: whether a reaches b not.
+    `loss`, `duplicated`, `reordered`: shares of the datagrams; `is_blocked(a, b)`: whether nothing passes
+    from a to b. The generator is seeded by `seed` alone, so that the links of two runs are alike.
     """
 
-    def __init__(self, engine: Engine, seed: int):
-        self.engine, self.rng, self.seats = engine, Random(f"net/{seed}"), {}
-        self.loss = self.doubled = self.reordered = 0.0
-        self.apart: Callable[[str, str], bool] | None = None
+    def __init__(self, engine: Engine, seed: int) -> None:
+        self.engine = engine
+        self.rng = Random(f"net/{seed}")
+        self.members: dict[str, EmulatedMember] = {}
+        self.loss = 0.0
+        self.duplicated = 0.0
+        self.reordered = 0.0
+        self.is_blocked: Callable[[str, str], bool] | None = None
+
+    def set_noise(self, share: float) -> None:
+        """Lose, duplicate and reorder a share of the datagrams each."""
+        self.loss = share
+        self.duplicated = share
+        self.reordered = share
+
+    def heal(self) -> None:
+        """Let all datagrams pass again."""
+        self.set_noise(0.0)
+        self.is_blocked = None
 
     def send(self, source: str, peer: str, data: bytes) -> None:
         """Carry a datagram, as far as the links allow."""
-        chance = self.rng.random
-        if self.loss and chance() < self.loss or self.apart and self.apart(source, peer):
+        if self.loss and self.rng.random() < self.loss:
             return
-        for _ in range(2 if self.doubled and chance() < self.doubled else 1):
-            wait = DELAY + SPREAD * chance() + (0.02 if self.reordered and chance() < self.reordered else 0.0)
-            self.engine.after(wait, lambda: self.arrive(source, peer, data))
-
-    def arrive(self, source: str, peer: str, data: bytes) -> None:
-        """A datagram is there."""
-        seat = self.seats.get(peer)
-        if seat:
-            seat.arrive(source, data)
-
-
-class PeerSeat:
-    """One member's place: its MembershipPort.
-
-    While stalled, timers and datagrams wait until it wakes; then the timers that are due come first and the
-    datagrams after them, as where a loop looks at its timers before its sockets.
+        if self.is_blocked and self.is_blocked(source, peer):
+            return
+        is_duplicated = self.duplicated and self.rng.random() < self.duplicated
+        for _ in range(2 if is_duplicated else 1):
+            self.engine.call_later(self._draw_delay(), lambda: self._deliver(source, peer, data))
+
+    def _draw_delay(self) -> float:
+        """Seconds that a datagram takes."""
+        delay = DELAY + SPREAD * self.rng.random()
+        if self.reordered and self.rng.random() < self.reordered:
+            delay += REORDERED_DELAY
+        return delay
+
+    def _deliver(self, source: str, peer: str, data: bytes) -> None:
+        """Hand a datagram to its receiver, where it still runs."""
+        member = self.members.get(peer)
+        if member:
+            member.on_datagram(source, data)
+
+
+class EmulatedMember:
+    """One member's surroundings: the MembershipPort of its `core`, which its owner sets before it starts.
+
+    While it is suspended, timers and datagrams wait; then the timers that are due come first and the
+    datagrams after them, as where a loop looks at its timers before its sockets. The `on_...` attributes are
+    called with what the core reports.
     """
 
-    def __init__(
-        self,
-        net: PeerNet,
-        name: str,
-        told=lambda live, rank, sure: None,
-        changed=lambda member, state: None,
-        said=lambda peer, topic, data: None,
-    ):
-        self.net, self.engine, self.name, self.core = net, net.engine, name, None
-        self.on_told, self.on_changed, self.on_said = told, changed, said
-        self.alive, self.wakes = True, 0.0
-        net.seats[name] = self
+    core: Membership | Heartbeats
+
+    def __init__(self, network: PeerNetwork, name: str) -> None:
+        self.network = network
+        self.engine = network.engine
+        self.name = name
+        self.is_alive = True
+        self.suspended_until = 0.0
+        self.on_fleet_size_changed: Callable[[int, int, int], None] = lambda live, rank, sure: None
+        self.on_member_state_changed: Callable[[str, int], None] = lambda member, state: None
+        self.on_payload: Callable[[str, int, bytes], None] = lambda peer, topic, data: None
+        network.members[name] = self
 
     @property
     def now(self) -> float:
@@ -75,24 +107,25 @@
     calendar = now
 
     def later(self, seconds: float, callback: Callable[[], None]) -> None:
-        """Call back after so many seconds, once it is awake."""
-        self.engine.after(seconds, lambda: self.when_awake(callback))
+        """Call back after so many seconds, once it is not suspended."""
+        self.engine.call_later(seconds, lambda: self._call_when_running(callback))
 
-    def when_awake(self, callback: Callable[[], None], waits: float = 0.0) -> None:
-        """Call back now, or once it is awake and its turn has come."""
-        if not self.alive:
+    def _call_when_running(self, callback: Callable[[], None], delay: float = 0.0) -> None:
+        """Call back now, or `delay` s after the end of its suspension; never once it was killed."""
+        if not self.is_alive:
             return
-        if self.engine.now < self.wakes:
-            self.engine.at(self.wakes + waits, lambda: self.when_awake(callback))
+        if self.engine.now < self.suspended_until:
+            resumed_at = self.suspended_until + delay
+            self.engine.call_at(resumed_at, lambda: self._call_when_running(callback))
         else:
             callback()
 
     def send(self, peer: str, data: bytes) -> None:
         """Send a datagram to a peer."""
-        self.net.send(self.name, peer, data)
+        self.network.send(self.name, peer, data)
 
-    def arrive(self, source: str, data: bytes) -> None:
-        """A datagram arrives."""
+    def on_datagram(self, source: str, data: bytes) -> None:
+        """Handle a datagram, once it is not suspended."""
 
         def take() -> None:
             try:
@@ -100,112 +133,138 @@
             except UnreadableError as bad:
                 self.core.counts[bad.reason] += 1
 
-        self.when_awake(take, AFTER_TIMERS)
+        self._call_when_running(take, AFTER_TIMERS)
 
     def told(self, live: int, rank: int, sure: int) -> None:
-        """Membership tells the fleet's numbers."""
-        self.on_told(live, rank, sure)
+        """Handle changed counts of the fleet."""
+        self.on_fleet_size_changed(live, rank, sure)
 
     def changed(self, member: str, state: int) -> None:
-        """A member's state changed."""
-        self.on_changed(member, state)
+        """Handle another state of a member."""
+        self.on_member_state_changed(member, state)
 
     def said(self, peer: str, topic: int, data: bytes) -> None:
-        """Another part's word came."""
-        self.on_said(peer, topic, data)
+        """Handle another component's payload."""
+        self.on_payload(peer, topic, data)
 
     def kill(self) -> None:
         """End it."""
-        self.alive = False
-        self.net.seats.pop(self.name, None)
+        self.is_alive = False
+        self.network.members.pop(self.name, None)
 
 
-class Crew:
+@dataclass(frozen=True)
+class Traffic:
+    """What members sent: datagrams, and their bytes with headers."""
+
+    datagrams: int
+    bytes: int
+
+
+NO_TRAFFIC = Traffic(0, 0)
+
+
+class MemberCluster:
     """N members, `protocol` lifeguard, swim or heartbeat; `warm`: all know each other from the start.
 
-    `deaths`: member -> {observer: s}, since it was last cleared; `false` counts declarations of members that
-    ran then (not killed, not stalled in the last `excuse` s), one for each member and FALSE_AGAIN s.
+    `deaths`: member -> {observer: s}, since it was last cleared. `false_deaths` counts the times that members
+    were declared dead that ran then (not killed, not suspended shortly before), one for each member and
+    FALSE_DEATH_WINDOW; `observed_false_deaths` counts each observer; `suspended_deaths` those of members that
+    were suspended.
     """
 
-    FALSE_AGAIN = 10.0  # s in which one member's wrong deaths at many observers count as one
+    FALSE_DEATH_WINDOW = 10.0  # s in which one member's false deaths at many observers count as one
 
     def __init__(
         self, count: int, seed: int = 1, protocol: str = "lifeguard", period: float = 0.25, warm: bool = True
-    ):
-        self.engine, self.protocol, self.period, self.seed = Engine(), protocol, period, seed
-        self.net = PeerNet(self.engine, seed)
+    ) -> None:
+        self.engine = Engine()
+        self.protocol = protocol
+        self.period = period
+        self.seed = seed
+        self.network = PeerNetwork(self.engine, seed)
         self.rng = Random(f"crew/{seed}")
-        self.names = [f"n{index}" for index in range(count)]
-        self.seats: dict[str, PeerSeat] = {}
+        self.names = [member_name(index) for index in range(count)]
+        self.members: dict[str, EmulatedMember] = {}
         self.deaths: dict[str, dict[str, float]] = {}
-        self.false = self.stalled_deaths = self.observed = 0
-        self.wrongs: dict[str, float] = {}
-        self.stalls: dict[str, float] = {}
+        self.false_deaths = 0
+        self.observed_false_deaths = 0
+        self.suspended_deaths = 0
+        self._false_death_at: dict[str, float] = {}
+        self._excused_until: dict[str, float] = {}  # s until which deaths of suspended members are not false
         for name in self.names:
             self.launch(name, warm)
 
-    def launch(self, name: str, warm: bool = False) -> PeerSeat:
-        """A member that begins; `warm`: knowing all others."""
-        seat = PeerSeat(self.net, name, changed=lambda member, state: self.changed(name, member, state))
+    def launch(self, name: str, warm: bool = False) -> EmulatedMember:
+        """Start a member; `warm`: knowing all others."""
+        member = EmulatedMember(self.network, name)
+        member.on_member_state_changed = lambda other, state: self._record_state(name, other, state)
         peers = [other for other in self.names if other != name]
         if self.protocol == "heartbeat":
-            seat.core = Heartbeats(seat, FLEET, name, peers, self.seed, self.period)
+            member.core = Heartbeats(member, FLEET, name, peers, self.seed, self.period)
         else:
-            seat.core = Membership(
-                seat, FLEET, name, peers, self.seed, self.period, self.protocol == "lifeguard"
+            member.core = Membership(
+                member, FLEET, name, peers, self.seed, self.period, self.protocol == "lifeguard"
             )
         if warm:
-            self.warm(seat.core)
-        seat.core.start()
-        self.seats[name] = seat
-        return seat
+            self.warm(member.core)
+        member.core.start()
+        self.members[name] = member
+        return member
 
-    def warm(self, core) -> None:
+    def warm(self, core: Membership | Heartbeats) -> None:
         """Let a member know all others."""
         for member in core.members.values():
             member.state, member.incarnation = ALIVE, 0
         core.present = set(core.names)
-        if self.protocol == "heartbeat":
+        if isinstance(core, Heartbeats):
             core.heard = dict.fromkeys(core.names, 0.0)
 
-    def changed(self, observer: str, member: str, state: int) -> None:
-        """Note what a member thinks of another now."""
+    def _record_state(self, observer: str, name: str, state: int) -> None:
+        """Record the state in which a member now sees another."""
         now = self.engine.now
         if state in (DEAD, LEFT):
-            self.deaths.setdefault(member, {})[observer] = now
-        if state != DEAD:
+            self.deaths.setdefault(name, {})[observer] = now
+        member = self.members.get(name)
+        if state != DEAD or not member or not member.is_alive:
+            return
+        if now < self._excused_until.get(name, -1.0):
+            self.suspended_deaths += 1
             return
-        seat = self.seats.get(member)
-        if seat and seat.alive:
-            if now < self.stalls.get(member, -1.0):
-                self.stalled_deaths += 1
-            else:
-                self.observed += 1
-                if now - self.wrongs.get(member, -self.FALSE_AGAIN) >= self.FALSE_AGAIN:
-                    self.false += 1
-                    self.wrongs[member] = now
-
-    def stall(self, name: str, seconds: float, excuse: float = 2.0) -> None:
-        """Stop a member for so long; deaths of it until `excuse` s after it woke are not called false."""
-        seat = self.seats[name]
-        seat.wakes = self.engine.now + seconds
-        self.stalls[name] = seat.wakes + excuse
+        self.observed_false_deaths += 1
+        if now - self._false_death_at.get(name, -self.FALSE_DEATH_WINDOW) >= self.FALSE_DEATH_WINDOW:
+            self.false_deaths += 1
+            self._false_death_at[name] = now
+
+    def suspend(self, name: str, seconds: float, excuse: float = 2.0) -> None:
+        """Stop a member for so long; deaths of it until `excuse` s afterwards are not called false."""
+        member = self.members[name]
+        member.suspended_until = self.engine.now + seconds
+        self._excused_until[name] = member.suspended_until + excuse
 
     def run(self, seconds: float) -> None:
         """Play for so many seconds."""
         self.engine.run(self.engine.now + seconds)
 
-    def agree(self) -> bool:
-        """Whether each living member holds exactly the living ones for present."""
-        living = {name for name, seat in self.seats.items() if seat.alive}
-        return all(seat.core.present == living - {name} for name, seat in self.seats.items() if seat.alive)
+    def running_members(self) -> list[EmulatedMember]:
+        """The members that were not killed."""
+        return [member for member in self.members.values() if member.is_alive]
+
+    def has_converged(self) -> bool:
+        """Whether each running member sees exactly the running ones as present."""
+        running = self.running_members()
+        names = {member.name for member in running}
+        return all(member.core.present == names - {member.name} for member in running)
 
-    def sent(self) -> tuple[int, int]:
-        """(datagrams, bytes with headers) that all living members sent so far."""
-        counts = [seat.core.counts for seat in self.seats.values() if seat.alive]
-        datagrams = sum(one["datagrams"] for one in counts)
-        return datagrams, sum(one["bytes"] for one in counts) + HEADER * datagrams
+    def traffic(self) -> Traffic:
+        """What all running members sent so far."""
+        counts: Counter[str] = Counter()
+        for member in self.running_members():
+            counts.update(member.core.counts)
+        datagrams = counts["datagrams"]
+        return Traffic(datagrams, counts["bytes"] + HEADER_BYTES * datagrams)
 
     def absent_at(self, observer: str) -> list[str]:
-        """Whom a member holds for gone."""
-        return [name for name, one in self.seats[observer].core.members.items() if one.state in ABSENT]
+        """The members that a member sees as gone."""
+        members = self.members[observer].core.members
+        return [name for name, member in members.items() if member.state in ABSENT]
--- a/brookhub/experiments/maintenance.py
+++ b/brookhub/experiments/maintenance.py
@@ -15,7 +15,8 @@
 
 from ..config import Experiment
 from ..emulator import Fleet
-from ..emulator.site import Site
+from ..emulator.site import Scheduling, Site, SiteSettings
+from ..emulator.site_faults import SiteFaults
 from ..maintenance import Machine, Plan
 from .canvas import panels, saved
 from .jobs import keyed, play_all
@@ -216,10 +217,17 @@
 
 def alone_run(job: dict) -> dict:
     """The plan by itself, without calls: 200 limiters, 60 servers on 12 machines."""
-    site = Site(plan(job["most"]), LIMITERS, job["seed"], job["how"], WORK, begins=BEGIN)
-    site.faults(job["rate"], 600.0)
+    site = Site(
+        plan(job["most"]), SiteSettings(LIMITERS, job["seed"], Scheduling(job["how"]), WORK, begins_at=BEGIN)
+    )
+    SiteFaults(site).schedule_random(job["rate"], 600.0)
     site.run(6000.0)
-    return {"ended": site.ended, "most_seen": site.most, "breaks": len(site.breaks), "first": site.breaks[:1]}
+    return {
+        "ended": site.ended_at,
+        "most_seen": site.max_out,
+        "breaks": len(site.violations),
+        "first": site.violations[:1],
+    }
 
 
 def served_run(job: dict) -> dict:
@@ -229,8 +237,8 @@
     fleet = Fleet(Experiment.model_validate(raw), seed=job["seed"], keep_trail=False)
     if job["how"] != "none":
         one = plan(job["most"], machines=8, servers=3, start_within_s=4.0, fill_s=5.0)
-        site = Site(one, 40, job["seed"], job["how"], 6.0, fleet=fleet)
-        site.faults(job["rate"], 60.0)
+        site = Site(one, SiteSettings(40, job["seed"], Scheduling(job["how"]), 6.0), fleet)
+        SiteFaults(site).schedule_random(job["rate"], 60.0)
     metrics = fleet.run().metrics()
     figures = {
         "served": metrics["served_share"],
@@ -238,7 +246,7 @@
         "broken": metrics["broken"],
     }
     return figures | (
-        {"done": len(site.done), "breaks": len(site.breaks), "most_seen": site.most}
+        {"done": len(site.done), "breaks": len(site.violations), "most_seen": site.max_out}
         if job["how"] != "none"
         else {}
     )
--- a/brookhub/experiments/membership.py
+++ b/brookhub/experiments/membership.py
@@ -13,7 +13,7 @@
 from pathlib import Path
 from typing import Callable
 
-from ..emulator.peers import Crew
+from ..emulator.peers import NO_TRAFFIC, MemberCluster, Traffic
 from .canvas import panels, saved
 from .jobs import play_all
 
@@ -70,94 +70,94 @@
 
 def play(job: dict) -> dict:
     """One job's row; the names of the figures are those that `plot` and the tables read."""
-    crew, members = Crew(job["members"], job["seed"], job["protocol"]), job["members"]
+    cluster, members = MemberCluster(job["members"], job["seed"], job["protocol"]), job["members"]
     return job | {"quiet": quiet, "death": death, "heal": heal, "loss": loss, "stalls": stalls}[job["what"]](
-        crew, job, members
+        cluster, job, members
     )
 
 
-def rate(crew: Crew, members: int, seconds: float, before: tuple[int, int] = (0, 0)) -> dict:
+def rate(cluster: MemberCluster, members: int, seconds: float, before: Traffic = NO_TRAFFIC) -> dict:
     """Datagrams and bytes that a member sends a second."""
-    datagrams, size = crew.sent()
+    sent = cluster.traffic()
     return {
-        "datagrams_per_s": (datagrams - before[0]) / members / seconds,
-        "bytes_per_s": (size - before[1]) / members / seconds,
+        "datagrams_per_s": (sent.datagrams - before.datagrams) / members / seconds,
+        "bytes_per_s": (sent.bytes - before.bytes) / members / seconds,
     }
 
 
-def quiet(crew: Crew, job: dict, members: int) -> dict:
+def quiet(cluster: MemberCluster, job: dict, members: int) -> dict:
     """What a member sends while nothing happens."""
-    crew.run(1.0)
-    before = crew.sent()
-    crew.run(job["seconds"])
-    return rate(crew, members, job["seconds"], before)
+    cluster.run(1.0)
+    before = cluster.traffic()
+    cluster.run(job["seconds"])
+    return rate(cluster, members, job["seconds"], before)
 
 
-def death(crew: Crew, job: dict, members: int) -> dict:
+def death(cluster: MemberCluster, job: dict, members: int) -> dict:
     """When a death is known, by half and by all."""
-    crew.run(3.0)
+    cluster.run(3.0)
     half, everyone, unknown = [], [], 0
     for _number in range(1 if members > 40 and job["protocol"] == "heartbeat" else KILLS):
-        victim = crew.rng.choice([name for name, seat in crew.seats.items() if seat.alive])
-        crew.deaths.clear()
-        crew.seats[victim].kill()
-        began = crew.engine.now
-        crew.run(6.0)
-        living = sum(seat.alive for seat in crew.seats.values())
-        times = sorted(at - began for at in crew.deaths.get(victim, {}).values())
+        victim = cluster.rng.choice([name for name, member in cluster.members.items() if member.is_alive])
+        cluster.deaths.clear()
+        cluster.members[victim].kill()
+        began = cluster.engine.now
+        cluster.run(6.0)
+        living = sum(member.is_alive for member in cluster.members.values())
+        times = sorted(at - began for at in cluster.deaths.get(victim, {}).values())
         if len(times) == living:
             half.append(times[len(times) // 2])
             everyone.append(times[-1])
         else:
             unknown += 1
-    return {"half_s": half, "all_s": everyone, "unknown": unknown, "false": crew.false}
+    return {"half_s": half, "all_s": everyone, "unknown": unknown, "false": cluster.false_deaths}
 
 
-def heal(crew: Crew, job: dict, members: int) -> dict:
+def heal(cluster: MemberCluster, job: dict, members: int) -> dict:
     """When all agree after a split."""
-    crew.run(3.0)
-    side = set(crew.names[: members // 2])
-    crew.net.apart = lambda a, b: (a in side) != (b in side)
-    crew.run(20.0)
-    crew.net.apart = None
-    began, before = crew.engine.now, crew.sent()
-    while not crew.agree() and crew.engine.now - began < 30.0:
-        crew.run(0.1)
+    cluster.run(3.0)
+    side = set(cluster.names[: members // 2])
+    cluster.network.is_blocked = lambda a, b: (a in side) != (b in side)
+    cluster.run(20.0)
+    cluster.network.is_blocked = None
+    began, before = cluster.engine.now, cluster.traffic()
+    while not cluster.has_converged() and cluster.engine.now - began < 30.0:
+        cluster.run(0.1)
     return {
-        "agree_s": crew.engine.now - began,
-        "agreed": crew.agree(),
-        "bytes_to_agree": (crew.sent()[1] - before[1]) / members,
+        "agree_s": cluster.engine.now - began,
+        "agreed": cluster.has_converged(),
+        "bytes_to_agree": (cluster.traffic().bytes - before.bytes) / members,
     }
 
 
-def loss(crew: Crew, job: dict, members: int) -> dict:
+def loss(cluster: MemberCluster, job: dict, members: int) -> dict:
     """False deaths under loss."""
-    crew.net.loss = 0.1
-    crew.run(job["seconds"])
+    cluster.network.loss = 0.1
+    cluster.run(job["seconds"])
     return {
-        "false_per_hour": crew.false * 3600 / job["seconds"],
-        "false": crew.false,
-        "observed": crew.observed,
-        **rate(crew, members, job["seconds"]),
+        "false_per_hour": cluster.false_deaths * 3600 / job["seconds"],
+        "false": cluster.false_deaths,
+        "observed": cluster.observed_false_deaths,
+        **rate(cluster, members, job["seconds"]),
     }
 
 
-def stalls(crew: Crew, job: dict, members: int) -> dict:
+def stalls(cluster: MemberCluster, job: dict, members: int) -> dict:
     """False deaths with members that stop now and then."""
 
     def stall(name: str) -> None:
-        crew.stall(name, STALL)
-        crew.engine.after(STALL + crew.rng.expovariate(1 / RUNS), lambda: stall(name))
+        cluster.suspend(name, STALL)
+        cluster.engine.call_later(STALL + cluster.rng.expovariate(1 / RUNS), lambda: stall(name))
 
-    for name in crew.rng.sample(crew.names, max(1, round(STALLED * members))):
-        crew.engine.after(crew.rng.expovariate(1 / RUNS), lambda name=name: stall(name))
-    crew.run(job["seconds"])
+    for name in cluster.rng.sample(cluster.names, max(1, round(STALLED * members))):
+        cluster.engine.call_later(cluster.rng.expovariate(1 / RUNS), lambda name=name: stall(name))
+    cluster.run(job["seconds"])
     return {
-        "false_per_hour": crew.false * 3600 / job["seconds"],
-        "false": crew.false,
-        "observed": crew.observed,
-        "stalled_deaths": crew.stalled_deaths,
-        **rate(crew, members, job["seconds"]),
+        "false_per_hour": cluster.false_deaths * 3600 / job["seconds"],
+        "false": cluster.false_deaths,
+        "observed": cluster.observed_false_deaths,
+        "stalled_deaths": cluster.suspended_deaths,
+        **rate(cluster, members, job["seconds"]),
     }
 
 
@@ -223,7 +223,7 @@
         sleep(quiet_s)
         datagrams, size = (
             sum(way.packets for way in ways) - before[0],
-            sum(way.bytes for way in ways) - before[1],
+            sum(way.bytes for way in ways) - before.bytes,
         )
         row |= {
             "datagrams_per_s": datagrams / limiters / quiet_s,
--- a/brookhub/experiments/process_faults.py
+++ b/brookhub/experiments/process_faults.py
@@ -7,6 +7,7 @@
 
 from ..config.models import FaultSpec
 from ..emulator.faults import pick_share
+from ..emulator.server_model import ServerMode
 from ..model import ServerState
 from .errors import LabError
 from .limiter_process import Limiter
@@ -143,8 +144,9 @@
         """They are slow, fail or stay silent for a while."""
         hit = [self.lab.servers[ident].model for ident in self.pick(self.ready_servers(), fault.share)]
         for model in hit:
-            model.mode, model.slow_factor = fault.action.removesuffix("_servers"), fault.factor
-        self.lab.after(fault.for_s, lambda: [setattr(model, "mode", "ok") for model in hit])
+            model.mode = ServerMode(fault.action.removesuffix("_servers"))
+            model.slow_factor = fault.factor
+        self.lab.after(fault.for_s, lambda: [setattr(model, "mode", ServerMode.OK) for model in hit])
 
     # the counter
 
--- a/brookhub/experiments/processes.py
+++ b/brookhub/experiments/processes.py
@@ -22,7 +22,7 @@
 
 from ..config.models import Experiment
 from ..emulator import Result
-from ..emulator.world import ServerModel
+from ..emulator.server_model import ServerModel, ServerSettings
 from ..fakes import FakeCounter, FakeDiscovery, ModelServer, Timers, host
 from ..fault_injection import Relays
 from ..model import ServerState
@@ -124,7 +124,9 @@
         """A server in a place of its own, or in that of another one."""
         spec, ident = self.experiment.fleet.servers, self.next_server
         zones, place = self.experiment.fleet.zones, self.next_server if place is None else place
-        model = ServerModel.of(spec, ident, place % zones, (place // zones) % CELLS, started_at)
+        model = ServerModel(
+            ident, place % zones, (place // zones) % CELLS, ServerSettings.from_spec(spec), started_at
+        )
         self.next_server += 1
         server = ModelServer(model, self.timers, random.Random(f"server/{self.seed}/{ident}"), self.seen)
         self.servers[ident] = server
@@ -144,7 +146,7 @@
     def entry(self, server: ModelServer, health: str = "Ready") -> dict:
         """A server as discovery tells it."""
         model = server.model
-        cold = monotonic() - model.started_at < model.warm_after
+        cold = monotonic() - model.started_at < model.settings.warm_up_time
         born = int((time.time() - (monotonic() - model.started_at)) * 1000) if cold else 0
         return host(f"s-{model.id}", "", health, born, zone(model.zone), model.cell)
 
@@ -375,27 +377,27 @@
     def outcome(self, load: Load, began: float) -> Outcome:
         """Sum up and judge a run."""
         zones = {ident: (one.model.zone, one.model.cell) for ident, one in self.servers.items()}
-        falls = sum(one.model.falls for one in self.servers.values())
+        falls = sum(one.model.collapses for one in self.servers.values())
         verdict = judge(self.experiment, load.asked, self.seen, self.outages, falls, zones, began, self.hurt)
         result, counted = Result(), began + self.experiment.settle_s
         for one in load.asked:
             if one.sent < counted:
                 continue
-            result.calls += 1
+            result.requests += 1
             how = one.answers[0][1] if one.answers else ""
             if how == "proxied":
-                result.proxied += 1
-                result.latency.record_value(max(1, int((one.answers[0][0] - one.sent) * 1e6)))
+                result.served += 1
+                result.record_latency(one.answers[0][0] - one.sent)
             elif how == "rate-limited":
-                result.rate_limited += 1
+                result.rejected += 1
             elif how == "errored":
-                result.errored += 1
+                result.failed += 1
             elif one.end == "left":
                 result.left += 1
             else:
                 result.lost += 1
-        result.tries, result.counter_calls, result.cold_falls = len(self.seen), self.counter.asked, falls
-        result.broken, result.first_break = verdict.counts(), verdict.first()
+        result.attempts, result.counter_calls, result.collapses = len(self.seen), self.counter.asked, falls
+        result.violations, result.first_violation = verdict.counts(), verdict.first()
         result.wall_s = monotonic() - began
         overs = []
         for customer, (plan_number, _) in enumerate(load.customers):
--- a/brookhub/experiments/recovery.py
+++ b/brookhub/experiments/recovery.py
@@ -15,7 +15,7 @@
 
 from ..config import Experiment, loads
 from ..emulator import Fleet
-from ..emulator.result import Population
+from ..emulator.customers import EmulatedCustomer
 from .canvas import panels, saved
 from .jobs import keyed, play_all
 
@@ -88,19 +88,23 @@
 
 def agree(fleet: Fleet) -> bool:
     """Whether the keeper that all see holds, for each name of a window that runs, what the living limiters added."""
-    keeper, sums = fleet.counter.keepers[0], {}
-    seats = [seat for seat in fleet.seats if seat.alive]
-    epochs = {seat.recovery.epochs.epoch for seat in seats}
-    if len(fleet.counter.keepers) > 1 or len(epochs) > 1 or not all(seat.recovery.sure() for seat in seats):
+    keeper, sums = fleet.counter.instances[0], {}
+    limiters = [limiter for limiter in fleet.limiters if limiter.is_alive]
+    epochs = {limiter.recovery.epochs.epoch for limiter in limiters}
+    if (
+        len(fleet.counter.instances) > 1
+        or len(epochs) > 1
+        or not all(limiter.recovery.sure() for limiter in limiters)
+    ):
         return False
     now, running = fleet.engine.now, set()
-    for seat in seats:
-        for name, entry in seat.recovery.ledger.entries.items():
+    for limiter in limiters:
+        for name, entry in limiter.recovery.ledger.entries.items():
             sums[name] = sums.get(name, 0.0) + entry.own
             if entry.own and entry.dies - now > 2 / 3 * entry.lives:  # of three windows' life
                 running.add(name)
-    found = seats[0].recovery.epochs
-    return all(abs(keeper.counts.get(found.name(name), [0.0])[0] - sums[name]) < 1e-3 for name in running)
+    found = limiters[0].recovery.epochs
+    return all(abs(keeper.total(found.name(name)) - sums[name]) < 1e-3 for name in running)
 
 
 ACTIONS = {
@@ -149,11 +153,11 @@
         if job.get("tokened"):
             self.watch_tokens()
         if job["way"] == "on":
-            fleet.engine.at(AT + job["for_s"] + LOOK, self.look)
+            fleet.engine.call_at(AT + job["for_s"] + LOOK, self.look)
 
-    def watch_customer(self, customer: Population) -> None:
+    def watch_customer(self, customer: EmulatedCustomer) -> None:
         """Book what it is served as a debt."""
-        plan, before = customer.plan, customer.served
+        plan, before = customer.plan, customer.record_served
         if not plan.is_soft:  # a soft plan's loans go beyond its quota
             self.over[customer.id] = Debt(plan.rate, plan.burst)
         if plan.ceiling_rate:
@@ -165,30 +169,30 @@
             for debt in debts:
                 debt.take(now, units)
 
-        customer.served = served
+        customer.record_served = served
 
     def watch_tokens(self) -> None:
         """Note which requests of a token ran, and on which sides of the counter they came."""
-        fleet, take, note = self.fleet, self.fleet.servers.take, self.fleet.referee.note
+        fleet, take, note = self.fleet, self.fleet.servers.receive, self.fleet.checker.record
 
-        def taken(one, seat) -> None:
+        def taken(one, limiter) -> None:
             self.ran.setdefault(one.request.token, set()).add(one.request.id)
-            take(one, seat)
+            take(one, limiter)
 
         def noted(what, *facts) -> None:
             note(what, *facts)
             if what == "arrive":
-                token = fleet.seats[facts[0]].calls[facts[1]].token
-                self.sides.setdefault(token, set()).add(facts[0] % len(fleet.counter.keepers))
+                token = fleet.limiters[facts[0]].requests[facts[1]].token
+                self.sides.setdefault(token, set()).add(facts[0] % len(fleet.counter.instances))
 
-        fleet.servers.take, fleet.referee.note = taken, noted
+        fleet.servers.receive, fleet.checker.record = taken, noted
 
     def look(self) -> None:
         """Look until all agree again."""
         if agree(self.fleet):
             self.agreed_at = self.fleet.engine.now - AT - self.job["for_s"]
         else:
-            self.fleet.engine.after(LOOK, self.look)
+            self.fleet.engine.call_later(LOOK, self.look)
 
     def bounds(self, held: dict[int, Debt]) -> dict[int, float]:
         """The stated bound (units) of each of these customers."""
@@ -199,7 +203,7 @@
                 debt.rate,
                 debt.burst,
                 self.job["kind"],
-                customers[ident].calls_per_s * (1 + REPEAT_SHARE),
+                customers[ident].requests_per_s * (1 + REPEAT_SHARE),
                 counter.beat_s,
                 counter.wait_s,
             )
@@ -224,7 +228,7 @@
     bounds = watch.bounds(watch.over)
     worst = [debt.worst / debt.burst for debt in watch.over.values()]
     soft = [one for one in fleet.customers if one.id not in watch.over]
-    of_ceiling = [one.units / (one.plan.ceiling_rate * experiment.duration_s) for one in soft]
+    of_ceiling = [one.served_units / (one.plan.ceiling_rate * experiment.duration_s) for one in soft]
     return job | {
         "over": max(worst),
         "over_mean": sum(worst) / len(worst),
@@ -236,10 +240,10 @@
         "served": metrics["served_share"],
         "broken": metrics["broken"],
         "agreed_s": watch.agreed_at,
-        "epochs": len({facts["epoch"] for _, _, event, facts in fleet.heard if "epoch" in facts}),
+        "epochs": len({entry.fields["epoch"] for entry in fleet.recovery_log if "epoch" in entry.fields}),
         "twice": sum(len(calls) > 1 for calls in watch.ran.values()),
         "both_sides": sum(len(them) > 1 for them in watch.sides.values()),
-        "resent": sum(seat.recovery.resent for seat in fleet.seats if seat.recovery),
+        "resent": sum(limiter.recovery.resent for limiter in fleet.limiters if limiter.recovery),
         "counter_calls": fleet.counter.calls,
     }
 
--- a/brookhub/experiments/sweep.py
+++ b/brookhub/experiments/sweep.py
@@ -12,7 +12,7 @@
 import structlog
 
 from ..config.models import Experiment
-from ..emulator import Fleet, RuleBrokenError
+from ..emulator import Fleet, InvariantViolationError
 
 RESULTS = "results.jsonl"
 
@@ -57,8 +57,8 @@
     row = {"key": point["key"], "seed": point["seed"], "params": point["params"]}
     try:
         result = fleet.run()
-    except RuleBrokenError as broken:
-        return row | {"broken_rule": broken.rule, "why": broken.text, "trail": broken.trail[-40:]}
+    except InvariantViolationError as violation:
+        return row | {"broken_rule": violation.rule, "why": violation.text, "trail": violation.trail[-40:]}
     return row | {"metrics": result.metrics(), "histogram": result.latency.encode().decode()}
 
 
--- a/brookhub/experiments/together.py
+++ b/brookhub/experiments/together.py
@@ -104,7 +104,7 @@
     fleet = Fleet(Experiment.model_validate(raw), seed=seed, keep_trail=False)
     before(fleet)
     metrics = fleet.run().metrics()
-    told = [seat.ejections for seat in fleet.seats if seat.ejections]
+    told = [limiter.ejections for limiter in fleet.limiters if limiter.ejections]
     return fleet, {
         "served": metrics["served_share"],
         "errored": metrics["errored_share"],
@@ -139,15 +139,18 @@
     """The links of one limiter are broken to all servers: what it makes the others lose."""
 
     def cut(fleet: Fleet) -> None:
-        fleet.engine.at(
+        fleet.engine.call_at(
             BAD_AT,
-            lambda: fleet.seats[0].cut.update({ident: BAD_AT + BAD_FOR for ident in fleet.servers.models}),
+            lambda: fleet.limiters[0].unreachable_until.update(
+                {ident: BAD_AT + BAD_FOR for ident in fleet.servers.models}
+            ),
         )
 
     fleet, figures = run(base(job["limiters"], job["way"]), job["seed"], cut)
-    others = fleet.seats[1:]
+    others = fleet.limiters[1:]
     return figures | {
-        "others_served": sum(seat.served for seat in others) / max(1, sum(seat.asked for seat in others))
+        "others_served": sum(limiter.served for limiter in others)
+        / max(1, sum(limiter.received for limiter in others))
     }
 
 
@@ -169,15 +172,21 @@
         ]
     )
     fleet, figures = run(raw, job["seed"])
-    models = [model for model in fleet.servers.models.values() if model.push]
+    models = [model for model in fleet.servers.models.values() if model.peak_overload]
     room = sum(
-        model.places
-        / model.service
-        * (model.cold_from * for_s + (1 - model.cold_from) * for_s**2 / 2 / model.warm_after)
+        model.settings.concurrency
+        / model.settings.service_time
+        * (
+            model.settings.cold_capacity * for_s
+            + (1 - model.settings.cold_capacity) * for_s**2 / 2 / model.settings.warm_up_time
+        )
         for model in models
-        for for_s in [min(model.warm_after, raw["duration_s"] - model.started_at)]
+        for for_s in [min(model.settings.warm_up_time, raw["duration_s"] - model.started_at)]
     )
-    return figures | {"push": max(model.push for model in models), "used": fleet.servers.sent_to_cold / room}
+    return figures | {
+        "push": max(model.peak_overload for model in models),
+        "used": fleet.servers.sent_to_warming / room,
+    }
 
 
 def jain(shares: list[float]) -> float:
@@ -196,30 +205,34 @@
 
     def script(fleet: Fleet) -> None:
         step = TURN / (MANY - FEW)
-        for number, seat in enumerate(fleet.seats[FEW:]):
-            seat.kill()
-            fleet.engine.at(GROWS + number * step, lambda index=seat.index: fleet.restart(index))
-            fleet.engine.at(SHRINKS + number * step, lambda index=seat.index: end(fleet, index))
-        call = fleet.call
+        for number, limiter in enumerate(fleet.limiters[FEW:]):
+            limiter.kill()
+            fleet.engine.call_at(GROWS + number * step, lambda index=limiter.index: fleet.restart(index))
+            fleet.engine.call_at(SHRINKS + number * step, lambda index=limiter.index: end(fleet, index))
+        call = fleet.clients.send
 
         def counted(customer, route, repeated: bool, token: int = 0) -> None:
             asked[customer.id] = asked.get(customer.id, 0) + (not repeated)
             call(customer, route, repeated, token)
 
-        fleet.call = counted
+        fleet.clients.send = counted
 
     def end(fleet: Fleet, index: int) -> None:
-        seat = fleet.seats[index]
-        seat.closing = True
-        seat.peer.core.leave()
-        fleet.engine.after(max(route.client_timeout for route in fleet.routes) + 0.1, seat.kill)
+        limiter = fleet.limiters[index]
+        limiter.is_draining = True
+        limiter.member.core.leave()
+        fleet.engine.call_later(max(route.client_timeout for route in fleet.routes) + 0.1, limiter.kill)
 
     fleet, figures = run(raw, job["seed"], script)
-    shares = [seat.served / seat.asked for seat in fleet.seats if seat.asked >= 10]
+    shares = [limiter.served / limiter.received for limiter in fleet.limiters if limiter.received >= 10]
     return figures | {
         "jain_limiters": jain(shares),
         "jain_customers": jain(
-            [customer.units / asked[customer.id] for customer in fleet.customers if asked.get(customer.id)]
+            [
+                customer.served_units / asked[customer.id]
+                for customer in fleet.customers
+                if asked.get(customer.id)
+            ]
         ),
     }
 
@@ -245,24 +258,24 @@
 
     def held(fleet: Fleet) -> set[tuple[int, int]]:
         return {
-            (seat.index, view.server.id)
-            for seat in fleet.seats
-            if seat.alive
-            for view in seat.gateway.upstreams.subset
+            (limiter.index, view.server.id)
+            for limiter in fleet.limiters
+            if limiter.is_alive
+            for view in limiter.gateway.upstreams.subset
         }
 
     def script(fleet: Fleet) -> None:
         for at in (CHANGE_AT[0] - 0.1, CHANGED_AT[0], CHANGE_AT[1] - 0.1, CHANGED_AT[1]):
-            fleet.engine.at(at, lambda: seen.append(held(fleet)))
-        fleet.engine.at(CHANGE_AT[1], fleet.seats[job["limiters"] // 2].kill)
-        take = fleet.servers.take
+            fleet.engine.call_at(at, lambda: seen.append(held(fleet)))
+        fleet.engine.call_at(CHANGE_AT[1], fleet.limiters[job["limiters"] // 2].kill)
+        take = fleet.servers.receive
 
-        def taken(one, seat) -> None:
-            used.add((seat.index, one.server.id))
+        def taken(one, limiter) -> None:
+            used.add((limiter.index, one.server.id))
             sends[one.server.id] = sends.get(one.server.id, 0) + 1
-            take(one, seat)
+            take(one, limiter)
 
-        fleet.servers.take = taken
+        fleet.servers.receive = taken
 
     fleet, figures = run(raw, job["seed"], script)
     before, replaced, settled, killed = seen
--- a/brookhub/fakes/counter.py
+++ b/brookhub/fakes/counter.py
@@ -7,7 +7,7 @@
 import time
 from time import monotonic
 
-from ..emulator.world import Keeper
+from ..emulator.counter import CounterInstance
 from .base import FakeListener, read_value
 
 
@@ -22,13 +22,13 @@
     def __init__(self, at: tuple[str, int] = ("127.0.0.1", 0), delay: float = 0.0):
         self.lost, self.rng, self.aside = 0.0, random.Random(1), None
         self.mode, self.asked, self.delay, self.lock = "ok", 0, delay, threading.Lock()
-        self.keepers, self.side = [Keeper()], lambda limiter: 0
+        self.keepers, self.side = [CounterInstance()], lambda limiter: 0
         super().__init__(at)
 
     @property
     def totals(self) -> dict:
         """All totals of the first keeper (units), by name as sent, dead ones included."""
-        return {name: held[0] for name, held in self.keepers[0].counts.items()}
+        return {name: count.total for name, count in self.keepers[0].counts.items()}
 
     def wipe(self) -> None:
         """Forget all counts."""
@@ -46,7 +46,7 @@
     def swap(self) -> None:
         """An empty counter takes its place."""
         with self.lock:
-            self.aside, self.keepers = self.keepers, [Keeper() for _ in self.keepers]
+            self.aside, self.keepers = self.keepers, [CounterInstance() for _ in self.keepers]
 
     def restore(self) -> None:
         """The one before is back."""
@@ -56,7 +56,7 @@
     def split(self, side) -> None:
         """From now on limiters with `side(address)` 1 see a second, empty keeper; `heal` drops it."""
         with self.lock:
-            self.keepers, self.side = [self.keepers[0], Keeper()], side
+            self.keepers, self.side = [self.keepers[0], CounterInstance()], side
 
     def heal(self) -> None:
         """One counter again, the first."""
--- a/brookhub/fakes/server.py
+++ b/brookhub/fakes/server.py
@@ -11,7 +11,7 @@
 from dataclasses import dataclass
 from time import monotonic
 
-from ..emulator.world import ServerModel
+from ..emulator.server_model import ServerMode, ServerModel
 from ..fault_injection import reserve
 from ..model import ServerState
 from .base import FakeListener, Timers, read_value, reset
@@ -75,7 +75,7 @@
 class ModelServer(FakeListener):
     """A server with the emulator's service model: places, queue, service time, cold start and fall, modes.
 
-    Modes as in emulator.world: ok, slow, failing, silent (takes a place, never answers), dead (refuses).
+    Modes are those of emulator.server_model.ServerMode.
     `seen` holds every try that arrived whole. Tokened repeats (`k`) that come while or after one ran have no
     second effect.
     """
@@ -113,7 +113,7 @@
                     int(words[1], 16),
                     fields[b"c"].decode(),
                     fields.get(b"k", b""),
-                    model.cold(now),
+                    model.is_warming_up(now),
                     now - model.drained_at if model.drained_at is not None else None,
                     conn=conn,
                 )
@@ -128,14 +128,14 @@
             self.seen.append(one)
             if model.state is not ServerState.READY:
                 how = "turned away"
-            elif len(self.busy) < max(1, int(model.capacity(now))):
-                return self.start(one, now, model.pushed_over(now))
-            elif len(self.waiting) < model.queue:
+            elif len(self.busy) < model.concurrency_limit(now):
+                return self.start(one, now, model.record_sent(now))
+            elif len(self.waiting) < model.settings.queue_length:
                 self.waiting.append(one)
-                return self.fall() if model.pushed_over(now) else None
+                return self.fall() if model.record_sent(now) else None
             else:
                 how = "turned away"
-            fell = model.pushed_over(now)
+            fell = model.record_sent(now)
             one.how, one.ended = how, now
         with contextlib.suppress(OSError):  # who gave up at once pushes it over all the same
             one.conn.sendall(b"-BUSY\r\n")
@@ -149,9 +149,9 @@
         one.ran = True
         if fell:
             return self.fall()
-        if self.model.mode != "silent":
-            slow = self.model.slow_factor if self.model.mode == "slow" else 1.0
-            took = self.rng.expovariate(1.0 / self.model.service) * slow
+        if self.model.mode is not ServerMode.SILENT:
+            slow = self.model.slow_factor if self.model.mode is ServerMode.SLOW else 1.0
+            took = self.rng.expovariate(1.0 / self.model.settings.service_time) * slow
             self.timers.at(now + took, lambda: self.finish(one))
 
     def finish(self, one: Seen) -> None:
@@ -160,7 +160,9 @@
             if one not in self.busy:
                 return
             self.busy.discard(one)
-            failing = self.model.mode == "failing" or self.rng.random() < self.model.error_share
+            failing = (
+                self.model.mode is ServerMode.FAILING or self.rng.random() < self.model.settings.error_share
+            )
             lost = self.lost and self.rng.random() < self.lost
             one.how, one.ended = "lost" if lost else "failed" if failing else "answered", monotonic()
             self.pump()
@@ -173,7 +175,7 @@
     def pump(self) -> None:
         """Begin what waits, as places come free."""
         now = monotonic()
-        while self.waiting and len(self.busy) < max(1, int(self.model.capacity(now))):
+        while self.waiting and len(self.busy) < self.model.concurrency_limit(now):
             self.start(self.waiting.popleft(), now)
 
     def left(self, conn) -> None:
@@ -192,12 +194,12 @@
 
     def fall(self) -> None:
         """Rule 4: pushed over while cold; all it holds is reset and it refuses for the model's time."""
-        self.model.falls += 1
-        self.model.sent.clear()
+        self.model.collapses += 1
+        self.model.sent_while_warming.clear()
         for one in [*self.busy, *self.waiting]:
             self.end(one, "reset")
         self.shut()
-        self.timers.at(monotonic() + self.model.fall_for, self.again)
+        self.timers.at(monotonic() + self.model.settings.collapse_duration, self.again)
 
     # faults from outside
 
@@ -218,12 +220,12 @@
     def die(self) -> None:
         """Go down, with all that is held."""
         with self.lock:
-            self.model.mode = "dead"
+            self.model.mode = ServerMode.DEAD
             for one in [*self.busy, *self.waiting]:
                 self.end(one, "reset")
         self.shut()
 
     def back(self, now: float) -> None:
         """Back after `die`, and cold from `now` (s, monotonic)."""
-        self.model.mode, self.model.started_at = "ok", now
+        self.model.restart(now)
         self.again()
--- a/brookhub/registry.py
+++ b/brookhub/registry.py
@@ -11,7 +11,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class ServerEntry:
+class RegistryEntry:
     """One server in a server list, or its removal where the state is GONE."""
 
     server_id: int
@@ -32,7 +32,7 @@
     def __init__(self) -> None:
         self.servers: dict[int, Server] = {}
 
-    def update(self, entries: Iterable[ServerEntry], complete: bool) -> list[Server]:
+    def update(self, entries: Iterable[RegistryEntry], complete: bool) -> list[Server]:
         """Apply a server list and return the servers it is about.
 
         `complete`: the entries are the whole list, and known servers that it lacks are gone. They come last.
@@ -44,7 +44,7 @@
             updated += [self.remove(server) for server in missing]
         return updated
 
-    def _apply(self, entry: ServerEntry) -> Server:
+    def _apply(self, entry: RegistryEntry) -> Server:
         """Apply one entry; its server."""
         server = self.servers.get(entry.server_id)
         if server is None:
--- a/brookhub/routing/discovery.py
+++ b/brookhub/routing/discovery.py
@@ -8,7 +8,7 @@
 from ..model import ServerState
 from ..protocol import hosts, http
 from ..protocol.documents import DocumentReader
-from ..registry import ServerEntry, ServerRegistry
+from ..registry import RegistryEntry, ServerRegistry
 from ..transport.sockets import time_limits
 from ..transport.stream import Stream
 from .connections import Reconnector, read_to_end, spawn_surely
@@ -186,13 +186,13 @@
         """A server is gone: its connections are left."""
         self.places.pop(self.where.pop(server.id, None), None)
 
-    def entry(self, host: hosts.Host) -> ServerEntry:
+    def entry(self, host: hosts.Host) -> RegistryEntry:
         """An entry of the list as the roster takes it."""
         born = host.born - self.clock_ahead if host.born else 0.0
         state = (
             ServerState.DRAINING if host.name in self.held and host.state is ServerState.READY else host.state
         )
-        return ServerEntry(
+        return RegistryEntry(
             host.ident(),
             place(self.zones, host.zone),
             place(self.kinds, host.kind),
--- a/brookhub/simulator/hosted_gateway.py
+++ b/brookhub/simulator/hosted_gateway.py
@@ -7,7 +7,7 @@
 from ..model import Attempt, Request, Server
 from ..policy import Gateway
 from ..ports import CounterCallback
-from ..registry import CustomerRegistry, ServerEntry, ServerRegistry
+from ..registry import CustomerRegistry, RegistryEntry, ServerRegistry
 from ..settings import JsonObject, SettingsError, read_gateway_settings, read_section
 from . import actions, events
 from .events import (
@@ -34,10 +34,10 @@
     return meanings[code]
 
 
-def decode_server_entries(data: memoryview) -> list[ServerEntry]:
+def decode_server_entries(data: memoryview) -> list[RegistryEntry]:
     """The entries of a server list. Raises WireError for an unknown state."""
     return [
-        ServerEntry(
+        RegistryEntry(
             server_id, zone, kind, cell, decode_code(SERVER_STATES, state, "server state"), weight, started_at
         )
         for server_id, zone, kind, cell, state, weight, started_at in SERVER_ENTRY.iter_unpack(data)
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -350,7 +350,7 @@
     outcome = lab.play()
     if failed:
         raise failed[0]
-    assert not outcome.result.broken, outcome.result.first_break
+    assert not outcome.result.violations, outcome.result.first_violation
     assert not [line for one in lab.limiters for line in one.lines() if line["event"] == "fault"]
     return outcome
 
--- a/tests/test_choices_processes.py
+++ b/tests/test_choices_processes.py
@@ -229,13 +229,15 @@
     spec = spec.model_copy(update={"fleet": spec.fleet.model_copy(update={"zones": 2})})
     with ProcessLab(spec, tmp_path, 1) as played:
         outcome = played.play()
-        push = {ident: one.model.push for ident, one in played.servers.items() if one.model.push}
-    assert not outcome.result.broken, outcome.result.first_break
+        push = {
+            ident: one.model.peak_overload for ident, one in played.servers.items() if one.model.peak_overload
+        }
+    assert not outcome.result.violations, outcome.result.first_violation
     # Cold ones were used, and none up to rule 4's bound
     assert len(push) >= 11 and max(push.values()) < 1.0, push
     # A restart of all takes some 2 s of the 11, longer on a loaded machine; calls that find no limiter then
     # are nobody's fault.
-    assert outcome.result.proxied > 0.5 * (outcome.result.calls - outcome.verdict.excused)
+    assert outcome.result.served > 0.5 * (outcome.result.requests - outcome.verdict.excused)
 
 
 def test_each_limiter_uses_its_part_by_the_matching_also_after_a_kill_and_on_both_sides_of_a_split(lab):
--- a/tests/test_emulator.py
+++ b/tests/test_emulator.py
@@ -1,17 +1,22 @@
-"""The emulator: replay, the rules judged on a run with faults, a broken module caught, the clock's grain."""
+"""The emulator: replay, the invariants checked on runs with faults, a faulty module caught, the clock."""
 
 import importlib.util
 import shutil
 import sys
+from dataclasses import replace
 from pathlib import Path
 
+import msgspec
 import pytest
 
 from brookhub import policy
 from brookhub.config import Experiment, loads
 from brookhub.config.models import MembershipSpec
-from brookhub.emulator import Fleet, RuleBrokenError
+from brookhub.emulator import Fleet, InvariantViolationError
 from brookhub.emulator.engine import Engine
+from brookhub.emulator.site import Scheduling, Site, SiteSettings
+from brookhub.emulator.site_faults import SiteFaults
+from brookhub.maintenance import Machine, Plan
 
 SMALL = """
 name = "small"
@@ -69,15 +74,20 @@
     return loads(text, Experiment).model_copy(update=changes)
 
 
+def gateway_counts(fleet):
+    """What the decisions of the limiters know: (gateways present, gateways that have not surely left)."""
+    return {(limiter.gateway.upstreams.gateways, limiter.gateway.sure_gateways) for limiter in fleet.limiters}
+
+
 @pytest.mark.parametrize(
-    "action, said", [("reset_links", "only on processes"), ("split_limiters", "no membership")]
+    "action, message", [("reset_links", "only on processes"), ("split_limiters", "no membership")]
 )
-def test_a_fault_that_it_cannot_play_is_refused(action, said):
-    with pytest.raises(ValueError, match=said):
+def test_a_fault_that_the_emulator_cannot_play_is_refused(action, message):
+    with pytest.raises(ValueError, match=message):
         Fleet(experiment(("1.0", action))).run()
 
 
-def test_a_split_in_the_emulator_tells_the_decisions_of_each_side_and_takes_nobody_from_the_sure():
+def test_a_partition_lowers_the_present_gateways_on_each_side_and_not_the_expected_ones():
     spec = experiment(("1.0", "split_limiters"), duration_s=16.0)
     spec = spec.model_copy(
         update={
@@ -86,22 +96,18 @@
         }
     )
     fleet = Fleet(spec)
-    told = []
-    fleet.engine.at(
-        10.5,
-        lambda: told.append(
-            {(seat.gateway.upstreams.gateways, seat.gateway.sure_gateways) for seat in fleet.seats}
-        ),
-    )
+    counts = []
+    fleet.engine.call_at(10.5, lambda: counts.append(gateway_counts(fleet)))
     fleet.run()
-    assert told == [{(3, 6)}]  # each half of six sees three; both halves are still there
-    assert {(seat.gateway.upstreams.gateways, seat.gateway.sure_gateways) for seat in fleet.seats} == {(6, 6)}
+    assert counts == [{(3, 6)}]  # each half of six sees three; both halves are still there
+    assert gateway_counts(fleet) == {(6, 6)}
 
 
-def test_a_seed_replayed_gives_the_same_trail_and_another_seed_does_not():
-    one, two = Fleet(experiment(("2.0", "kill_limiters"))), Fleet(experiment(("2.0", "kill_limiters")))
-    first, second = one.run(), two.run()
-    assert first.digest == second.digest and list(one.referee.trail) == list(two.referee.trail)
+def test_a_seed_gives_the_same_trail_again_and_another_seed_another_one():
+    fleets = [Fleet(experiment(("2.0", "kill_limiters"))) for _ in range(2)]
+    first, second = (fleet.run() for fleet in fleets)
+    assert first.digest == second.digest
+    assert list(fleets[0].checker.trail) == list(fleets[1].checker.trail)
     assert first.metrics() | {"wall_s": 0, "events_per_s": 0} == second.metrics() | {
         "wall_s": 0,
         "events_per_s": 0,
@@ -130,17 +136,17 @@
         "cut_links",
     ],
 )
-def test_every_fault_is_played_with_the_rules_judged_at_each_event(fault):
-    # Strict: any break of rules 1 to 4 raises with its trail; the faults cause the failures the module
-    # handles.
+def test_every_fault_is_played_and_no_invariant_is_violated(fault):
+    # Strict: any violation of rules 1 to 4 raises with its trail; the faults cause the failures that the
+    # decisions handle.
     spec = experiment(("3.0", fault))
     spec = spec.model_copy(
         update={"fleet": spec.fleet.model_copy(update={"membership": MembershipSpec(on=True)})}
     )
     result = Fleet(spec).run()
     metrics = result.metrics()
-    assert not result.broken and metrics["calls"] > 300
-    # Every API call ended one way, or is still open
+    assert not result.violations and metrics["calls"] > 300
+    # Every request ended one way, or is still open
     assert (
         metrics["calls"]
         == metrics["proxied"]
@@ -157,12 +163,12 @@
         )
 
 
-def test_a_killed_limiter_loses_its_calls_but_no_rule_breaks_and_answered_calls_are_forgotten():
+def test_a_killed_limiter_loses_its_requests_and_answered_requests_are_forgotten():
     fleet = Fleet(experiment(("2.0", "kill_limiters")))
     result = fleet.run()
-    assert result.lost > 0 and not result.broken and result.rate_limited > 0
-    # Calls refused before any try were held by their limiter for ever: memory grew with the run.
-    assert sum(len(seat.calls) for seat in fleet.seats) <= result.open
+    assert result.lost > 0 and not result.violations and result.rejected > 0
+    # Requests rejected before any attempt were kept by their limiter for ever: memory grew with the run.
+    assert sum(len(limiter.requests) for limiter in fleet.limiters) <= result.open
 
 
 def broken_copy(folder):
@@ -180,45 +186,44 @@
     return module
 
 
-def test_a_broken_rule_in_a_copy_of_the_module_is_caught_with_its_trail(tmp_path):
-    # Failing servers make errors; the broken copy then sends a non-idempotent call again: rule 2.
+def test_a_faulty_copy_of_the_decisions_violates_an_invariant_and_is_caught_with_its_trail(tmp_path):
+    # Failing servers make errors; the broken copy then sends a non-idempotent request again: rule 2.
     spec = experiment(("1.0", "failing_servers"))
-    with pytest.raises(RuleBrokenError) as caught:
+    with pytest.raises(InvariantViolationError) as caught:
         Fleet(spec, decisions=broken_copy(tmp_path)).run()
     assert caught.value.rule == 2 and "sent again" in caught.value.text
     assert any(" send " in line for line in caught.value.trail) and "BROKEN" in caught.value.trail[-1]
-    assert not Fleet(spec).run().broken  # the real module, on the same run, holds
+    assert not Fleet(spec).run().violations  # the real module, on the same run, holds
 
 
-def test_a_send_to_a_drained_server_after_the_grace_is_caught():
-    fleet = Fleet(
-        experiment(),
-    )
-    fleet.discovery.delay = 5.0  # the list comes later than the grace: the limiters send on
+def test_an_attempt_at_a_drained_server_after_the_grace_is_caught():
+    fleet = Fleet(experiment())
+    fleet.discovery.delay = 5.0  # the list comes later than the grace: the limiters still send attempts
     fleet.faults.schedule(loads(SMALL + FAULTS % ("1.0", "drain_servers"), Experiment).faults[0])
-    with pytest.raises(RuleBrokenError) as caught:
+    with pytest.raises(InvariantViolationError) as caught:
         fleet.run()
     assert caught.value.rule == 3
 
 
-def test_a_wait_below_the_clocks_resolution_still_moves_the_clock():
-    # Without the engine's grain a store short by a rounding remainder asked for 1e-17 s again and again at
-    # the same instant, and the run never ended.
+def test_a_wait_below_the_clock_resolution_still_moves_the_clock():
+    # Without the engine's resolution a token bucket short by a rounding remainder waited for 1e-17 s again
+    # and again at the same instant, and the run never ended.
     engine, fired = Engine(), []
 
-    def retake():
+    def retry():
         fired.append(engine.now)
         if len(fired) < 5000 and engine.now < 0.9:
-            engine.after(1e-17, retake)
+            engine.call_later(1e-17, retry)
 
-    engine.at(0.8333333333333331, retake)
+    engine.call_at(0.8333333333333331, retry)
     engine.run(1.0)
-    assert len(set(fired)) == len(fired) and fired[-1] > fired[0]  # each retake at a later instant
+    assert len(set(fired)) == len(fired) and fired[-1] > fired[0]  # each retry at a later instant
 
 
-def test_a_cold_server_pushed_over_inside_a_send_ends_its_tries_after_the_send():
-    # A fall seen as the try was handed over ended the tries inside Port.send, before the module had recorded
-    # the try: the module's own bookkeeping then failed. The fall is a rule 4 break, counted where not strict.
+def test_a_warming_server_that_collapses_inside_start_attempt_ends_its_attempts_afterwards():
+    # A collapse as an attempt arrived ended the attempts inside start_attempt, before the decisions had
+    # recorded the new one: their own bookkeeping then failed. A collapse violates rule 4; it is counted where
+    # the run is not strict.
     spec = experiment(("2.0", "zone_lost"), strict=False)
     spec = spec.model_copy(
         update={
@@ -239,23 +244,22 @@
     )
     fleet = Fleet(spec)
     for model in fleet.servers.models.values():
-        model.fall_multiple = 0.3  # less than the decisions are told: they keep to half of what they are told
+        # Less than the decisions' settings say, half of which they use
+        model.settings = replace(model.settings, overload_multiple=0.3)
     result = fleet.run()
-    assert result.cold_falls > 0 and result.broken.get(4) == result.cold_falls
-
+    assert result.collapses > 0 and result.violations.get(4) == result.collapses
 
-# a plan of work on a site (emulator/site.py)
 
+# a maintenance plan on a site (emulator/site.py)
 
-def plan_of_work(most, machines=6):
-    from brookhub.maintenance import Machine, Plan
 
+def maintenance_plan(max_out, machines=6):
     made = tuple(Machine(f"m{n}", f"z{n % 3}", 1.0, (f"s-{n}",)) for n in range(machines))
     return Plan(
         1,
         made,
         ("n0", "n1", "n2"),
-        most_out=most,
+        most_out=max_out,
         most_zone=1,
         capacity_least=0.4,
         start_within_s=5.0,
@@ -264,136 +268,135 @@
     )
 
 
-@pytest.mark.parametrize("most", [1, 2])
+@pytest.mark.parametrize("max_out", [1, 2])
 @pytest.mark.parametrize("seed", range(8))
-def test_random_faults_on_a_plan_of_work_break_nothing_and_the_plan_ends(most, seed):
-    """Kills that forget all, stops, splits, lost words, machines that fail by themselves.
+def test_under_random_faults_a_maintenance_plan_keeps_its_limits_and_ends(max_out, seed):
+    """Restarts without memory, suspensions, partitions, lost messages, machines that fail by themselves.
 
-    Clocks up to 5% fast or slow.
+    Clocks are up to 5% fast or slow.
     """
-    from brookhub.emulator.site import Site
-
-    site = Site(plan_of_work(most), limiters=12, seed=seed, work_s=8.0)
-    site.faults(20.0, 120.0)
+    site = Site(maintenance_plan(max_out), SiteSettings(limiters=12, seed=seed, work_time=8.0))
+    SiteFaults(site).schedule_random(20.0, 120.0)
     site.run(1500.0)
-    assert not site.breaks, site.breaks[:3]
-    assert site.ended and site.most == most and site.done == {f"m{n}" for n in range(6)}
+    assert not site.violations, site.violations[:3]
+    assert site.ended_at and site.max_out == max_out and site.done == {f"m{n}" for n in range(6)}
 
 
-def test_without_agreement_too_many_are_out_and_without_faults_a_plan_takes_little_more_than_the_work():
-    from brookhub.emulator.site import Site
+def test_without_agreement_too_many_machines_are_out_and_agreement_takes_little_longer_than_the_work():
+    settings = SiteSettings(limiters=12, seed=1, scheduling=Scheduling.ALONE, work_time=8.0)
+    alone = Site(maintenance_plan(1), settings).run(600.0)
+    assert alone.violations and alone.max_out > 1
+    agreed = Site(maintenance_plan(2), SiteSettings(limiters=12, seed=1, work_time=60.0)).run(1500.0)
+    assert agreed.ended_at < 1.3 * 3 * (60.0 + 1.0 + 3.0 + 1.5)
 
-    alone = Site(plan_of_work(1), limiters=12, seed=1, how="alone", work_s=8.0).run(600.0)
-    assert alone.breaks and alone.most > 1
-    agreed = Site(plan_of_work(2), limiters=12, seed=1, work_s=60.0).run(1500.0)
-    assert agreed.ended < 1.3 * 3 * (60.0 + 1.0 + 3.0 + 1.5)
-
-
-def test_a_fleet_sends_nothing_to_machines_that_a_plan_has_out_and_serves_on():
-    from brookhub.emulator.site import Site
 
+def test_a_fleet_sends_nothing_to_machines_that_are_out_and_still_serves():
     spec = loads(SMALL.replace("duration_s = 8.0", "duration_s = 60.0"), Experiment)
     fleet = Fleet(spec)
-    site = Site(plan_of_work(1, machines=3), limiters=spec.fleet.limiters, seed=1, work_s=3.0, fleet=fleet)
+    settings = SiteSettings(limiters=spec.fleet.limiters, seed=1, work_time=3.0)
+    site = Site(maintenance_plan(1, machines=3), settings, fleet)
     sent_to_out = []
-    take = fleet.servers.take
+    receive = fleet.servers.receive
 
-    def seen(one, seat):
-        if one.server.id in seat.off:
-            sent_to_out.append(one)
-        take(one, seat)
+    def watched_receive(attempt, limiter):
+        if attempt.server.id in limiter.withheld_servers:
+            sent_to_out.append(attempt)
+        receive(attempt, limiter)
 
-    fleet.servers.take = seen
+    fleet.servers.receive = watched_receive
     result = fleet.run()
-    assert not site.breaks and len(site.done) >= 2 and not sent_to_out
-    assert not result.broken and result.errored == 0
+    assert not site.violations and len(site.done) >= 2 and not sent_to_out
+    assert not result.violations and result.failed == 0
 
 
-def test_what_all_voters_forgot_the_others_remember():
+def test_a_register_that_all_voters_lost_is_restored_from_the_other_limiters():
     """Found by random faults.
 
     Voters that had all restarted began with low ballots, and who had no vote heeded them no more.
     """
-    from brookhub.emulator.site import Site
-
-    site = Site(plan_of_work(1), limiters=8, seed=2, work_s=40.0)
-    while not site.out:
+    site = Site(maintenance_plan(1), SiteSettings(limiters=8, seed=2, work_time=40.0))
+    faults = SiteFaults(site)
+    while not site.out_since:
         site.engine.run(site.engine.now + 0.5)
-    first = set(site.out)
-    marks = site.seats["n5"].core.told_mark
+    first = set(site.out_since)
+    marks = site.limiters["n5"].core.told_mark
     for name in ("n0", "n1", "n2"):
-        site.kill(name, 0.5)
+        faults.kill(name, 0.5)
     site.engine.run(site.engine.now + 15.0)
     held = next(
-        seat.core.register for seat in map(site.seats.get, site.plan.voters) if seat.core.register.leads
+        limiter.core.register
+        for limiter in map(site.limiters.get, site.plan.voters)
+        if limiter.core.register.leads
     )
     assert {name for name, _ in held.table.outs} == first and held.ballot > marks[:2]
-    assert site.seats["n5"].core.told_mark[:2] == held.ballot  # heeded again
-    assert not site.run(900.0).breaks and site.ended
+    assert site.limiters["n5"].core.told_mark[:2] == held.ballot  # heeded again
+    assert not site.run(900.0).violations and site.ended_at
 
 
 @pytest.mark.parametrize("seed", range(4))
-def test_voters_leave_and_join_one_at_a_time_while_a_plan_runs(seed):
-    import msgspec
-
-    from brookhub.emulator.site import Site
-
-    plan = plan_of_work(1)
-    site = Site(plan, limiters=10, seed=seed, work_s=8.0)
+def test_voters_are_exchanged_one_at_a_time_while_a_plan_runs(seed):
+    plan = maintenance_plan(1)
+    site = Site(plan, SiteSettings(limiters=10, seed=seed, work_time=8.0))
     while not site.done:
         site.engine.run(site.engine.now + 1.0)
     following = msgspec.structs.replace(plan, version=2, voters_next=("n2", "n4", "n5"))
-    assert site.seats["n7"].core.give(following) == ""  # to one without a vote
+    assert site.limiters["n7"].core.give(following) == ""  # to one without a vote
     site.plan = msgspec.structs.replace(plan, voters=("n0", "n1", "n2", "n4", "n5"))  # whom the site looks at
-    site.faults(10.0, site.engine.now + 60.0)
+    SiteFaults(site).schedule_random(10.0, site.engine.now + 60.0)
     site.run(1500.0)
-    assert not site.breaks, site.breaks[:3]
-    assert site.ended and site.seats["n4"].core.register.table.voters == ("n2", "n4", "n5")
+    assert not site.violations, site.violations[:3]
+    assert site.ended_at and site.limiters["n4"].core.register.table.voters == ("n2", "n4", "n5")
+
 
+def watch_answers(fleet):
+    """The list to which each final answer adds: its limiter, the time (s), whether an attempt was sent."""
+    answers = []
+    on_answer = fleet.accounting.on_answer
 
-class WatchedFleet(Fleet):
-    """Notes for each final answer which limiter gave it, when (s), and whether an attempt had gone out."""
+    def watched_on_answer(limiter, request, *rest):
+        answers.append((limiter.index, fleet.engine.now, bool(request.attempts)))
+        on_answer(limiter, request, *rest)
 
-    def answer(self, seat, call, how, retry_after=0.0, one=None):
-        self.noted.append((seat.index, self.engine.now, bool(call.attempts)))
-        super().answer(seat, call, how, retry_after, one)
+    fleet.accounting.on_answer = watched_on_answer
+    return answers
 
 
-def longest_refusals(noted, limiters, span=4.0):
-    """The most requests that each turned away on end, for so many seconds (s), with no attempt in between."""
+def longest_rejections(answers, limiters, span=4.0):
+    """The most requests that each limiter answered in a row without an attempt, over at least `span` s."""
     worst = dict.fromkeys(range(limiters), 0)
-    refused = {limiter: [] for limiter in worst}
-    for limiter, at, sent in noted:
-        refused[limiter] = [] if sent else [*refused[limiter], at]
-        if refused[limiter] and at - refused[limiter][0] >= span:
-            worst[limiter] = max(worst[limiter], len(refused[limiter]))
+    rejected = {limiter: [] for limiter in worst}
+    for limiter, answered_at, sent in answers:
+        rejected[limiter] = [] if sent else [*rejected[limiter], answered_at]
+        if rejected[limiter] and answered_at - rejected[limiter][0] >= span:
+            worst[limiter] = max(worst[limiter], len(rejected[limiter]))
     return worst
 
 
-ROLL = "".join(
-    f'[[faults]]\nat_s = {at}\naction = "term_limiters"\nshare = 0.1\n' for at in (3.0, 5.0, 7.0, 9.0, 11.0)
+ROLLING_RESTART = "".join(
+    f'[[faults]]\nat_s = {time}\naction = "term_limiters"\nshare = 0.1\n'
+    for time in (3.0, 5.0, 7.0, 9.0, 11.0)
 )
 
 
 @pytest.mark.parametrize("seed", [1, 2, 3])
-@pytest.mark.parametrize("faults", ["", ROLL], ids=["calm", "a tenth restarted at a time"])
-def test_no_limiter_turns_away_all_that_it_gets_for_four_seconds_while_others_serve(seed, faults):
+@pytest.mark.parametrize("faults", ["", ROLLING_RESTART], ids=["calm", "a tenth restarted at a time"])
+def test_no_limiter_rejects_all_its_requests_for_four_seconds_while_others_serve(seed, faults):
     """The operators allow one limiter in ten to; on these days none has a reason."""
     text = (Path(__file__).parent.parent / "experiments" / "limiters.toml").read_text()
     spec = loads(text.replace("[sweep]", faults + "[sweep]"), Experiment)
     fleet_spec = spec.fleet.model_copy(update={"limiters": 20})
-    fleet = WatchedFleet(
+    fleet = Fleet(
         spec.model_copy(update={"fleet": fleet_spec, "duration_s": 20.0, "strict": True}), seed=seed
     )
-    fleet.noted = []
+    answers = watch_answers(fleet)
     result = fleet.run()
-    assert result.proxied > 0.5 * result.calls and not result.broken
-    worst = longest_refusals(fleet.noted, 20)
+    assert result.served > 0.5 * result.requests and not result.violations
+    worst = longest_rejections(answers, 20)
     assert max(worst.values()) < 15, worst
 
 
-def test_the_judge_of_refusals_sees_a_limiter_that_turns_all_away():
-    quiet = [(0, at / 4, True) for at in range(40)]
-    closed = [(1, at / 4, False) for at in range(40)]
-    worst = longest_refusals(sorted(quiet + closed, key=lambda one: one[1]), 2)
+def test_the_measure_of_rejections_sees_a_limiter_that_rejects_everything():
+    serving = [(0, quarter / 4, True) for quarter in range(40)]
+    rejecting = [(1, quarter / 4, False) for quarter in range(40)]
+    worst = longest_rejections(sorted(serving + rejecting, key=lambda answer: answer[1]), 2)
     assert worst[0] == 0 and worst[1] >= 15
--- a/tests/test_golden_bytes.py
+++ b/tests/test_golden_bytes.py
@@ -13,7 +13,7 @@
 from brookhub.coordination import TOPIC as EJECTIONS_TOPIC
 from brookhub.coordination import report_transport as ejection_reports
 from brookhub.coordination.ejections import Health, Report
-from brookhub.emulator.peers import Crew
+from brookhub.emulator.peers import MemberCluster
 from brookhub.maintenance import TOPIC as MAINTENANCE_TOPIC
 from brookhub.maintenance import messages as maintenance
 from brookhub.maintenance.plan import Machine, Plan
@@ -209,19 +209,19 @@
 
 
 def test_a_seeded_fleet_sends_the_golden_datagrams() -> None:
-    fleet, sent = Crew(5, seed=3, warm=False), []
-    carry = fleet.net.send
+    fleet, sent = MemberCluster(5, seed=3, warm=False), []
+    carry = fleet.network.send
 
     def record(source: str, peer: str, data: bytes) -> None:
         sent.append(f"{source} {peer} ".encode() + data)
         carry(source, peer, data)
 
-    fleet.net.send, fleet.net.loss = record, 0.3
+    fleet.network.send, fleet.network.loss = record, 0.3
     fleet.run(2.0)
-    fleet.seats["n0"].core.say(MAINTENANCE_TOPIC, b"word")
-    fleet.seats["n4"].core.leave()
+    fleet.members["n0"].core.say(MAINTENANCE_TOPIC, b"word")
+    fleet.members["n4"].core.leave()
     fleet.run(2.0)
-    fleet.seats["n3"].kill()
+    fleet.members["n3"].kill()
     fleet.run(4.0)
     kinds = {msgspec.msgpack.decode(line.split(b" ", 2)[2])[2] for line in sent}
     assert kinds == {1, 2, 3, 4, 5, 6, 7, 8}
--- a/tests/test_links.py
+++ b/tests/test_links.py
@@ -7,7 +7,7 @@
 
 import pytest
 
-from brookhub.emulator.world import ServerModel
+from brookhub.emulator.server_model import ServerModel, ServerSettings
 from brookhub.fakes import FakeListener, FakeServer, ModelServer, Timers
 from brookhub.fault_injection import Relays, Way
 from helpers import api_call, read_value, until
@@ -193,7 +193,7 @@
 
 def test_the_port_of_a_server_that_is_down_is_nobody_else_s():
     timers = Timers()
-    model = ServerModel(0, 0, 0, 4, 4, 0.01, 0.2, 1.0, 2.0, 0.5)
+    model = ServerModel(0, 0, 0, ServerSettings(4, 4, 0.01, 0.2, 1.0, 2.0, 0.5))
     server = ModelServer(model, timers, random.Random(1), [])
     try:
         server.die()
--- a/tests/test_maintenance_processes.py
+++ b/tests/test_maintenance_processes.py
@@ -87,7 +87,7 @@
         assert "m3  done" in read_status([one.log_path for one in lab.limiters])
 
     outcome = lab(script, 90.0, limiters=5, **LARGE)
-    assert outcome.result.proxied > 0.9 * (outcome.result.calls - outcome.verdict.excused)
+    assert outcome.result.served > 0.9 * (outcome.result.requests - outcome.verdict.excused)
 
 
 def test_a_minority_starts_nothing_and_two_plans_of_one_version_are_refused_with_both_digests(lab):
--- a/tests/test_processes.py
+++ b/tests/test_processes.py
@@ -14,7 +14,7 @@
 
 import pytest
 
-from brookhub.emulator.world import ServerModel
+from brookhub.emulator.server_model import ServerMode, ServerModel, ServerSettings
 from brookhub.experiments.address_pool import LANES, Lane
 from brookhub.experiments.errors import LabError
 from brookhub.experiments.invariant_checker import Outage, judge
@@ -73,7 +73,12 @@
 def test_the_judge_catches_what_a_limiter_does_wrong_and_nothing_else(wrong, rule, text):
     timers, seen = Timers(), []
     servers = [
-        ModelServer(ServerModel(n, 0, 0, 50, 0, 0.002, 1.0, 0.0, 3.0, 1.0), timers, random.Random(n), seen)
+        ModelServer(
+            ServerModel(n, 0, 0, ServerSettings(50, 0, 0.002, 1.0, 0.0, 3.0, 1.0)),
+            timers,
+            random.Random(n),
+            seen,
+        )
         for n in range(2)
     ]
     rogue = Rogue(wrong, servers)
@@ -144,8 +149,8 @@
         ),
     )
     result = outcome.result
-    assert not result.broken, result.first_break
-    assert result.calls > 150 and result.proxied > 0.8 * (result.calls - outcome.verdict.excused)
+    assert not result.violations, result.first_violation
+    assert result.requests > 150 and result.served > 0.8 * (result.requests - outcome.verdict.excused)
     assert any(one.how == "lost" for one in outcome.seen)  # answers that never came, for work that was done
 
 
@@ -161,7 +166,7 @@
             ],
         ),
     )
-    assert not outcome.result.broken, outcome.result.first_break
+    assert not outcome.result.violations, outcome.result.first_violation
     assert outcome.result.lost == 0 and outcome.verdict.excused == 0
 
 
@@ -177,9 +182,9 @@
 
 def test_a_model_server_keeps_its_places_its_queue_and_the_rule_of_cold_servers():
     timers, seen = Timers(), []
-    model = ServerModel(1, 0, 0, 2, 1, 0.2, 0.5, 5.0, 3.0, 0.3, started_at=-100.0)
+    model = ServerModel(1, 0, 0, ServerSettings(2, 1, 0.2, 0.5, 5.0, 3.0, 0.3), started_at=-100.0)
     server = ModelServer(model, timers, random.Random(1), seen)
-    model.mode = "silent"
+    model.mode = ServerMode.SILENT
 
     def ask(n):
         sock = socket.create_connection(server.at, 2.0)
@@ -199,10 +204,7 @@
     for one in held:
         one.close()
     # cold: 5 calls/s of capacity at first, falls beyond 15 a second
-    model.mode, model.started_at = (
-        "ok",
-        time.monotonic(),
-    )
+    model.restart(time.monotonic())
 
     def push(n):
         with contextlib.suppress(OSError):  # once it fell it refuses
@@ -211,7 +213,7 @@
     rush = [threading.Thread(target=push, args=(n,)) for n in range(10, 40)]
     for one in rush:
         one.start()
-    assert until(lambda: model.falls == 1)
+    assert until(lambda: model.collapses == 1)
     with pytest.raises(OSError):
         ask(50)
     assert until(lambda: server.sock.fileno() >= 0, 1.0)  # back after the model's time
--- a/tests/test_protocol.py
+++ b/tests/test_protocol.py
@@ -8,7 +8,7 @@
 
 from brookhub.model import ServerState
 from brookhub.protocol import calls, counts, hosts, http, resp
-from brookhub.registry import ServerEntry, ServerRegistry
+from brookhub.registry import RegistryEntry, ServerRegistry
 from brookhub.transport.ring import Ring
 
 CALL = [
@@ -401,12 +401,12 @@
 
 def test_a_whole_list_removes_what_it_does_not_name_and_a_change_does_not():
     registry, fields = ServerRegistry(), (0, 0, 0, ServerState.READY, 1.0, 0.0)
-    one, two = registry.update([ServerEntry(1, *fields), ServerEntry(2, *fields)], True)
-    assert registry.update([ServerEntry(2, *fields)], False) == [two] and one.state is ServerState.READY
-    assert registry.update([ServerEntry(2, *fields)], True) == [two, one] and one.state is ServerState.GONE
+    one, two = registry.update([RegistryEntry(1, *fields), RegistryEntry(2, *fields)], True)
+    assert registry.update([RegistryEntry(2, *fields)], False) == [two] and one.state is ServerState.READY
+    assert registry.update([RegistryEntry(2, *fields)], True) == [two, one] and one.state is ServerState.GONE
     assert list(registry.servers.values()) == [two]  # nothing is kept of what is gone
-    (again,) = registry.update([ServerEntry(1, *fields)], False)
+    (again,) = registry.update([RegistryEntry(1, *fields)], False)
     assert again is not one and again.state is ServerState.READY and one.state is ServerState.GONE
-    assert registry.update([ServerEntry(1, 0, 0, 0, ServerState.GONE, 1.0, 0.0)], False) == [again] and list(
-        registry.servers.values()
-    ) == [two]
+    assert registry.update([RegistryEntry(1, 0, 0, 0, ServerState.GONE, 1.0, 0.0)], False) == [
+        again
+    ] and list(registry.servers.values()) == [two]
--- a/tests/test_recovery.py
+++ b/tests/test_recovery.py
@@ -8,7 +8,7 @@
 
 import pytest
 
-from brookhub.emulator.world import Keeper
+from brookhub.emulator.counter import CounterInstance
 from brookhub.experiments import recovery as lab
 from brookhub.experiments.recovery import Debt
 from brookhub.model import Outcome
@@ -33,7 +33,7 @@
 
     def __init__(self, count=4, seed=1, **settings):
         self.now, self.order, self.events, self.rng = 100.0, 0, [], random.Random(seed)
-        self.keepers, self.seen, self.lost = [Keeper()], {}, 0.0
+        self.keepers, self.seen, self.lost = [CounterInstance()], {}, 0.0
         self.logs, self.parts, self.settings = [], {}, Settings(BEAT, **settings)
         self.seats = [self.launch(n, count) for n in range(count)]
 
@@ -68,7 +68,7 @@
         """What the keeper holds under the epoch of who sees it."""
         seats = [one for one in self.seats if self.keeper(one.port.index) is self.keepers[keeper]]
         assert len({one.epochs.epoch for one in seats}) == 1
-        return self.keepers[keeper].counts.get(seats[0].epochs.name(name), [0.0])[0]
+        return self.keepers[keeper].total(seats[0].epochs.name(name))
 
     def own(self, name):
         return sum(one.ledger.entries[name].own for one in self.seats if name in one.ledger.entries)
@@ -148,7 +148,7 @@
         for name in [name for name in old.counts if name < 1 << 100]:
             del old.counts[name]
     else:
-        world.keepers[0] = Keeper()
+        world.keepers[0] = CounterInstance()
         world.run(4 * BEAT)
         world.keepers[0] = old
     for _ in range(60):
@@ -191,7 +191,7 @@
     if hurt == "wipe":
         old.counts.clear()
     elif hurt == "swap":
-        world.keepers[0] = Keeper()
+        world.keepers[0] = CounterInstance()
     else:
         for name in chance.sample(list(old.counts), len(old.counts) // 2):
             del old.counts[name]
@@ -215,7 +215,7 @@
     for _ in range(100):
         world.count(chance.randrange(10), 7)
         world.run(0.004)
-    world.keepers.append(Keeper())
+    world.keepers.append(CounterInstance())
     world.seen = {n: 1 for n in range(6, 10)}
     world.run(6 * BEAT)
     assert [world.parts[n] for n in range(10)] == [0.6] * 6 + [0.4] * 4  # in all no more than one quota
@@ -312,7 +312,7 @@
     world.keepers[0].counts.clear()
     world.run(4.5 * BEAT)
     # Its units are lost, unless they were kept
-    assert world.keepers[0].counts.get(world.seats[0].epochs.name(4), [0.0])[0] == 0.0
+    assert world.keepers[0].total(world.seats[0].epochs.name(4)) == 0.0
     world.seats[1] = world.launch(1, 3, scan(kept, world.now, 1e9 + 5.0).ledger)
     world.run(BEAT)
     assert world.total(4) == 6.0
--- a/tests/test_recovery_processes.py
+++ b/tests/test_recovery_processes.py
@@ -124,7 +124,7 @@
     lab, outcome, over = play(experiment, script)
     within(over, experiment, "wipe")
     assert len({line["epoch"] for line in said(lab, "counter changed")}) == 1
-    assert outcome.result.proxied > 100
+    assert outcome.result.served > 100
 
 
 def test_swapped_for_an_empty_one_that_goes_again_and_the_old_counts_come_back(play):
