--- a/brookhub/experiments/together.py
+++ b/brookhub/experiments/together.py
@@ -261,7 +261,7 @@
             (limiter.index, view.server.id)
             for limiter in fleet.limiters
             if limiter.is_alive
-            for view in limiter.gateway.upstreams.subset
+            for view in limiter.gateway.subset.members
         }
 
     def script(fleet: Fleet) -> None:
--- a/tests/test_emulator.py
+++ b/tests/test_emulator.py
@@ -76,7 +76,9 @@
 
 def gateway_counts(fleet):
     """What the decisions of the limiters know: (gateways present, gateways that have not surely left)."""
-    return {(limiter.gateway.upstreams.gateways, limiter.gateway.sure_gateways) for limiter in fleet.limiters}
+    return {
+        (limiter.gateway.fleet_size.live, limiter.gateway.fleet_size.possible) for limiter in fleet.limiters
+    }
 
 
 @pytest.mark.parametrize(
