--- a/benchmarks/rolling_upgrade.py
+++ b/benchmarks/rolling_upgrade.py
@@ -35,6 +35,7 @@
 
 from brookhub.config import Experiment
 from brookhub.coordination import Parts
+from brookhub.emulator.server_model import ServerMode
 from brookhub.experiments.limiter_process import Limiter
 from brookhub.experiments.maintenance import Workers
 from brookhub.experiments.processes import Outcome, ProcessLab
@@ -291,10 +292,10 @@
             return bool(lines) and ident in lines[-1]["servers"]
 
         model = self.lab.servers[server].model
-        model.mode = "failing"
+        model.mode = ServerMode.FAILING
         name = f"gossip: s-{server}, which fails under {version} alone, is ejected"
         self.check_all(name, ejected, STEP_WITHIN_S)
-        model.mode = "ok"
+        model.mode = ServerMode.OK
         self.load_goes_to(("this", "other"))
         self.check_all(
             f"gossip: s-{server} is taken back when it is well",
@@ -403,12 +404,12 @@
     def check_outcome(self, outcome: Outcome) -> None:
         """The judge's verdict, and the logs' faults."""
         result, excused = outcome.result, outcome.verdict.excused
-        answers = f"{result.calls} requests, {result.proxied} served, {result.rate_limited} rejected, "
-        answers += f"{result.errored} failed, {result.lost} lost, {excused} excused"
+        answers = f"{result.requests} requests, {result.served} served, {result.rejected} rejected, "
+        answers += f"{result.failed} failed, {result.lost} lost, {excused} excused"
         self.check("judge: each request has one final answer", not (result.lost or excused), answers)
-        detail = result.first_break or f"{len(self.lab.seen)} attempts at servers judged"
+        detail = result.first_violation or f"{len(self.lab.seen)} attempts at servers judged"
         print(f"       noise of this machine: {json.dumps(outcome.noise)}")
-        self.check("judge: no rule is broken", not result.broken, detail)
+        self.check("judge: no rule is broken", not result.violations, detail)
         faults = [line for one in self.lab.limiters for line in lines_of(one, LOG_EVENTS.fault)]
         self.check("log: no fault of the program", not faults, str(faults[:1] or "none"))
 
--- a/benchmarks/scale.py
+++ b/benchmarks/scale.py
@@ -5,42 +5,49 @@
 Not a test: it prints one JSON line per size. The offered load is the limiters experiment's, fixed in total.
 """
 
+from __future__ import annotations
+
+import argparse
 import json
-import sys
 from pathlib import Path
 
 from brookhub.config import Experiment, load
+from brookhub.emulator import Fleet
 from brookhub.experiments.sweep import with_value
 
 ROOT = Path(__file__).resolve().parent.parent
+SERVERS = 500
+
+
+def measure(base: Experiment, limiters: int) -> dict[str, object]:
+    """The row of a size of the fleet."""
+    result = Fleet(with_value(base, "fleet.limiters", limiters), keep_trail=False).run()
+    metrics = result.metrics()
+    return {
+        "limiters": limiters,
+        "servers": SERVERS,
+        "simulated_s": base.duration_s,
+        "wall_s": metrics["wall_s"],
+        "events": metrics["events"],
+        "events_per_s": metrics["events_per_s"],
+        "calls": metrics["calls"],
+        "served_share": round(result.served_share(), 4),
+    }
 
 
 def main() -> None:
-    """A line for each size of fleet."""
-    seconds = float(sys.argv[1]) if len(sys.argv) > 1 else 60.0
-    sizes = [int(n) for n in sys.argv[2:]] or [10, 100, 1000]
-    from brookhub.emulator import Fleet
-
-    base = with_value(load(ROOT / "experiments" / "limiters.toml", Experiment), "duration_s", seconds)
-    base = with_value(base, "fleet.servers.count", 500)
-    for size in sizes:
-        result = Fleet(with_value(base, "fleet.limiters", size), keep_trail=False).run()
-        metrics = result.metrics()
-        print(
-            json.dumps(
-                {
-                    "limiters": size,
-                    "servers": 500,
-                    "simulated_s": seconds,
-                    "wall_s": metrics["wall_s"],
-                    "events": metrics["events"],
-                    "events_per_s": metrics["events_per_s"],
-                    "calls": metrics["calls"],
-                    "served_share": round(metrics["served_share"], 4),
-                }
-            ),
-            flush=True,
-        )
+    """Print a line of JSON for each size."""
+    parser = argparse.ArgumentParser(
+        description=__doc__, formatter_class=argparse.RawDescriptionHelpFormatter
+    )
+    parser.add_argument("seconds", nargs="?", type=float, default=60.0)
+    parser.add_argument("limiters", nargs="*", type=int)
+    arguments = parser.parse_args()
+    base = load(ROOT / "experiments" / "limiters.toml", Experiment)
+    base = with_value(base, "duration_s", arguments.seconds)
+    base = with_value(base, "fleet.servers.count", SERVERS)
+    for limiters in arguments.limiters or [10, 100, 1000]:
+        print(json.dumps(measure(base, limiters)), flush=True)
 
 
 if __name__ == "__main__":
--- a/brookhub/emulator/result.py
+++ b/brookhub/emulator/result.py
@@ -41,9 +41,17 @@
         """Add the latency of a served request."""
         self.latency.record_value(max(1, int(seconds * MICROSECONDS)))
 
+    def answerable(self) -> int:
+        """Requests whose clients waited for the answer; at least 1, as the shares are divided by it."""
+        return max(1, self.requests - self.left)
+
+    def served_share(self) -> float:
+        """Share of the answerable requests that was served."""
+        return self.served / self.answerable()
+
     def metrics(self) -> dict[str, Metric]:
         """All figures under the names that they have in result files."""
-        answered = max(1, self.requests - self.left)
+        answerable = self.answerable()
         return {
             "calls": self.requests,
             "proxied": self.served,
@@ -53,9 +61,9 @@
             "left": self.left,
             "open": self.open,
             "tries": self.attempts,
-            "served_share": self.served / answered,
-            "rate_limited_share": self.rejected / answered,
-            "errored_share": (self.failed + self.lost) / answered,
+            "served_share": self.served_share(),
+            "rate_limited_share": self.rejected / answerable,
+            "errored_share": (self.failed + self.lost) / answerable,
             "p50_ms": self.latency.get_value_at_percentile(50) / 1000,
             "p99_ms": self.latency.get_value_at_percentile(99) / 1000,
             "quota_overshoot": self.quota_overshoot,
