--- a/brookhub/emulator/coordination_setup.py
+++ b/brookhub/emulator/coordination_setup.py
@@ -30,7 +30,7 @@
     def on_fleet_size_changed(live: int, rank: int, sure: int) -> None:
         limiter.gateway.on_membership_changed(live, rank, sure if spec.hard_by == "sure" else live)
         if limiter.recovery:
-            limiter.recovery.fleet(sure)
+            limiter.recovery.set_fleet_size(sure)
 
     member.on_fleet_size_changed = on_fleet_size_changed
     names = [member_name(index) for index in range(limiters)]
--- a/brookhub/emulator/limiter.py
+++ b/brookhub/emulator/limiter.py
@@ -14,8 +14,7 @@
 from ..coordination import SharedEjections
 from ..model import Answer, Attempt, Outcome, Request, Server, ServerState
 from ..ports import CounterCallback
-from ..recovery import Ledger, Recovery
-from ..recovery import Settings as RecoverySettings
+from ..recovery import Ledger, Recovery, RecoverySettings
 from ..registry import CustomerRegistry, RegistryEntry, ServerRegistry
 from ..site import GatewaySettings
 from .environment import Environment, RecoveryEvent
@@ -29,24 +28,24 @@
 
     def __init__(self, limiter: EmulatedLimiter, rng: random.Random) -> None:
         self.limiter = limiter
-        self.chance = rng.random
-        self.add = limiter.add_at_instance
+        self.random = rng.random
+        self.add_to_counter = limiter.add_at_instance
         self.later = limiter.later
 
     def now(self) -> float:
         """Simulated seconds."""
         return self.limiter.now
 
-    clock = now
+    wall_clock = now
 
-    def grant(self, part: float) -> None:
+    def grant_share(self, share: float) -> None:
         """Have the decisions grant a share of each quota."""
-        self.limiter.gateway.on_granted_share_changed(part)
+        self.limiter.gateway.on_granted_share_changed(share)
 
-    def log(self, event: str, **facts: object) -> None:
+    def log(self, event: str, **fields: object) -> None:
         """Keep an event."""
         environment = self.limiter.environment
-        environment.recovery_log.append(RecoveryEvent(self.now(), self.limiter.index, event, facts))
+        environment.recovery_log.append(RecoveryEvent(self.now(), self.limiter.index, event, fields))
 
 
 class EmulatedLimiter:
--- a/brookhub/emulator/site.py
+++ b/brookhub/emulator/site.py
@@ -11,7 +11,7 @@
 from random import Random
 from typing import Any, Callable
 
-from ..maintenance import Machine, Plan, Settings
+from ..maintenance import Machine, Message, Plan, Settings
 from ..model import ServerState
 from .engine import Engine
 from .fleet import Fleet
@@ -65,7 +65,7 @@
         self.fleet = fleet
         self.engine = fleet.engine if fleet else Engine()
         self.rng = Random(f"site/{settings.seed}")
-        self.settings = Settings(lease=settings.lease, ends_in=3.0, offer=0.5)
+        self.settings = Settings(lease_s=settings.lease, request_timeout_s=3.0, announce_interval_s=0.5)
         self.is_up = {machine.name: True for machine in plan.machines}
         self.listed_up = dict(self.is_up)
         self.worked_on: set[str] = set()  # down for work, not by a failure
@@ -95,7 +95,7 @@
     def _submit_plan(self) -> None:
         """Give the plan to a limiter."""
         name = self.rng.choice(self.limiter_names())
-        self.limiters[name].core.give(self.plan)
+        self.limiters[name].core.submit_plan(self.plan)
 
     # site_limiter.SiteServices
 
@@ -107,7 +107,7 @@
         """The limiters that membership at one sees as present, without itself."""
         return self.links.visible_limiters(name)
 
-    def send(self, source: str, peer: str, message: Any) -> None:
+    def send(self, source: str, peer: str, message: Message) -> None:
         """Carry a message."""
         self.links.send(source, peer, message)
 
@@ -130,7 +130,7 @@
 
     def on_event(self, name: str, event: str, fields: dict[str, Any]) -> None:
         """Handle an event that a limiter logs: people begin where it says that it is safe."""
-        if event.startswith("safe to work on "):
+        if event == "machine safe to work on":
             self.begin_work(fields["machine"])
 
     # machines
@@ -206,16 +206,16 @@
         self.set_machine_up(machine, True)
         are_all_done = len(self.done) == len(self.plan.machines)
         if are_all_done and self.ended_at is None and self.scheduling is not Scheduling.AGREED:
-            self.ended_at = self.engine.now + self.plan.fill_s
+            self.ended_at = self.engine.now + self.plan.warm_up_s
 
     def _check_machines_out(self) -> None:
         """Check the plan's limits, each time that one more machine is out."""
         out = [self._machine(name) for name in self.out_since]
         self.max_out = max(self.max_out, len(out))
-        if len(out) > self.plan.most_out:
+        if len(out) > self.plan.max_out:
             self._report(f"{len(out)} out: {sorted(self.out_since)}")
         for machine in out:
-            if sum(other.zone == machine.zone for other in out) > self.plan.most_zone:
+            if sum(other.zone == machine.zone for other in out) > self.plan.max_out_per_zone:
                 self._report(f"zone {machine.zone}: {sorted(self.out_since)}")
 
     def _report(self, violation: str) -> None:
@@ -227,11 +227,11 @@
     def _follow_timetable(self, first: int) -> None:
         """Take out the machines from index `first` on, and the next when work and filling take longest."""
         plan = self.plan
-        for machine in plan.machines[first : first + plan.most_out]:
+        for machine in plan.machines[first : first + plan.max_out]:
             self.begin_work(machine.name)
-        following = first + plan.most_out
+        following = first + plan.max_out
         if following < len(plan.machines):
-            step = DRAIN_TIME + MAX_WORK_FACTOR * self.work_time + plan.start_within_s + plan.fill_s
+            step = DRAIN_TIME + MAX_WORK_FACTOR * self.work_time + plan.start_within_s + plan.warm_up_s
             self.engine.call_later(TIMETABLE_MARGIN * step, lambda: self._follow_timetable(following))
 
     def _looks_of(self, name: str) -> Callable[[], None]:
@@ -244,7 +244,7 @@
                 for machine in self.plan.machines
                 if machine.name not in self.done and machine.name not in self.out_since
             ]
-            if self.limiters[name].is_running() and listed_down < self.plan.most_out and left:
+            if self.limiters[name].is_running() and listed_down < self.plan.max_out and left:
                 self.begin_work(left[0].name)
             if left:
                 self.engine.call_later(TICK_INTERVAL * (0.5 + self.rng.random()), look)
--- a/brookhub/emulator/site_limiter.py
+++ b/brookhub/emulator/site_limiter.py
@@ -5,7 +5,7 @@
 from random import Random
 from typing import Any, Protocol
 
-from ..maintenance import Machine, Maintenance, Settings
+from ..maintenance import Machine, Maintenance, Message, Settings, TrafficSample
 from .engine import Engine
 
 TICK_INTERVAL = 0.5  # s between two ticks of a limiter's maintenance
@@ -26,7 +26,7 @@
     def visible_limiters(self, name: str) -> list[str]:
         """The limiters that membership at one sees as present, without itself."""
 
-    def send(self, source: str, peer: str, message: Any) -> None:
+    def send(self, source: str, peer: str, message: Message) -> None:
         """Carry a message."""
 
     def withhold_traffic(self, name: str, machines: tuple[str, ...]) -> None:
@@ -82,7 +82,7 @@
         self.core.tick()
         engine.call_later(TICK_INTERVAL / self.rate, lambda: self._tick(incarnation))
 
-    def deliver(self, source: str, message: Any, incarnation: int) -> None:
+    def deliver(self, source: str, message: Message, incarnation: int) -> None:
         """Hand a message to the incarnation that it was sent to."""
         engine = self.site.engine
         if not self.is_current(incarnation):
@@ -95,12 +95,12 @@
     def acts_as_leader(self) -> bool:
         """Whether it may act on the plan now, by its own clock."""
         register = self.core.register
-        return register is not None and register.acts(self.now())
+        return register is not None and register.proposer.may_act(self.now())
 
     def sees_plan_finished(self) -> bool:
         """Whether the plan is done by its copy of the register."""
         register = self.core.register
-        return register is not None and self.core.finished(register.table)
+        return register is not None and self.core.is_finished(register.value)
 
     # maintenance.MaintenancePort
 
@@ -108,35 +108,35 @@
         """Seconds on its own clock, which drifts."""
         return self.site.engine.now * self.rate
 
-    def present(self) -> list[str]:
+    def present_peers(self) -> list[str]:
         """The limiters that membership here sees as present."""
         return self.site.visible_limiters(self.name)
 
-    def listed(self) -> list[str]:
+    def listed_peers(self) -> list[str]:
         """All others of the fleet."""
         return [name for name in self.site.limiter_names() if name != self.name]
 
-    def send(self, peer: str, message: Any) -> None:
+    def send(self, peer: str, message: Message) -> None:
         """Send a message to a peer."""
         self.site.send(self.name, peer, message)
 
-    def up(self, machine: Machine) -> bool:
+    def machine_is_up(self, machine: Machine) -> bool:
         """Whether the server list has a machine's servers."""
         return self.site.listed_up[machine.name]
 
-    def hold(self, machines: tuple[str, ...]) -> None:
+    def withhold_traffic(self, machines: tuple[str, ...]) -> None:
         """Send nothing to these machines."""
         self.site.withhold_traffic(self.name, machines)
 
-    def quiet(self, machine: Machine) -> bool:
+    def machine_is_idle(self, machine: Machine) -> bool:
         """Whether this limiter has no attempt in flight at a machine."""
         return self.site.is_idle(self.name, machine)
 
-    def lately(self) -> tuple[float, float, float]:
+    def recent_traffic(self) -> TrafficSample:
         """No traffic to judge by."""
-        return (0.0, 0.0, 0.0)
+        return TrafficSample(0.0, 0.0, 0.0)
 
-    def load(self) -> dict[str, float]:
+    def zone_load(self) -> dict[str, float]:
         """No load to go by."""
         return {}
 
--- a/brookhub/emulator/site_links.py
+++ b/brookhub/emulator/site_links.py
@@ -6,8 +6,8 @@
 from __future__ import annotations
 
 from random import Random
-from typing import Any
 
+from ..maintenance import Message
 from .engine import Engine
 from .site_limiter import SiteLimiter
 
@@ -32,7 +32,7 @@
         self.gone: set[str] = set()
         self._views: dict[bool, list[str]] = {}  # who is present, by whether the viewer is in `side`
 
-    def send(self, source: str, peer: str, message: Any) -> None:
+    def send(self, source: str, peer: str, message: Message) -> None:
         """Carry a message, as far as the links allow."""
         if self.loss and self.rng.random() < self.loss:
             return
--- a/brookhub/experiments/recovery.py
+++ b/brookhub/experiments/recovery.py
@@ -94,17 +94,17 @@
     if (
         len(fleet.counter.instances) > 1
         or len(epochs) > 1
-        or not all(limiter.recovery.sure() for limiter in limiters)
+        or not all(limiter.recovery.is_reconciled() for limiter in limiters)
     ):
         return False
     now, running = fleet.engine.now, set()
     for limiter in limiters:
         for name, entry in limiter.recovery.ledger.entries.items():
-            sums[name] = sums.get(name, 0.0) + entry.own
-            if entry.own and entry.dies - now > 2 / 3 * entry.lives:  # of three windows' life
+            sums[name] = sums.get(name, 0.0) + entry.units
+            if entry.units and entry.expires_at - now > 2 / 3 * entry.lifetime:  # of three windows' life
                 running.add(name)
     found = limiters[0].recovery.epochs
-    return all(abs(keeper.total(found.name(name)) - sums[name]) < 1e-3 for name in running)
+    return all(abs(keeper.total(found.count_name(name)) - sums[name]) < 1e-3 for name in running)
 
 
 ACTIONS = {
@@ -243,7 +243,9 @@
         "epochs": len({entry.fields["epoch"] for entry in fleet.recovery_log if "epoch" in entry.fields}),
         "twice": sum(len(calls) > 1 for calls in watch.ran.values()),
         "both_sides": sum(len(them) > 1 for them in watch.sides.values()),
-        "resent": sum(limiter.recovery.resent for limiter in fleet.limiters if limiter.recovery),
+        "resent": sum(
+            limiter.recovery.replay.replayed_counts for limiter in fleet.limiters if limiter.recovery
+        ),
         "counter_calls": fleet.counter.calls,
     }
 
--- a/tests/test_emulator.py
+++ b/tests/test_emulator.py
@@ -261,11 +261,11 @@
         1,
         made,
         ("n0", "n1", "n2"),
-        most_out=max_out,
-        most_zone=1,
-        capacity_least=0.4,
+        max_out=max_out,
+        max_out_per_zone=1,
+        min_capacity_share=0.4,
         start_within_s=5.0,
-        fill_s=3.0,
+        warm_up_s=3.0,
         pause_s=0.0,
     )
 
@@ -321,17 +321,18 @@
     while not site.out_since:
         site.engine.run(site.engine.now + 0.5)
     first = set(site.out_since)
-    marks = site.limiters["n5"].core.told_mark
+    known_before = site.limiters["n5"].core.follower.committed_revision
     for name in ("n0", "n1", "n2"):
         faults.kill(name, 0.5)
     site.engine.run(site.engine.now + 15.0)
-    held = next(
+    leader = next(
         limiter.core.register
         for limiter in map(site.limiters.get, site.plan.voters)
-        if limiter.core.register.leads
+        if limiter.core.register.proposer.is_leader
     )
-    assert {name for name, _ in held.table.outs} == first and held.ballot > marks[:2]
-    assert site.limiters["n5"].core.told_mark[:2] == held.ballot  # heeded again
+    assert leader.value.names_out() == first and leader.proposer.ballot > known_before.ballot
+    restored = site.limiters["n5"].core.follower.committed_revision
+    assert restored.ballot == leader.proposer.ballot  # the other limiters follow the voters again
     assert not site.run(900.0).violations and site.ended_at
 
 
@@ -341,13 +342,13 @@
     site = Site(plan, SiteSettings(limiters=10, seed=seed, work_time=8.0))
     while not site.done:
         site.engine.run(site.engine.now + 1.0)
-    following = msgspec.structs.replace(plan, version=2, voters_next=("n2", "n4", "n5"))
-    assert site.limiters["n7"].core.give(following) == ""  # to one without a vote
+    following = msgspec.structs.replace(plan, version=2, next_voters=("n2", "n4", "n5"))
+    site.limiters["n7"].core.submit_plan(following)  # to one without a vote
     site.plan = msgspec.structs.replace(plan, voters=("n0", "n1", "n2", "n4", "n5"))  # whom the site looks at
     SiteFaults(site).schedule_random(10.0, site.engine.now + 60.0)
     site.run(1500.0)
     assert not site.violations, site.violations[:3]
-    assert site.ended_at and site.limiters["n4"].core.register.table.voters == ("n2", "n4", "n5")
+    assert site.ended_at and site.limiters["n4"].core.register.value.voters == ("n2", "n4", "n5")
 
 
 def watch_answers(fleet):
--- a/tests/test_maintenance.py
+++ b/tests/test_maintenance.py
@@ -1,544 +1,328 @@
-"""Plans, the register and the steps of a machine, without I/O; the model checker on the real core."""
+"""Maintenance without I/O: order of machines, messages, plan transfer, machine phases, halting, status."""
 
 import contextlib
+import json
 import random
 
 import msgspec
 import pytest
-from hypothesis import HealthCheck, settings
-from hypothesis import strategies as some
-from hypothesis.stateful import RuleBasedStateMachine, invariant, rule
 
+from brookhub.experiments.maintenance import read_status
 from brookhub.maintenance import (
-    LEAVING,
-    OPEN,
     Machine,
     Maintenance,
+    Phase,
     Plan,
-    Settings,
+    PlanProgress,
+    PlanRejectedError,
     UnreadableError,
-    fits,
-    order,
+    maintenance_order,
+    may_go_out,
     pack,
     unpack,
 )
-from brookhub.maintenance.messages import Offer, Table, Write
-from brookhub.maintenance.register import DRIFT, leased
-from brookhub.model_checker import PLANTED, Model, search
-
-
-def plan(machines=6, zones=2, version=1, voters=("n0", "n1", "n2"), **more):
-    return Plan(
-        version,
-        tuple(Machine(f"m{n}", f"z{n % zones}", 1.0 + n % 3, (f"s-{n}",)) for n in range(machines)),
-        voters,
-        **more,
-    )
-
+from brookhub.maintenance.messages import (
+    Accept,
+    ChunkRequest,
+    Commit,
+    CommitAck,
+    MachineOut,
+    PlanAnnouncement,
+    Revision,
+)
+from brookhub.maintenance.plan import AdoptedPlan
+from maintenance_helpers import THREE_VOTERS, FakePort, phases_out, plan, single_voter
 
-# the order
+# ordering
 
 
 @pytest.mark.parametrize("seed", range(10))
-def test_the_order_has_every_machine_once_and_is_the_same_however_the_plan_is_listed(seed):
-    chance = random.Random(seed)
+def test_order_has_every_machine_once_whatever_the_order_in_the_plan(seed):
+    rng = random.Random(seed)
     machines = [
         Machine(
-            f"m{n}",
-            f"z{chance.randrange(3)}",
-            chance.choice([1.0, 2.0, 4.0]),
-            limiter=chance.choice(["", "", f"n{n}"]),
+            f"m{number}",
+            f"z{rng.randrange(3)}",
+            rng.choice([1.0, 2.0, 4.0]),
+            limiter=rng.choice(["", "", f"n{number}"]),
         )
-        for n in range(chance.randrange(1, 20))
+        for number in range(rng.randrange(1, 20))
     ]
-    load = {f"z{n}": chance.random() * 100 for n in range(3)}
-    down = frozenset(one.name for one in machines if chance.random() < 0.2)
-    made = order(Plan(1, tuple(machines), ("n0",)), load, down)
-    assert sorted(made, key=str) == sorted(machines, key=str)
-    chance.shuffle(machines)
-    assert order(Plan(1, tuple(machines), ("n0",)), load, down) == made
-    names = [one.name in down for one in made]
-    assert names == sorted(names, reverse=True)  # what is down already goes first
-    rest = [bool(one.limiter) for one in made if one.name not in down]
-    assert rest == sorted(rest)  # limiters' own machines last
-
-
-def test_zones_take_turns_the_least_loaded_first_and_small_machines_before_large_ones():
-    made = order(plan(), {"z0": 50.0, "z1": 1.0}, frozenset())
-    assert [one.zone for one in made] == ["z1", "z0"] * 3
-    assert [one.capacity for one in made if one.zone == "z1"] == [1.0, 2.0, 3.0]
-
-
-def test_a_machine_fits_only_within_the_number_its_zone_s_and_the_capacity_that_must_stay():
-    one = plan(most_out=2, most_zone=1, capacity_least=0.6)
-    assert fits(one, "m0", set()) and fits(one, "m1", {"m0"})
-    assert not fits(one, "m2", {"m0"})  # its zone has one out
-    assert not fits(one, "m3", {"m0", "m1"})  # two are
-    assert not fits(plan(most_out=9, most_zone=9, capacity_least=0.6), "m5", {"m2"})  # 6 of 12 would go
-    assert fits(one, "m0", {"m0"})  # already away itself
-
-
-# what travels
-
-
-def test_messages_are_read_as_they_were_written_and_anything_else_is_refused():
-    message = Write((3, "n1", 7), Table(1, "abc", (("m0", LEAVING), ("m1", OPEN)), 5, "", ("n0", "n1")))
-    whole = pack(message)
-    assert unpack(whole) == message and len(whole) < 120
-    for cut in range(len(whole)):
+    load = {f"z{zone}": rng.random() * 100 for zone in range(3)}
+    down = frozenset(machine.name for machine in machines if rng.random() < 0.2)
+    ordered = maintenance_order(Plan(1, tuple(machines), ("n0",)), load, down)
+    assert sorted(ordered, key=str) == sorted(machines, key=str)
+    rng.shuffle(machines)
+    assert maintenance_order(Plan(1, tuple(machines), ("n0",)), load, down) == ordered
+    is_down = [machine.name in down for machine in ordered]
+    assert is_down == sorted(is_down, reverse=True)  # machines that are down already come first
+    has_limiter = [bool(machine.limiter) for machine in ordered if machine.name not in down]
+    assert has_limiter == sorted(has_limiter)  # machines with a limiter come last
+
+
+def test_order_alternates_zones_from_the_least_loaded_and_takes_small_machines_first():
+    ordered = maintenance_order(plan(), {"z0": 50.0, "z1": 1.0}, frozenset())
+    assert [machine.zone for machine in ordered] == ["z1", "z0"] * 3
+    assert [machine.capacity for machine in ordered if machine.zone == "z1"] == [1.0, 2.0, 3.0]
+
+
+def test_machine_may_go_out_only_within_total_zone_and_capacity_bounds():
+    bounded = plan(max_out=2, max_out_per_zone=1, min_capacity_share=0.6)
+    assert may_go_out(bounded, "m0", set()) and may_go_out(bounded, "m1", {"m0"})
+    assert not may_go_out(bounded, "m2", {"m0"})  # its zone has one out
+    assert not may_go_out(bounded, "m3", {"m0", "m1"})  # two are out
+    loose = plan(max_out=9, max_out_per_zone=9, min_capacity_share=0.6)
+    assert not may_go_out(loose, "m5", {"m2"})  # 6 of 12 would go
+    assert may_go_out(bounded, "m0", {"m0"})  # it is out itself
+
+
+# messages
+
+
+def test_messages_are_decoded_as_encoded_and_other_bytes_are_unreadable():
+    machines_out = (MachineOut("m0", Phase.DRAINING), MachineOut("m1", Phase.RELEASED))
+    message = Accept(Revision(3, "n1", 7), PlanProgress(1, "abc", machines_out, 5, "", ("n0", "n1")))
+    encoded = pack(message)
+    assert unpack(encoded) == message and len(encoded) < 120
+    for length in range(len(encoded)):
         with pytest.raises(UnreadableError):
-            unpack(whole[:cut])
-    chance = random.Random(1)
+            unpack(encoded[:length])
+    rng = random.Random(1)
     for _ in range(3000):
-        spoilt = bytearray(whole)
-        spoilt[chance.randrange(len(spoilt))] = chance.randrange(256)
+        damaged = bytearray(encoded)
+        damaged[rng.randrange(len(damaged))] = rng.randrange(256)
         with contextlib.suppress(UnreadableError):
-            unpack(bytes(spoilt))
-
-
-class Alone:
-    """The port of one member whose clock the test moves."""
-
-    def __init__(self, peers=()):
-        self.at, self.peers, self.out, self.said, self.held, self.gone = 100.0, list(peers), [], [], (), set()
-
-    def now(self):
-        return self.at
-
-    def present(self):
-        return self.peers
-
-    listed = present
-
-    def send(self, peer, message):
-        self.out.append((peer, unpack(pack(message))))
-
-    def up(self, machine):
-        return machine.name not in self.gone
+            unpack(bytes(damaged))
 
-    def hold(self, machines):
-        self.held = machines
 
-    def quiet(self, machine):
-        return True
+# plan transfer
 
-    def lately(self):
-        return (100.0, self.served, self.served * 0.1)
 
-    served = 100.0
-
-    def load(self):
-        return {}
-
-    def log(self, event, **facts):
-        self.said.append((event, facts))
-
-    def events(self):
-        return [event for event, _ in self.said]
-
-    def run(self, core, seconds, step=0.25):
-        end = self.at + seconds
-        while self.at < end:
-            self.at += step
-            core.tick()
-
-
-def test_a_plan_reaches_a_peer_in_pieces_and_a_conflicting_one_is_refused_with_both_digests():
-    ports = {name: Alone([other for other in ("n0", "n1") if other != name]) for name in ("n0", "n1")}
+def test_plan_reaches_a_peer_in_chunks_and_a_conflicting_plan_is_rejected_with_both_digests():
+    names = ("n0", "n1")
+    ports = {name: FakePort([other for other in names if other != name]) for name in names}
     cores = {name: Maintenance(port, name) for name, port in ports.items()}
-    large = plan(machines=60, voters=("n0", "n1"))
-    assert cores["n0"].give(large) == ""
+    large = plan(machines=60, voters=names)
+    cores["n0"].submit_plan(large)
     for _ in range(8):
         for name, port in ports.items():
             port.run(cores[name], 1.0)
-        while any(port.out for port in ports.values()):
+        while any(port.sent for port in ports.values()):
             for name, port in ports.items():
-                for peer, message in [port.out.pop(0)] if port.out else []:
+                for peer, message in [port.sent.pop(0)] if port.sent else []:
                     cores[peer].received(name, message)
-    assert cores["n1"].plan == large and cores["n1"].digest == large.digest()
-    other = plan(machines=59, voters=("n0", "n1"))
-    refusal = cores["n1"].give(other)
-    assert large.digest() in refusal and other.digest() in refusal
-    cores["n0"].received("n1", Offer(1, other.digest()))
-    event, facts = ports["n0"].said[-1]
-    assert event == "plan refused" and {facts["digest"], facts["held"]} == {large.digest(), other.digest()}
-    assert "older" in cores["n0"].give(plan(version=0))
-    assert "voters_next" in cores["n0"].give(plan(machines=60, version=2, voters=("n5",)))
-    assert cores["n0"].give(plan(machines=60, version=2, voters=("n0", "n1"))) == ""
-
-
-def test_a_table_that_comes_before_its_plan_is_kept_and_its_machines_are_kept_off_once_the_plan_is_there():
+    assert cores["n1"].adopted == AdoptedPlan(large, large.digest())
+
+    conflicting = plan(machines=59, voters=names)
+    with pytest.raises(PlanRejectedError) as rejected:
+        cores["n1"].submit_plan(conflicting)
+    assert large.digest() in str(rejected.value) and conflicting.digest() in str(rejected.value)
+    cores["n0"].received("n1", PlanAnnouncement(1, conflicting.digest()))
+    event, facts = ports["n0"].logged[-1]
+    assert event == "plan rejected"
+    assert {facts["digest"], facts["current_digest"]} == {large.digest(), conflicting.digest()}
+
+    with pytest.raises(PlanRejectedError, match="older"):
+        cores["n0"].submit_plan(plan(version=0))
+    with pytest.raises(PlanRejectedError, match="voters_next"):
+        cores["n0"].submit_plan(plan(machines=60, version=2, voters=("n5",)))
+    newer = plan(machines=60, version=2, voters=names)
+    cores["n0"].submit_plan(newer)
+    assert cores["n0"].adopted == AdoptedPlan(newer, newer.digest())
+
+
+def test_progress_that_arrives_before_its_plan_takes_effect_once_the_plan_is_there():
     """Seen on eight processes.
 
-    The steward's word was quicker than the plan, and the limiter that met it logged a fault.
+    The leader's message was quicker than the plan, and the limiter that got it logged a fault.
     """
-    from brookhub.maintenance.messages import Told
-
-    port = Alone(["n1"])
+    port = FakePort(["n1"])
     core = Maintenance(port, "n7")
-    one = plan()
-    core.received(
-        "n1", Told((2, "n1", 3), Table(1, one.digest(), (("m0", LEAVING),), voters=("n0", "n1", "n2")))
-    )
-    assert port.held == () and [type(message).__name__ for _, message in port.out] == ["Heard", "Want"]
-    assert port.out[0][1].report.quiet == ()  # it can't say so yet
-    core.give(one)
-    assert port.held == ("m0",)
-
-
-# the steps, with one voter: all that a majority does is done at once
-
-
-def begun(**more):
-    port = Alone()
-    core = Maintenance(port, "n0", Settings(lease=1.0, ends_in=1.0, settle=3.0), knows=True)
-    assert (
-        core.give(
-            plan(voters=("n0",), machines=4, **{"pause_s": 0.0, "fill_s": 2.0, "start_within_s": 6.0, **more})
-        )
-        == ""
-    )
+    arriving = plan()
+    draining = (MachineOut("m0", Phase.DRAINING),)
+    progress = PlanProgress(1, arriving.digest(), draining, voters=THREE_VOTERS)
+    core.received("n1", Commit(Revision(2, "n1", 3), progress))
+    assert port.withheld == ()
+    acknowledgement, request = port.sent_messages()
+    assert isinstance(acknowledgement, CommitAck) and isinstance(request, ChunkRequest)
+    assert acknowledgement.report.idle_machines == ()  # it can't know yet
+    core.submit_plan(arriving)
+    assert port.withheld == ("m0",)
+
+
+# phases of a machine, with one voter: a majority accepts at once
+
+
+def test_machine_is_drained_released_worked_on_warmed_up_and_done_before_the_next():
+    port, core = single_voter(min_capacity_share=0.4)
+    first = next(iter(phases_out(core)))
+    assert phases_out(core) == {first: Phase.RELEASED} and port.withheld == (first,)
+    assert ("machine safe to work on", first) in port.machine_events()
     port.run(core, 3.0)
-    return port, core
-
-
-def out_of(core):
-    return dict(core.register.held.outs)
-
-
-def test_a_machine_is_permitted_safe_gone_back_filled_and_done_and_then_the_next():
-    port, core = begun(capacity_least=0.4)
-    first = next(iter(out_of(core)))
-    assert (
-        out_of(core) == {first: OPEN}
-        and f"safe to work on {first}" in port.events()
-        and port.held == (first,)
-    )
-    port.run(core, 3.0)
-    assert out_of(core) == {first: OPEN}  # it is still there: nobody has started
-    port.gone = {first}
+    assert phases_out(core) == {first: Phase.RELEASED}  # it is still up: nobody has started to work
+    port.down = {first}
     port.run(core, 20.0)
-    assert out_of(core) == {first: OPEN}
-    port.gone = set()
+    assert phases_out(core) == {first: Phase.RELEASED}
+    port.down = set()
     port.run(core, 1.0)
-    assert port.held == () and "back" in port.events()  # used again, as a cold one
+    assert port.withheld == () and "machine back in service" in port.events()  # used again, warming up
     port.run(core, 4.0)
-    assert f"done with {first}" in port.events() and list(out_of(core)) != [first]
+    assert ("machine work completed", first) in port.machine_events()
+    assert list(phases_out(core)) != [first]
 
 
-def test_what_nobody_starts_on_is_withdrawn_and_asked_for_again():
-    port, core = begun(start_within_s=4.0)
-    first = next(iter(out_of(core)))
+def test_release_that_nobody_uses_expires_and_is_given_again():
+    port, core = single_voter(start_within_s=4.0)
+    first = next(iter(phases_out(core)))
     port.run(core, 4.0)
-    assert "withdrawn" in port.events()
+    assert "machine release expired" in port.events()
     port.run(core, 3.0)
-    assert port.events().count(f"safe to work on {first}") == 2
+    assert port.machine_events().count(("machine safe to work on", first)) == 2
 
 
-def test_one_that_failed_by_itself_and_came_back_stays_out_as_long_as_somebody_may_yet_start_on_it():
+def test_machine_that_failed_and_recovered_stays_out_while_work_may_still_start():
     """Found by random faults.
 
-    Down before it was permitted and up again, it was taken for done while people began on it.
+    Down before it was released and up again, it was taken for done while people began to work on it.
     """
-    port, core = begun(start_within_s=6.0)
-    first = next(iter(out_of(core)))
-    port.gone = {first}
+    port, core = single_voter(start_within_s=6.0)
+    first = next(iter(phases_out(core)))
+    port.down = {first}
     port.run(core, 1.0)
-    port.gone = set()
+    port.down = set()
     port.run(core, 2.0)
-    assert out_of(core) == {first: OPEN}
+    assert phases_out(core) == {first: Phase.RELEASED}
     port.run(core, 5.0)
-    assert out_of(core).get(first) != OPEN
+    assert phases_out(core).get(first) != Phase.RELEASED
 
 
-def test_a_plan_halts_for_capacity_for_served_share_and_for_long_work_and_goes_on_when_it_is_well_or_told_to():
-    port, core = begun(most_out=1, capacity_least=0.5, served_least=0.9, work_most_s=15.0)
-    first = next(iter(out_of(core)))
-    port.gone = {first}
-    port.run(core, 1.0)
-    port.gone = {first, *[name for name in ("m2", "m3") if name != first]}  # 5 of 8 are lost
-    port.run(core, 1.0)
-    assert port.events().count("plan halted") == 1 and "has to stay" in core.register.held.halted
-    port.gone = {first}
-    port.run(core, 4.0)
-    assert core.register.held.halted == "" and "plan goes on" in port.events()
-    port.served = 80.0
-    port.run(core, 1.0)
-    assert "0.800 of the calls are served, 0.9 is the least" in core.register.held.halted
-    port.served = 100.0
-    core.give(msgspec.structs.replace(core.plan, version=2, resume=1))
-    port.run(core, 1.5)
-    assert core.register.held.halted == "" and core.register.held.version == 2
-    port.run(core, 10.0)
-    assert "work takes long" in port.events() and "longer than the plan allows" in core.register.held.halted
-
-
-def test_one_that_is_only_leaving_is_brought_back_when_the_plan_halts():
-    port, core = begun()
-    port.quiet = lambda machine: False
+def test_draining_machine_is_put_back_when_the_plan_halts():
+    port, core = single_voter()
+    port.idle = False
     port.run(core, 6.0)
-    first = next(iter(out_of(core)))
-    while out_of(core).get(first) != LEAVING:
-        port.gone = {first} if out_of(core).get(first) == OPEN and not port.gone else set()
+    first = next(iter(phases_out(core)))
+    while phases_out(core).get(first) != Phase.DRAINING:
+        port.down = {first} if phases_out(core).get(first) == Phase.RELEASED and not port.down else set()
         port.run(core, 1.0)
-        first = next(iter(out_of(core)), first)
-    held = first
-    port.gone = {name for name in ("m0", "m1", "m2", "m3") if name != held}
+        first = next(iter(phases_out(core)), first)
+    port.down = {name for name in ("m0", "m1", "m2", "m3") if name != first}
     port.run(core, 1.0)
-    assert out_of(core) == {} and port.held == () and "brought back" in port.events()
+    assert phases_out(core) == {} and port.withheld == () and "machine drain cancelled" in port.events()
 
 
-def test_one_that_is_there_and_silent_counts_out_after_a_lease_and_the_longest_timeout_and_one_that_is_gone_sooner():
+def test_drain_waits_longer_for_a_silent_present_limiter_than_for_an_absent_one():
     """Seen on processes.
 
-    One voter's sends were dropped, and the machine stayed leaving for as long as they were.
+    One voter's messages were dropped, and the machine stayed draining for as long as they were.
     """
-    for there, waits in ((True, 1.0 + 1.2), (False, 1.2)):
-        port, core = begun()
+    for present, expected_s in ((True, 1.0 + 1.2), (False, 1.2)):
+        port, core = single_voter()
         port.peers = ["n9"]
         core.tick()
-        first = next(iter(out_of(core)))
-        port.gone = {first}
+        first = next(iter(phases_out(core)))
+        port.down = {first}
         port.run(core, 1.0)
-        port.gone = set()
-        while not any(step == LEAVING for step in out_of(core).values()):
+        port.down = set()
+        while Phase.DRAINING not in phases_out(core).values():
             port.run(core, 0.25)
-        began = port.at
-        port.listed = lambda: ["n9"]
-        port.peers = ["n9"] if there else []
-        while any(step == LEAVING for step in out_of(core).values()):
+        started_at = port.clock
+        port.listed_peers = lambda: ["n9"]
+        port.peers = ["n9"] if present else []
+        while Phase.DRAINING in phases_out(core).values():
             port.run(core, 0.25)
-            assert port.at < began + 10.0
-        assert waits - 0.5 <= port.at - began <= waits + 1.0, (there, port.at - began)
+            assert port.clock < started_at + 10.0
+        waited_s = port.clock - started_at
+        assert expected_s - 0.5 <= waited_s <= expected_s + 1.0, (present, waited_s)
 
 
-def test_a_plan_that_is_done_lets_its_lease_run_out_and_writes_no_more():
-    port, core = begun(fill_s=0.0, start_within_s=2.0)
+def test_leader_of_a_finished_plan_lets_its_lease_expire_and_writes_no_more():
+    port, core = single_voter(warm_up_s=0.0, start_within_s=2.0)
     for _ in range(4):
-        name = next(iter(out_of(core)))
-        port.gone = {name}
+        name = next(iter(phases_out(core)))
+        port.down = {name}
         port.run(core, 3.0)
-        port.gone = set()
+        port.down = set()
         port.run(core, 1.5)
-    assert core.finished(core.register.table) and "steward no more" in port.events()
-    mark = core.register.mark
+    assert core.is_finished(core.register.value) and "leadership lost" in port.events()
+    revision = core.register.voter.revision
     port.run(core, 30.0)
-    assert core.register.mark == mark
-
-
-# the register
+    assert core.register.voter.revision == revision
 
 
-def test_a_lease_ends_at_the_voter_after_the_leader_s_whatever_the_two_clocks_do():
-    for leader in (1 - DRIFT, 1 + DRIFT):
-        for voter in (1 - DRIFT, 1 + DRIFT):
-            # True s: rate of a clock times true time is what it shows
-            assert leased(3.0) / voter >= 3.0 / leader - 1e-9
+# halting
 
 
-def test_one_that_starts_with_nothing_abstains_for_a_lease_and_until_it_has_read_a_majority():
-    port = Alone(["n1", "n2", "n3", "n4"])
-    core = Maintenance(port, "n0", Settings(lease=1.0, offer=0.0))
-    core.give(plan(voters=("n0", "n1", "n2", "n3", "n4")))
-    register, table = core.register, Table(1, core.digest, (("m3", OPEN),))
-    port.run(core, 0.75)
-    assert not port.out  # within the lease it does not even ask
-    core.received("n1", Write((4, "n1", 2), table))
-    assert register.abstains and not any(type(message).__name__ == "Wrote" for _, message in port.out)
+def test_plan_halts_for_capacity_served_share_and_overdue_work_and_resumes_when_healthy_or_asked_to():
+    port, core = single_voter(max_out=1, min_capacity_share=0.5, min_served_share=0.9, max_work_s=15.0)
+    register = core.register
+    first = next(iter(phases_out(core)))
+    port.down = {first}
     port.run(core, 1.0)
-    asked = [message.number for _, message in port.out if type(message).__name__ == "Read"]
-    assert asked
-    from brookhub.maintenance.messages import State
-
-    for peer, abstains in (("n1", False), ("n2", False), ("n3", True)):
-        core.received(peer, State(asked[-1], abstains, (4, "n1"), (4, "n1", 2), table, True))
-    assert register.abstains  # two that remember are no majority of five
-    core.received("n4", State(asked[-1], False, (4, "n1"), (4, "n1", 3), table, True))
-    assert not register.abstains and register.table.step("m3") == OPEN and register.until > port.at
-
-
-def test_who_has_no_vote_reads_nothing():
-    """Seen in a profile: 200 limiters each asked all others, 40,000 words for what five need to know."""
-    port = Alone([f"n{n}" for n in range(8)])
-    core = Maintenance(port, "n9", Settings(lease=1.0, offer=0.0))
-    core.give(plan())
+    port.down = {first, *[name for name in ("m2", "m3") if name != first]}  # 5 of 7 are lost
+    port.run(core, 1.0)
+    assert port.events().count("plan halted") == 1
+    assert register.proposer.committed.halted == "capacity in service is 2 of 7, required are 3.5"
+    port.down = {first}
+    port.run(core, 4.0)
+    assert register.proposer.committed.halted == "" and "plan resumed" in port.events()
+    port.served = 80.0
+    port.run(core, 1.0)
+    assert register.proposer.committed.halted == "served share of requests is 0.800, required are 0.9"
+    port.served = 100.0
+    core.submit_plan(msgspec.structs.replace(core.adopted.plan, version=2, resume=1))
+    port.run(core, 1.5)
+    assert register.proposer.committed.halted == "" and register.proposer.committed.version == 2
     port.run(core, 10.0)
-    assert not port.out
-
-
-def pass_time(ports, cores, cut=()):
-    """A quarter of a second for all, and their words but those on links that are cut (from, to)."""
-    for name, port in ports.items():
-        port.run(cores[name], 0.25)
-    for _ in range(6):
-        for name, port in ports.items():
-            out, port.out = port.out, []
-            for peer, message in out:
-                if (name, peer) not in cut:
-                    cores[peer].received(name, message)
-
-
-def test_where_all_forgot_everything_they_wait_until_no_permission_to_start_can_be_left():
-    ports = {f"n{n}": Alone([f"n{m}" for m in range(3) if m != n]) for n in range(3)}
-    cores = {name: Maintenance(port, name, Settings(lease=1.0, offer=0.0)) for name, port in ports.items()}
-    for core in cores.values():
-        core.give(plan(start_within_s=5.0))
-    for step in range(80):
-        pass_time(ports, cores)
-        if step * 0.25 < 4.5:
-            assert all(core.register.abstains for core in cores.values())
-    assert any(core.register.table.outs for core in cores.values())
-
-
-@pytest.mark.parametrize(
-    "cut", [{("n0", "n1"), ("n0", "n2")}, {("n1", "n0"), ("n2", "n0")}, {("n1", "n0"), ("n0", "n2")}]
-)
-def test_voters_that_remember_nothing_hear_each_other_by_a_third_where_a_link_is_cut_one_way(cut):
-    """Seen on processes, where it held a plan up for as long as the cut lasted.
-
-    Two new voters waited for the third, whose answers did not reach them.
-    """
-    names = [f"n{n}" for n in range(4)]  # n3 has no vote
-    ports = {name: Alone([other for other in names if other != name]) for name in names}
-    cores = {name: Maintenance(port, name, Settings(lease=1.0, offer=0.0)) for name, port in ports.items()}
-    for core in cores.values():
-        core.give(plan(start_within_s=2.0))
-    for _ in range(100):
-        pass_time(ports, cores, cut)
-    assert any(core.register.table.outs for core in cores.values())
-    assert cores["n3"].told.outs  # and those without a vote were told
-
-
-# the checker
-
-
-@pytest.mark.parametrize(
-    "voters, most, joins, states",
-    [(3, 1, False, 5000), (3, 2, False, 4000), (5, 1, False, 2000), (4, 1, True, 2000)],
-)
-def test_the_checker_finds_nothing_wrong_and_from_what_it_saw_every_plan_ends(voters, most, joins, states):
-    model = Model(voters, most, machines=1 + most, joins=joins, rounds=True)
-    found = search(model, deviations=2, depth=30, states=states, seconds=15.0, sample=states // 8)
-    assert not found.broken, (found.broken, found.trail)
-    assert found.states > 500 and found.ends
-    assert [model.ends(state) for state in found.ends[:6]] == [""] * len(found.ends[:6])
-
-
-def test_the_checker_finds_no_two_machines_of_a_zone_out_where_one_is_the_most():
-    model = Model(3, 2, machines=4, zone_most=1, zones=2, rounds=True)
-    found = search(model, deviations=2, depth=30, states=3000, seconds=15.0, sample=400)
-    assert not found.broken and found.states > 500
-    assert [model.ends(state) for state in found.ends[:4]] == [""] * len(found.ends[:4])
-    # And it would be found: limiters with other zones
-    loose = Model(3, 2, machines=4, zone_most=1, zones=2, rounds=True)
-    for core in loose.cores:
-        core.plan = msgspec.structs.replace(
-            core.plan,
-            machines=tuple(
-                msgspec.structs.replace(one, zone="prqs"[number])
-                for number, one in enumerate(core.plan.machines)
-            ),
-        )
-    assert "zone" in search(loose, deviations=0, depth=30, states=500, seconds=15.0).broken
-
-
-def test_the_checker_goes_message_by_message_too():
-    found = search(Model(3, 1, 2), deviations=1, depth=60, states=6000, seconds=15.0)
-    assert not found.broken and found.states > 1000
-
-
-@pytest.mark.parametrize(
-    "planted, model, text",
-    [
-        (
-            "no look at the lease",
-            dict(voters=3, most=1, machines=2, rounds=True, faults={"stall": 1}),
-            "two hold the permit",
-        ),
-        (
-            "counted votes",
-            dict(
-                voters=3,
-                most=2,
-                machines=3,
-                rounds=True,
-                one_permit=False,
-                blind=True,
-                faults={"hold": 1, "mute": 1},
-            ),
-            "3 machines out",
-        ),
-        (
-            "no abstaining",
-            dict(
-                voters=3,
-                most=1,
-                machines=2,
-                rounds=True,
-                apart="n2",
-                blind=True,
-                work_s=9,
-                one_permit=False,
-                faults={"crash": 2},
-            ),
-            "2 machines out",
-        ),
-    ],
-)
-def test_the_checker_finds_each_planted_fault(planted, model, text):
-    found = search(Model(register=PLANTED[planted], **model), deviations=2, depth=26, seconds=45.0)
-    assert text in found.broken and 5 < len(found.trail) < 30
-    replay = Model(register=PLANTED[planted], **model)
-    state = replay.start()
-    for action in found.trail:
-        assert not replay.broken(state)
-        state = replay.after(state, action)
-    assert text in replay.broken(state)
-    sound = Model(**model)  # the same faults at the same steps harm the real one not
-    state = sound.start()
-    for action in found.trail:
-        if action[0] not in ("round", "tick") and action not in [one for one, _ in sound.others(state)]:
-            continue
-        state = sound.after(state, action)
-        assert not sound.broken(state)
-
-
-class Plans(RuleBasedStateMachine):
-    """Random trails over the same model, longer and with more faults than the search reaches."""
-
-    def __init__(self):
-        super().__init__()
-        self.model = Model(
-            3,
-            1,
-            3,
-            rounds=True,
-            faults={"crash": 2, "stall": 3, "cut": 3, "mute": 3, "hold": 5, "double": 3, "slow": 3},
-        )
-        self.state = self.model.start()
-
-    @rule(rounds=some.integers(1, 4))
-    def on(self, rounds):
-        for _ in range(rounds):
-            self.state = self.model.after(self.state, self.model.plain(self.state))
-            assert not self.model.broken(self.state)
-
-    @rule(which=some.integers(0, 50))
-    def fault(self, which):
-        others = [one for one, _ in self.model.others(self.state)]
-        if others:
-            self.state = self.model.after(self.state, others[which % len(others)])
-
-    @invariant()
-    def nothing_broken(self):
-        assert not self.model.broken(self.state)
-
-
-TestPlans = Plans.TestCase
-TestPlans.settings = settings(
-    max_examples=40,
-    stateful_step_count=30,
-    deadline=None,
-    derandomize=True,
-    suppress_health_check=list(HealthCheck),
-)
+    assert "machine work overdue" in port.events()
+    assert "longer than the plan allows" in register.proposer.committed.halted
+
+
+# `brookhub maintenance status`
+
+CURRENT_LOG = [
+    {"event": "plan adopted", "version": 3, "digest": "aaaa"},
+    {"event": "leadership acquired", "leader": "n1"},
+    {"event": "plan rejected", "version": 3, "digest": "bbbb", "current_digest": "aaaa"},
+    {"event": "machine drain started", "machine": "m0"},
+    {"event": "machine safe to work on", "machine": "m1"},
+    {"event": "machine back in service", "machine": "m2"},
+    {"event": "machine work completed", "machine": "m3"},
+    {"event": "machine release expired", "machine": "m4"},
+    {"event": "machine drain cancelled", "machine": "m5"},
+    {"event": "leadership lost", "leader": "n1"},
+    {"event": "plan halted", "reason": "too little"},
+]
+LOG_OF_0_11 = [
+    {"event": "plan taken", "version": 3, "digest": "aaaa"},
+    {"event": "steward", "steward": "n1"},
+    {"event": "plan refused", "version": 3, "digest": "bbbb", "held": "aaaa"},
+    {"event": "permitted", "machine": "m0"},
+    {"event": "safe to work on m1", "machine": "m1"},
+    {"event": "back", "machine": "m2"},
+    {"event": "done with m3", "machine": "m3"},
+    {"event": "withdrawn", "machine": "m4"},
+    {"event": "brought back", "machine": "m5"},
+    {"event": "steward no more", "steward": "n1"},
+    {"event": "plan halted", "why": "too little"},
+]
+
+
+@pytest.mark.parametrize("events", [CURRENT_LOG, LOG_OF_0_11], ids=["current", "0.11"])
+def test_status_reads_the_log_lines_of_this_version_and_of_0_11(tmp_path, events):
+    path = tmp_path / "limiter.log"
+    lines = [
+        {"what": "maintenance", "timestamp": f"t{number:02}", **event} for number, event in enumerate(events)
+    ]
+    path.write_text("".join(json.dumps(line) + "\n" for line in lines))
+    assert read_status([path]).splitlines() == [
+        "m0  leaving  since t03",
+        "m1  safe to work on  since t04",
+        "m2  filling  since t05",
+        "m3  done  since t06",
+        "m4  waits  since t07",
+        "m5  waits  since t08",
+        "plan: version 3, digest aaaa",
+        "steward: n1",
+        "halted: too little",
+        "refused: version 3, digest bbbb (held: aaaa)",
+    ]
