--- a/brookhub/experiments/together.py
+++ b/brookhub/experiments/together.py
@@ -211,9 +211,9 @@
             fleet.engine.call_at(SHRINKS + number * step, lambda index=limiter.index: end(fleet, index))
         call = fleet.clients.send
 
-        def counted(customer, route, repeated: bool, token: int = 0) -> None:
-            asked[customer.id] = asked.get(customer.id, 0) + (not repeated)
-            call(customer, route, repeated, token)
+        def counted(customer, route, is_retry: bool, token: int = 0) -> None:
+            asked[customer.id] = asked.get(customer.id, 0) + (not is_retry)
+            call(customer, route, is_retry, token)
 
         fleet.clients.send = counted
 
