--- a/benchmarks/rolling_upgrade.py
+++ b/benchmarks/rolling_upgrade.py
@@ -34,7 +34,7 @@
 from xxhash import xxh3_64_intdigest
 
 from brookhub.config import Experiment
-from brookhub.coordination import Parts
+from brookhub.coordination import ServerPlacement, SubsetAssignment
 from brookhub.emulator.server_model import ServerMode
 from brookhub.experiments.limiter_process import Limiter
 from brookhub.experiments.maintenance import Workers
@@ -77,7 +77,7 @@
 
     serving: tuple[str, ...] = ("serving",)  # the first line of a life
     fleet: tuple[str, ...] = ("fleet",)
-    ejected_servers: tuple[str, ...] = ("servers left alone",)
+    ejected_servers: tuple[str, ...] = ("servers left alone", "upstreams ejected")
     counter_known: tuple[str, ...] = ("counter known", "counter epoch joined")
     counter_changed: tuple[str, ...] = ("counter changed", "counter epoch changed")
     counter_sure: tuple[str, ...] = ("counter sure", "counter reconciled")
@@ -226,11 +226,14 @@
     def expected_subset(self, limiter: Limiter) -> set[int]:
         """The servers that a limiter should use, by this checkout's code."""
         names = [f"n{number}" for number in range(LIMITERS)]
-        parts = Parts(xxh3_64_intdigest("lab"), f"n{limiter.index}", names, lambda: names)
-        parts.listed(
-            {hosts.ident(f"s-{ident}"): (one.model.zone, 1.0) for ident, one in self.lab.servers.items()}
+        assignment = SubsetAssignment(xxh3_64_intdigest("lab"), f"n{limiter.index}", names, lambda: names)
+        assignment.set_servers(
+            {
+                hosts.ident(f"s-{ident}"): ServerPlacement(server.model.zone, 1.0)
+                for ident, server in self.lab.servers.items()
+            }
         )
-        own = set((parts.order() or [])[: parts.least()])
+        own = set((assignment.preference_order() or [])[: assignment.min_servers()])
         return {ident for ident in self.lab.servers if hosts.ident(f"s-{ident}") in own}
 
     def subsets(self) -> None:
--- a/brookhub/emulator/coordination_setup.py
+++ b/brookhub/emulator/coordination_setup.py
@@ -3,18 +3,29 @@
 from __future__ import annotations
 
 from ..config.models import MembershipSpec
-from ..coordination import TOPIC, ByCounter, ByPeers, Parts, Shared, SharedEjections, Turns, unpack
-from ..membership import ALIVE, Membership
+from ..coordination import (
+    REPORT_TOPIC,
+    CounterReportTransport,
+    EpochLeases,
+    FleetCoordinator,
+    GossipReportTransport,
+    OutlierDetector,
+    SubsetAssignment,
+    UnsharedClock,
+    decode_reports,
+)
+from ..membership import Membership, MembershipSettings
 from .limiter import EmulatedLimiter
 from .peers import FLEET, EmulatedMember, PeerNetwork, member_name
 
 
 def coordinate_by_counter(limiter: EmulatedLimiter, seed: int, limiters: int) -> None:
     """Share a limiter's ejections by windows at the counter."""
-    carrier = ByCounter(limiter, seed)
-    ejections = limiter.ejections = SharedEjections(carrier, all_turns(limiter, seed, limiters))
-    carrier.serve(ejections)
-    limiter.gateway.use_coordination(Shared(ejections))
+    transport = CounterReportTransport(limiter, seed)
+    detector = OutlierDetector(UnsharedClock(limiter), transport, all_leases(limiter, seed, limiters))
+    transport.listener = detector
+    limiter.detector = detector
+    limiter.gateway.use_coordination(FleetCoordinator(detector))
 
 
 def join_membership(
@@ -25,46 +36,47 @@
     At the start of the run all members know each other; restarted ones begin with nothing.
     """
     seed = limiter.environment.seed
-    member = limiter.member = EmulatedMember(network, member_name(limiter.index))
+    member = EmulatedMember(network, member_name(limiter.index))
+    limiter.member = member
 
-    def on_fleet_size_changed(live: int, rank: int, sure: int) -> None:
-        limiter.gateway.on_membership_changed(live, rank, sure if spec.hard_by == "sure" else live)
+    def on_fleet_size_changed(live: int, rank: int, possible: int) -> None:
+        limiter.gateway.on_membership_changed(live, rank, possible if spec.hard_by == "sure" else live)
         if limiter.recovery:
-            limiter.recovery.set_fleet_size(sure)
+            limiter.recovery.set_fleet_size(possible)
 
-    member.on_fleet_size_changed = on_fleet_size_changed
-    names = [member_name(index) for index in range(limiters)]
-    core = member.core = Membership(member, FLEET, member.name, names, seed, spec.period_s)
+    member.fleet_size_handler = on_fleet_size_changed
+    settings = MembershipSettings(FLEET, member.name, seed, spec.period_s)
+    core = Membership(member, settings, [member_name(index) for index in range(limiters)])
+    member.core = core
     if limiter.now == 0.0:
-        for peer in core.members.values():
-            peer.state, peer.incarnation = ALIVE, 0
-        core.present = set(core.names)
-    ejections = share_ejections(limiter, member, core, limiters) if spec.signals else None
-    parts = Parts(seed, member.name, core.names, core.counted) if spec.subsets else None
-    if ejections or parts:
-        limiter.gateway.use_coordination(Shared(ejections, parts))
+        core.assume_all_alive()
+    detector = share_ejections(limiter, member, core, limiters) if spec.signals else None
+    assignment = SubsetAssignment(seed, member.name, core.names, core.live_names) if spec.subsets else None
+    if detector or assignment:
+        limiter.gateway.use_coordination(FleetCoordinator(detector, assignment))
     core.start()
 
 
 def share_ejections(
     limiter: EmulatedLimiter, member: EmulatedMember, core: Membership, limiters: int
-) -> SharedEjections:
+) -> OutlierDetector:
     """Share a limiter's ejections by the datagrams of its membership."""
-    turns = all_turns(limiter, limiter.environment.seed, limiters)
-    turns.told(core.present)
-    ejections = limiter.ejections = SharedEjections(ByPeers(member, core), turns)
+    leases = all_leases(limiter, limiter.environment.seed, limiters)
+    leases.set_present(core.present)
+    detector = OutlierDetector(member, GossipReportTransport(core), leases)
+    limiter.detector = detector
 
     def on_payload(peer: str, topic: int, data: bytes) -> None:
-        if topic == TOPIC:
-            ejections.received(peer, unpack(data))
+        if topic == REPORT_TOPIC:
+            detector.on_reports(peer, decode_reports(data))
 
-    member.on_member_state_changed = lambda peer, state: turns.told(core.present)
-    member.on_payload = on_payload
-    return ejections
+    member.member_state_handler = lambda peer, state: leases.set_present(core.present)
+    member.payload_handler = on_payload
+    return detector
 
 
-def all_turns(limiter: EmulatedLimiter, seed: int, limiters: int) -> Turns:
+def all_leases(limiter: EmulatedLimiter, seed: int, limiters: int) -> EpochLeases:
     """The epoch leases of a limiter that sees all others."""
-    turns = Turns(seed, member_name(limiter.index))
-    turns.told(member_name(index) for index in range(limiters))
-    return turns
+    leases = EpochLeases(seed, member_name(limiter.index))
+    leases.set_present(member_name(index) for index in range(limiters))
+    return leases
--- a/brookhub/emulator/limiter.py
+++ b/brookhub/emulator/limiter.py
@@ -11,7 +11,7 @@
 from typing import Callable
 
 from ..config.models import CounterSpec
-from ..coordination import SharedEjections
+from ..coordination import OutlierDetector
 from ..model import Answer, Attempt, Outcome, Request, Server, ServerState
 from ..ports import CounterCallback
 from ..recovery import Ledger, Recovery, RecoverySettings
@@ -67,7 +67,7 @@
         self.suspended_until = 0.0
         self.recovery: Recovery | None = None
         self.member: EmulatedMember | None = None  # its membership
-        self.ejections: SharedEjections | None = None
+        self.detector: OutlierDetector | None = None  # of servers, shared with the fleet
         self.withheld_servers: set[int] = set()  # ids that a maintenance plan withholds traffic from
         self.unreachable_until: dict[int, float] = {}  # by the id of the server that a cut link leads to
         self.registry = ServerRegistry()
--- a/brookhub/emulator/peers.py
+++ b/brookhub/emulator/peers.py
@@ -6,12 +6,19 @@
 
 from __future__ import annotations
 
-from collections import Counter
 from dataclasses import dataclass
 from random import Random
 from typing import Callable
 
-from ..membership import ABSENT, ALIVE, DEAD, LEFT, Heartbeats, Membership, UnreadableError, decode
+from ..membership import (
+    ABSENT_STATES,
+    Heartbeats,
+    MalformedMessageError,
+    Membership,
+    MembershipSettings,
+    MemberState,
+    decode,
+)
 from .engine import Engine
 
 HEADER_BYTES = 28  # of a datagram: UDP and IPv4
@@ -82,8 +89,8 @@
     """One member's surroundings: the MembershipPort of its `core`, which its owner sets before it starts.
 
     While it is suspended, timers and datagrams wait; then the timers that are due come first and the
-    datagrams after them, as where a loop looks at its timers before its sockets. The `on_...` attributes are
-    called with what the core reports.
+    datagrams after them, as where a loop looks at its timers before its sockets. The handlers
+    are called with what the core reports.
     """
 
     core: Membership | Heartbeats
@@ -94,9 +101,9 @@
         self.name = name
         self.is_alive = True
         self.suspended_until = 0.0
-        self.on_fleet_size_changed: Callable[[int, int, int], None] = lambda live, rank, sure: None
-        self.on_member_state_changed: Callable[[str, int], None] = lambda member, state: None
-        self.on_payload: Callable[[str, int, bytes], None] = lambda peer, topic, data: None
+        self.fleet_size_handler: Callable[[int, int, int], None] = lambda live, rank, possible: None
+        self.member_state_handler: Callable[[str, MemberState], None] = lambda member, state: None
+        self.payload_handler: Callable[[str, int, bytes], None] = lambda peer, topic, data: None
         network.members[name] = self
 
     @property
@@ -104,7 +111,7 @@
         """Simulated seconds."""
         return self.engine.now
 
-    calendar = now
+    wall_time = now
 
     def later(self, seconds: float, callback: Callable[[], None]) -> None:
         """Call back after so many seconds, once it is not suspended."""
@@ -129,23 +136,23 @@
 
         def take() -> None:
             try:
-                self.core.received(source, decode(data, FLEET))
-            except UnreadableError as bad:
-                self.core.counts[bad.reason] += 1
+                self.core.on_message(source, decode(data, FLEET))
+            except MalformedMessageError as error:
+                self.core.statistics.dropped[error.reason] += 1
 
         self._call_when_running(take, AFTER_TIMERS)
 
-    def told(self, live: int, rank: int, sure: int) -> None:
+    def on_membership_changed(self, live: int, rank: int, possible: int) -> None:
         """Handle changed counts of the fleet."""
-        self.on_fleet_size_changed(live, rank, sure)
+        self.fleet_size_handler(live, rank, possible)
 
-    def changed(self, member: str, state: int) -> None:
+    def on_member_state_changed(self, member: str, state: MemberState) -> None:
         """Handle another state of a member."""
-        self.on_member_state_changed(member, state)
+        self.member_state_handler(member, state)
 
-    def said(self, peer: str, topic: int, data: bytes) -> None:
+    def on_payload_received(self, peer: str, topic: int, data: bytes) -> None:
         """Handle another component's payload."""
-        self.on_payload(peer, topic, data)
+        self.payload_handler(peer, topic, data)
 
     def kill(self) -> None:
         """End it."""
@@ -198,35 +205,26 @@
     def launch(self, name: str, warm: bool = False) -> EmulatedMember:
         """Start a member; `warm`: knowing all others."""
         member = EmulatedMember(self.network, name)
-        member.on_member_state_changed = lambda other, state: self._record_state(name, other, state)
+        member.member_state_handler = lambda other, state: self._record_state(name, other, state)
         peers = [other for other in self.names if other != name]
+        settings = MembershipSettings(FLEET, name, self.seed, self.period, self.protocol == "lifeguard")
         if self.protocol == "heartbeat":
-            member.core = Heartbeats(member, FLEET, name, peers, self.seed, self.period)
+            member.core = Heartbeats(member, settings, peers)
         else:
-            member.core = Membership(
-                member, FLEET, name, peers, self.seed, self.period, self.protocol == "lifeguard"
-            )
+            member.core = Membership(member, settings, peers)
         if warm:
-            self.warm(member.core)
+            member.core.assume_all_alive()
         member.core.start()
         self.members[name] = member
         return member
 
-    def warm(self, core: Membership | Heartbeats) -> None:
-        """Let a member know all others."""
-        for member in core.members.values():
-            member.state, member.incarnation = ALIVE, 0
-        core.present = set(core.names)
-        if isinstance(core, Heartbeats):
-            core.heard = dict.fromkeys(core.names, 0.0)
-
-    def _record_state(self, observer: str, name: str, state: int) -> None:
+    def _record_state(self, observer: str, name: str, state: MemberState) -> None:
         """Record the state in which a member now sees another."""
         now = self.engine.now
-        if state in (DEAD, LEFT):
+        if state in (MemberState.DEAD, MemberState.LEFT):
             self.deaths.setdefault(name, {})[observer] = now
         member = self.members.get(name)
-        if state != DEAD or not member or not member.is_alive:
+        if state != MemberState.DEAD or not member or not member.is_alive:
             return
         if now < self._excused_until.get(name, -1.0):
             self.suspended_deaths += 1
@@ -258,13 +256,12 @@
 
     def traffic(self) -> Traffic:
         """What all running members sent so far."""
-        counts: Counter[str] = Counter()
-        for member in self.running_members():
-            counts.update(member.core.counts)
-        datagrams = counts["datagrams"]
-        return Traffic(datagrams, counts["bytes"] + HEADER_BYTES * datagrams)
+        statistics = [member.core.statistics for member in self.running_members()]
+        datagrams = sum(member.datagrams_sent for member in statistics)
+        payload_bytes = sum(member.bytes_sent for member in statistics)
+        return Traffic(datagrams, payload_bytes + HEADER_BYTES * datagrams)
 
     def absent_at(self, observer: str) -> list[str]:
         """The members that a member sees as gone."""
         members = self.members[observer].core.members
-        return [name for name, member in members.items() if member.state in ABSENT]
+        return [name for name, member in members.items() if member.state in ABSENT_STATES]
--- a/brookhub/routing/maintenance.py
+++ b/brookhub/routing/maintenance.py
@@ -20,6 +20,7 @@
     pack,
     unpack,
 )
+from ..membership import DropReason
 
 TICK = 0.25  # s between looks: far below a lease
 LATELY = 10.0  # s over which served calls and their times are told
@@ -58,7 +59,7 @@
         try:
             message = unpack(data)
         except UnreadableError:
-            return self.peers.drop("unreadable")
+            return self.peers.drop(DropReason.MALFORMED)
         self.core.received(peer, message)
 
     def count(self, request, took: float, served: bool) -> None:
@@ -88,7 +89,7 @@
     def send(self, peer: str, message: Message) -> None:
         """Send a message to a peer."""
         if peer in self.peers.core.members:
-            self.peers.core.say(TOPIC, pack(message), [peer])
+            self.peers.core.send_payload(TOPIC, pack(message), [peer])
 
     def machine_is_up(self, machine: Machine) -> bool:
         """Whether its limiter is there and discovery lists all its servers as ready, held back or not."""
