--- a/brookhub/emulator/counter.py
+++ b/brookhub/emulator/counter.py
@@ -29,7 +29,8 @@
         """Add to a count; returns its total."""
         count = self.counts.get(name)
         if count is None or count.expires_at <= now:
-            count = self.counts[name] = Count(0.0, now + lifetime)
+            count = Count(0.0, now + lifetime)
+            self.counts[name] = count
         count.total += amount
         return count.total
 
@@ -96,6 +97,7 @@
         self.instances = [CounterInstance()]
 
         def restore() -> None:
+            """Bring back the instances that were replaced, with their counts."""
             self.instances = replaced
 
         return restore
--- a/brookhub/emulator/fleet.py
+++ b/brookhub/emulator/fleet.py
@@ -64,34 +64,14 @@
             self.engine, random.Random(self.rng.getrandbits(64)), spec.counter.delay_s, spec.counter.wait_s
         )
         self.discovery = EmulatedDiscovery(self.engine, spec.list_delay_s)
-        plans = tuple(plan_from_spec(plan) for plan in spec.plans)
-        self.settings = gateway_settings_from_spec(spec, tuple(self.routes), plans)
+        self.settings = gateway_settings_from_spec(spec, tuple(self.routes))
         self.network = PeerNetwork(self.engine, self.seed) if spec.membership.on else None
         self.accounting = RequestAccounting(self.engine, self.checker)
-        self.environment = Environment(
-            self.engine,
-            self.seed,
-            self.checker,
-            self.servers,
-            self.counter,
-            self.accounting,
-            decisions.Gateway,
-        )
+        self.environment = self._create_environment(decisions)
         self._lasting_ledgers: dict[int, Ledger] = {}  # on disks that outlive a restart, by limiter
-        self.limiters: list[EmulatedLimiter] = []
-        for index in range(spec.limiters):
-            self.limiters.append(self._launch(index))
+        self.limiters = [self._launch(index) for index in range(spec.limiters)]
         self.discovery.limiters = self.limiters
-        weights = [route.share for route in spec.routes]
-        self.clients = Clients(
-            self.rng,
-            experiment.load,
-            self.customers,
-            list(zip(self.routes, weights, strict=True)),
-            self.limiters,
-            self.accounting,
-        )
-        self.accounting.on_rejected = self.clients.on_rejected
+        self.clients = self._create_clients()
         self.faults = FaultPlayer(self)
 
     @property
@@ -123,6 +103,32 @@
         ]
         return EmulatedServers(self.engine, self.checker, rng, models)
 
+    def _create_environment(self, decisions: ModuleType) -> Environment:
+        """What the limiters share; `decisions`: the module of their Gateway."""
+        return Environment(
+            engine=self.engine,
+            seed=self.seed,
+            checker=self.checker,
+            servers=self.servers,
+            counter=self.counter,
+            accounting=self.accounting,
+            create_gateway=decisions.Gateway,
+        )
+
+    def _create_clients(self) -> Clients:
+        """The clients, who retry some of the requests that are rejected."""
+        weights = [route.share for route in self.experiment.fleet.routes]
+        clients = Clients(
+            self.rng,
+            self.experiment.load,
+            self.customers,
+            list(zip(self.routes, weights, strict=True)),
+            self.limiters,
+            self.accounting,
+        )
+        self.accounting.on_rejected = clients.on_rejected
+        return clients
+
     def _launch(self, index: int) -> EmulatedLimiter:
         """Start a limiter that knows nothing but what a lasting disk kept."""
         spec = self.experiment.fleet
--- a/brookhub/emulator/gateway_settings.py
+++ b/brookhub/emulator/gateway_settings.py
@@ -45,14 +45,12 @@
     )
 
 
-def gateway_settings_from_spec(
-    fleet: FleetSpec, routes: tuple[Route, ...], plans: tuple[Plan, ...]
-) -> GatewaySettings:
+def gateway_settings_from_spec(fleet: FleetSpec, routes: tuple[Route, ...]) -> GatewaySettings:
     """The settings that all limiters of a fleet share; each sets its own zone and index."""
     servers = fleet.servers
     return GatewaySettings(
         routes=routes,
-        plans=plans,
+        plans=tuple(plan_from_spec(plan) for plan in fleet.plans),
         zone=0,
         index=0,
         gateways=fleet.limiters,
--- a/brookhub/registry.py
+++ b/brookhub/registry.py
@@ -48,7 +48,8 @@
         """Apply one entry; its server."""
         server = self.servers.get(entry.server_id)
         if server is None:
-            server = self.servers[entry.server_id] = Server(entry.server_id)
+            server = Server(entry.server_id)
+            self.servers[entry.server_id] = server
         server.zone = entry.zone
         server.kind = entry.kind
         server.cell = entry.cell
@@ -76,5 +77,6 @@
         """The customer of an id; a new one where none is known."""
         customer = self._customers.get(customer_id)
         if customer is None:
-            customer = self._customers[customer_id] = Customer(customer_id, plan)
+            customer = Customer(customer_id, plan)
+            self._customers[customer_id] = customer
         return customer
