--- a/benchmarks/rolling_upgrade.py
+++ b/benchmarks/rolling_upgrade.py
@@ -36,6 +36,7 @@
 from brookhub.config import Experiment
 from brookhub.coordination import SubsetAssignment
 from brookhub.coordination.subset_assignment import ServerPlacement
+from brookhub.emulator.server_model import ServerMode
 from brookhub.experiments.limiter_process import Limiter
 from brookhub.experiments.maintenance import Workers
 from brookhub.experiments.processes import Outcome, ProcessLab
@@ -302,10 +303,10 @@
             return bool(lines) and ident in lines[-1]["servers"]
 
         model = self.lab.servers[server].model
-        model.mode = "failing"
+        model.mode = ServerMode.FAILING
         name = f"gossip: s-{server}, which fails under {version} alone, is ejected"
         self.check_all(name, ejected, STEP_WITHIN_S)
-        model.mode = "ok"
+        model.mode = ServerMode.OK
         self.load_goes_to(("this", "other"))
         self.check_all(
             f"gossip: s-{server} is taken back when it is well",
@@ -402,7 +403,9 @@
         for limiter, count in zip(swapped, reads, strict=True):
             lines = lines_of(limiter, LOG_EVENTS.ledger_read)
             read = lines[-1] if len(lines) > count else {}
-            facts = {field: read.get(field, read.get(old)) for field, old in LEDGER_FIELDS.items()}
+            facts: dict[str, Any] = {
+                field: read.get(field, read.get(old)) for field, old in LEDGER_FIELDS.items()
+            }
             intact = facts["corrupt_records"] == 0 and facts["truncated_bytes"] == 0
             sound = bool(read) and facts["records"] > 0 and intact
             detail = f"n{limiter.index}, now of the {self.version(limiter)} version: {json.dumps(facts)}"
@@ -415,12 +418,12 @@
     def check_outcome(self, outcome: Outcome) -> None:
         """The judge's verdict, and the logs' faults."""
         result, excused = outcome.result, outcome.verdict.excused
-        answers = f"{result.calls} requests, {result.proxied} served, {result.rate_limited} rejected, "
-        answers += f"{result.errored} failed, {result.lost} lost, {excused} excused"
+        answers = f"{result.requests} requests, {result.served} served, {result.rejected} rejected, "
+        answers += f"{result.failed} failed, {result.lost} lost, {excused} excused"
         self.check("judge: each request has one final answer", not (result.lost or excused), answers)
-        detail = result.first_break or f"{len(self.lab.seen)} attempts at servers judged"
+        detail = result.first_violation or f"{len(self.lab.seen)} attempts at servers judged"
         print(f"       noise of this machine: {json.dumps(outcome.noise)}")
-        self.check("judge: no rule is broken", not result.broken, detail)
+        self.check("judge: no rule is broken", not result.violations, detail)
         faults = [line for one in self.lab.limiters for line in lines_of(one, LOG_EVENTS.fault)]
         self.check("log: no fault of the program", not faults, str(faults[:1] or "none"))
 
--- a/brookhub/ports.py
+++ b/brookhub/ports.py
@@ -19,7 +19,9 @@
 class Clock(Protocol):
     """The gateway's clock and timers."""
 
-    now: float  # s, monotonic
+    @property
+    def now(self) -> float:
+        """Seconds, monotonic."""
 
     def later(self, seconds: float, callback: Callable[[], None]) -> None:
         """Call back after so many seconds."""
--- a/brookhub/routing/discovery.py
+++ b/brookhub/routing/discovery.py
@@ -9,7 +9,7 @@
 from ..model import Server, ServerState
 from ..protocol import http, server_list
 from ..protocol.json_documents import JsonObjectReader
-from ..registry import ServerRegistry
+from ..registry import RegistryEntry, ServerRegistry
 from ..transport.close_reason import CloseReason
 from ..transport.sockets import set_blocking_timeouts
 from ..transport.stream import Stream
@@ -17,9 +17,6 @@
 from .port import SocketGatewayPort
 from .server_addresses import Address, ServerAddresses
 
-RegistryEntry = tuple[int, int, int, int, ServerState, float, float]
-"""Id, zone, kind, cell, state, weight and start (s, monotonic), as `ServerRegistry.update` takes them."""
-
 
 class ServerListWatch:
     """The watch on discovery at one address, and the thread that dials it, reads it and dials again.
@@ -213,7 +210,7 @@
         state = entry.state
         if entry.name in self.held_back and state is ServerState.READY:
             state = ServerState.DRAINING
-        return (
+        return RegistryEntry(
             entry.server_id(),
             index_of(self.zones, entry.zone),
             index_of(self.kinds, entry.kind),
--- a/tests/recovery_fleet.py
+++ b/tests/recovery_fleet.py
@@ -6,7 +6,7 @@
 import random
 from typing import Callable
 
-from brookhub.emulator.world import Keeper as CounterInstance
+from brookhub.emulator.counter import CounterInstance as CounterInstance
 from brookhub.model import Outcome
 from brookhub.ports import CounterCallback
 from brookhub.recovery import CounterKey, Ledger, Recovery, RecoverySettings
@@ -81,7 +81,7 @@
         instance = self.instances[0]
         present = [limiter for index, limiter in enumerate(self.limiters) if self.instance(index) is instance]
         assert len({limiter.epochs.epoch for limiter in present}) == 1
-        return instance.counts.get(present[0].epochs.count_name(name), [0.0])[0]
+        return instance.total(present[0].epochs.count_name(name))
 
     def totals(self, names: list[int]) -> list[float]:
         """The totals of several counts."""
--- a/tests/test_maintenance_processes.py
+++ b/tests/test_maintenance_processes.py
@@ -94,7 +94,7 @@
         assert "m3  done" in read_status([limiter.log_path for limiter in lab.limiters])
 
     outcome = lab(script, 90.0, limiters=5, **LARGE)
-    assert outcome.result.proxied > 0.9 * (outcome.result.calls - outcome.verdict.excused)
+    assert outcome.result.served > 0.9 * (outcome.result.requests - outcome.verdict.excused)
 
 
 def test_minority_drains_nothing_and_two_plans_of_one_version_are_rejected_with_both_digests(lab):
--- a/tests/test_protocol.py
+++ b/tests/test_protocol.py
@@ -9,7 +9,7 @@
 from brookhub.model import ServerState
 from brookhub.protocol import counter_codec, http, request_codec, resp, server_list
 from brookhub.protocol.errors import InvalidRequestError, MalformedError
-from brookhub.registry import ServerRegistry
+from brookhub.registry import RegistryEntry, ServerRegistry
 from brookhub.transport.ring_buffer import RingBuffer
 
 GET = [
@@ -430,17 +430,22 @@
 
 
 def test_complete_server_list_removes_absent_servers_and_a_change_does_not():
-    registry, entry = ServerRegistry(), (0, 0, 0, ServerState.READY, 1.0, 0.0)
-    first, second = registry.update([(1, *entry), (2, *entry)], True)
-    assert registry.update([(2, *entry)], False) == [second] and first.state is ServerState.READY
-    assert registry.update([(2, *entry)], True) == [second, first] and first.state is ServerState.GONE
+    registry, fields = ServerRegistry(), (0, 0, 0, ServerState.READY, 1.0, 0.0)
+    first, second = registry.update([RegistryEntry(1, *fields), RegistryEntry(2, *fields)], True)
+    assert (
+        registry.update([RegistryEntry(2, *fields)], False) == [second] and first.state is ServerState.READY
+    )
+    assert (
+        registry.update([RegistryEntry(2, *fields)], True) == [second, first]
+        and first.state is ServerState.GONE
+    )
     assert list(registry.servers.values()) == [second]  # nothing is kept of what is gone
-    (listed_again,) = registry.update([(1, *entry)], False)
+    (listed_again,) = registry.update([RegistryEntry(1, *fields)], False)
     assert (
         listed_again is not first
         and listed_again.state is ServerState.READY
         and first.state is ServerState.GONE
     )
-    assert registry.update([(1, 0, 0, 0, ServerState.GONE, 1.0, 0.0)], False) == [listed_again] and list(
-        registry.servers.values()
-    ) == [second]
+    assert registry.update([RegistryEntry(1, 0, 0, 0, ServerState.GONE, 1.0, 0.0)], False) == [
+        listed_again
+    ] and list(registry.servers.values()) == [second]
--- a/tests/test_recovery.py
+++ b/tests/test_recovery.py
@@ -168,7 +168,7 @@
     fleet.run(4.5 * HEARTBEAT_INTERVAL)
     # Its units are lost, unless its ledger was kept
     name = fleet.limiters[0].epochs.count_name(4)
-    assert fleet.instances[0].counts.get(name, [0.0])[0] == 0.0
+    assert fleet.instances[0].total(name) == 0.0
     fleet.limiters[1] = fleet.start_limiter(1, 3, read_log(snapshot, fleet.now, 1e9 + 5.0).ledger)
     fleet.run(HEARTBEAT_INTERVAL)
     assert fleet.total(4) == 6.0
--- a/tests/test_recovery_processes.py
+++ b/tests/test_recovery_processes.py
@@ -141,7 +141,7 @@
     lab, outcome, excess = play(experiment, script)
     assert_within_bound(excess, experiment, "wipe")
     assert len(logged_epochs(lab)) == 1
-    assert outcome.result.proxied > 100
+    assert outcome.result.served > 100
 
 
 def test_counter_swapped_for_an_empty_one_and_back_stays_within_the_bound(play):
