--- a/benchmarks/cold_sum.py
+++ b/benchmarks/cold_sum.py
@@ -19,7 +19,7 @@
 from brookhub.config import Experiment
 from brookhub.emulator import Fleet
 from brookhub.emulator.world import ServerModel
-from brookhub.experiments.processes import ProcessLab
+from brookhub.experiments.processes import ProcessFleet
 
 LATEST = 0.9  # s after which the last limiter hears of a start
 FAULTS = {
@@ -84,7 +84,7 @@
     """One run on real processes; the servers' models."""
     with tempfile.TemporaryDirectory() as folder:
         spec = experiment(limiters, fault, places=2, scale=1 / 3)
-        with ProcessLab(spec, Path(folder), seed) as lab:
+        with ProcessFleet(spec, Path(folder), seed) as lab:
             lab.play()
             return [server.model for server in lab.servers.values()]
 
--- a/benchmarks/rolling_upgrade.py
+++ b/benchmarks/rolling_upgrade.py
@@ -37,7 +37,7 @@
 from brookhub.coordination import Parts
 from brookhub.experiments.limiter_process import Limiter
 from brookhub.experiments.maintenance import Workers
-from brookhub.experiments.processes import Outcome, ProcessLab
+from brookhub.experiments.processes import Outcome, ProcessFleet
 from brookhub.protocol import hosts
 
 ROOT = Path(__file__).resolve().parent.parent
@@ -141,7 +141,7 @@
 class Trial:
     """One run on a mixed fleet; `checks` holds what was found so far."""
 
-    def __init__(self, lab: ProcessLab, this_folder: Path, other_folder: Path) -> None:
+    def __init__(self, lab: ProcessFleet, this_folder: Path, other_folder: Path) -> None:
         self.lab = lab
         self.this_folder = this_folder
         self.other_folder = other_folder
@@ -480,7 +480,7 @@
     with tempfile.TemporaryDirectory() as temporary, checkout(commit, Path(temporary) / "other") as other:
         other = other.resolve()
         sources = [ROOT if index % 2 == 0 else other for index in range(LIMITERS)]
-        with ProcessLab(mixed_fleet(), folder, seed=1, source_folders=sources) as lab:
+        with ProcessFleet(mixed_fleet(), folder, seed=1, source_folders=sources) as lab:
             trial = Trial(lab, ROOT, other)
             found = [imported_from(source) for source in (ROOT, other)]
             detail = f"this {revision(ROOT)}, other {revision(other)}"
--- a/brookhub/cli.py
+++ b/brookhub/cli.py
@@ -1,15 +1,16 @@
-"""The command line of `brookhub`, put together from the groups in `commands` (click).
+"""The command line of `brookhub`, assembled from the modules in `commands` (click).
 
-Exit codes: 0 done; 1 a rule was broken in a strict emulation; 2 a configuration or start that can't be used.
+Exit codes: 0 success; 1 an invariant was broken or a figure is out of its bounds; 2 a configuration that
+can't be used or a run that can't be started.
 """
 
 from __future__ import annotations
 
 import click
 
-from .commands import lab as experiments
-from .commands import maintenance as work
-from .commands import measure, serve
+from .commands import experiments as experiment_commands
+from .commands import maintenance as maintenance_commands
+from .commands import measure, model_check, serve
 from .program import log
 
 
@@ -22,26 +23,44 @@
     help="structured log lines on standard error: JSON lines or for a terminal",
 )
 def main(log_format: str) -> None:
-    """brookhub: a quota-keeping API gateway, its fleet emulator and its lab."""
+    """brookhub: a quota-keeping API gateway, its fleet emulator and its experiments."""
     log.setup(log_format)
 
 
+@main.group()
+def experiments() -> None:
+    """Sweeps, runs on processes, measurements and plots."""
+
+
 @main.group()
 def lab() -> None:
-    """Sweeps and plots over experiments."""
+    """Deprecated alias of `experiments`."""
+    click.echo("brookhub lab: deprecated, use `brookhub experiments`", err=True)
 
 
-for command in (serve.run, serve.check_config, serve.version, experiments.emulate, work.maintenance):
-    main.add_command(command)
-for command in (experiments.sweep, experiments.plot, experiments.processes, experiments.compare):
-    lab.add_command(command)
-for command in (
+MAIN_COMMANDS: tuple[click.Command, ...] = (
+    serve.run,
+    serve.check_config,
+    serve.version,
+    experiment_commands.emulate,
+    maintenance_commands.maintenance,
+)
+EXPERIMENT_COMMANDS: tuple[click.Command, ...] = (
+    experiment_commands.sweep,
+    experiment_commands.plot,
+    experiment_commands.processes,
+    experiment_commands.compare,
     measure.membership,
     measure.choices,
     measure.together,
     measure.recovery,
     measure.maintenance,
-    work.plans,
-    work.check_model,
-):
+    measure.plans,
+    model_check.check_model,
+)
+
+for command in MAIN_COMMANDS:
+    main.add_command(command)
+for command in EXPERIMENT_COMMANDS:
+    experiments.add_command(command)
     lab.add_command(command)
--- a/brookhub/commands/__init__.py
+++ b/brookhub/commands/__init__.py
@@ -1,1 +1,1 @@
-"""The sub-commands of `brookhub`, a module for each group; `cli.py` puts them together."""
+"""The sub-commands of `brookhub`, a module per group of commands; `cli.py` assembles them."""
--- a/brookhub/commands/common.py
+++ b/brookhub/commands/common.py
@@ -1,11 +1,12 @@
-"""What the commands have in common: refusals in one line, progress, options."""
+"""Shared by all commands: exit codes, one-line errors, progress bars and common options."""
 
 from __future__ import annotations
 
 import sys
+from collections.abc import Callable, Iterator
 from contextlib import contextmanager
 from pathlib import Path
-from typing import Callable, Iterator, NoReturn, TypeVar
+from typing import Any, NoReturn, TypeVar
 
 import click
 from pydantic import BaseModel
@@ -13,43 +14,48 @@
 from ..config import ConfigError, load
 
 Model = TypeVar("Model", bound=BaseModel)
-UNUSABLE = 2  # exit code: a configuration or start that can't be used
-BROKEN = 1  # exit code: a rule was broken, or a figure is out of its bounds
+Command = TypeVar("Command", bound=Callable[..., Any])
+Report = Callable[[float], None]  # takes the share of the work that is done, 0 to 1
 
+EXIT_FAILED = 1  # an invariant was broken, or a figure is out of its bounds
+EXIT_UNUSABLE = 2  # a configuration that can't be used, or a run that can't be started
 
-def refuse(why: object) -> NoReturn:
-    """End with one line that says why, exit code 2."""
-    click.echo(f"brookhub: {why}", err=True)
-    sys.exit(UNUSABLE)
+PROGRESS_STEPS = 1000  # resolution of a progress bar
 
 
-def load_or_refuse(path: str, model: type[Model]) -> Model:
-    """A checked configuration file; ends the program where it can't be used."""
+def exit_unusable(reason: object) -> NoReturn:
+    """Print the reason as one line on standard error and exit with EXIT_UNUSABLE."""
+    click.echo(f"brookhub: {reason}", err=True)
+    sys.exit(EXIT_UNUSABLE)
+
+
+def load_or_exit(path: str, model: type[Model]) -> Model:
+    """A checked configuration file; exits with EXIT_UNUSABLE if it can't be used."""
     try:
         return load(path, model)
-    except ConfigError as broken:
-        refuse(broken)
+    except ConfigError as error:
+        exit_unusable(error)
 
 
 @contextmanager
-def progress(label: str) -> Iterator[Callable[[float], None]]:
-    """A progress bar on standard error; what is given is told the share that is done (0 to 1)."""
-    with click.progressbar(length=1000, label=label, file=sys.stderr) as bar:
-        yield lambda done: bar.update(int(done * 1000) - bar.pos)
+def progress(label: str) -> Iterator[Report]:
+    """A progress bar on standard error; yields the function that moves it."""
+    with click.progressbar(length=PROGRESS_STEPS, label=label, file=sys.stderr) as bar:
+        yield lambda done: bar.update(int(done * PROGRESS_STEPS) - bar.pos)
 
 
-def out_option(default: str) -> Callable:
-    """The folder for results."""
+def out_option(default: str) -> Callable[[Command], Command]:
+    """The option `--out`: a folder for results."""
     return click.option(
         "--out", type=click.Path(file_okay=False, path_type=Path), default=default, show_default=True
     )
 
 
-def seeds_option(default: str) -> Callable:
-    """Seeds to play; `default` says which where none is given."""
+def seeds_option(default: str) -> Callable[[Command], Command]:
+    """The option `--seed`, which may be given several times; `default` describes the default in the help."""
     return click.option(
         "--seed", "seeds", type=int, multiple=True, help=f"may be given often (default: {default})"
     )
 
 
-processes_option = click.option("--processes", type=int, help="worker processes (default: one a core)")
+processes_option = click.option("--processes", type=int, help="worker processes (default: one per core)")
--- a/brookhub/commands/lab.py
+++ b/brookhub/commands/experiments.py
@@ -1,4 +1,4 @@
-"""`brookhub emulate` and `brookhub lab sweep | plot | processes | compare`: experiments, played and drawn."""
+"""`brookhub emulate` and `brookhub experiments sweep | plot | processes | compare`: runs and plots."""
 
 from __future__ import annotations
 
@@ -6,12 +6,18 @@
 import sys
 from importlib import resources
 from pathlib import Path
-from typing import Any
+from typing import TYPE_CHECKING, Any
 
 import click
 
 from ..config import Experiment, loads
-from .common import BROKEN, load_or_refuse, progress, refuse
+from .common import EXIT_FAILED, exit_unusable, load_or_exit, progress
+
+if TYPE_CHECKING:
+    from ..experiments.processes import Outcome
+
+# Results go below this folder unless `--out` names another; operators have such folders, ignored by git.
+RESULTS_FOLDER = Path("lab")
 
 experiment_argument = click.argument("experiment", type=click.Path(dir_okay=False))
 seeds_instead_option = click.option(
@@ -20,9 +26,9 @@
 
 
 def experiment_or_default(path: str | None) -> Experiment:
-    """The experiment of a file, or the embedded one."""
+    """The experiment of a file, or the embedded default; exits with EXIT_UNUSABLE if it can't be used."""
     if path:
-        return load_or_refuse(path, Experiment)
+        return load_or_exit(path, Experiment)
     text = resources.files("brookhub.experiments").joinpath("default.toml").read_text()
     return loads(text, Experiment, "embedded default")
 
@@ -40,7 +46,7 @@
     limiters: int | None,
     strict: bool | None,
 ) -> None:
-    """Play one experiment (without sweep) in the emulator; prints its metrics as JSON."""
+    """Run one experiment (without its sweep) in the emulator; prints its metrics as JSON."""
     from ..emulator import Fleet, RuleBrokenError
     from ..experiments.sweep import with_value
 
@@ -53,28 +59,28 @@
         spec = with_value(spec, "strict", strict)
     try:
         result = Fleet(spec, seed=seed).run()
-    except RuleBrokenError as broken:
-        click.echo(str(broken), err=True)
-        sys.exit(BROKEN)
+    except RuleBrokenError as error:
+        click.echo(str(error), err=True)
+        sys.exit(EXIT_FAILED)
     click.echo(json.dumps(result.metrics(), sort_keys=True))
-    sys.exit(BROKEN if result.broken and spec.strict else 0)
+    sys.exit(EXIT_FAILED if result.broken and spec.strict else 0)
 
 
 @click.command()
 @experiment_argument
 @click.option("--out", type=click.Path(file_okay=False), help="results folder (default: lab/NAME)")
-@click.option("--processes", type=int, help="worker processes (default: the experiment's, else one a core)")
-@click.option("--limit", type=int, help="play at most so many points now; the rest on the next call")
+@click.option("--processes", type=int, help="worker processes (default: the experiment's, else one per core)")
+@click.option("--limit", type=int, help="run at most so many points now; the rest on the next call")
 @click.option("--plot/--no-plot", "draw", default=True)
 def sweep(experiment: str, out: str | None, processes: int | None, limit: int | None, draw: bool) -> None:
-    """Play the experiment's grid, resuming where results exist, then plot."""
+    """Run the grid of an experiment, resuming where results exist, then plot."""
     from ..experiments import plot as plotting
     from ..experiments import sweep as sweeping
 
-    spec = load_or_refuse(experiment, Experiment)
-    folder = Path(out or f"lab/{spec.name}")
-    played = sweeping.sweep(spec, folder, processes, limit)
-    click.echo(f"{played} points played into {folder / sweeping.RESULTS}")
+    spec = load_or_exit(experiment, Experiment)
+    folder = Path(out) if out else RESULTS_FOLDER / spec.name
+    count = sweeping.sweep(spec, folder, processes, limit)
+    click.echo(f"{count} points played into {folder / sweeping.RESULTS}")
     if draw and sweeping.done(folder):
         click.echo(f"plot: {plotting.plot(folder, spec.name)}")
 
@@ -90,55 +96,60 @@
     click.echo(plotting.plot(Path(folder), title or Path(folder).name, Path(png) if png else None))
 
 
-def play_on_processes(spec: Experiment, folder: Path, seed: int) -> Any:
-    """The outcome of one run on processes; ends the program where it can't be played."""
-    from ..experiments.errors import LabError
-    from ..experiments.processes import ProcessLab
+def run_on_processes(spec: Experiment, folder: Path, seed: int) -> Outcome:
+    """The outcome of one run on processes; exits with EXIT_UNUSABLE if it can't be run."""
+    from ..experiments.errors import ExperimentError
+    from ..experiments.processes import ProcessFleet
 
     try:
-        with ProcessLab(spec, folder / f"seed-{seed}", seed) as lab, progress(f"seed {seed}") as told:
-            return lab.play(told)
-    except LabError as met:
-        refuse(met)
+        with ProcessFleet(spec, folder / f"seed-{seed}", seed) as fleet, progress(f"seed {seed}") as report:
+            return fleet.play(report)
+    except ExperimentError as error:
+        exit_unusable(error)
 
 
 @click.command()
 @experiment_argument
 @seeds_instead_option
 @click.option(
-    "--out", type=click.Path(file_okay=False), help="folder for logs and results (default: lab/NAME)"
+    "--out",
+    type=click.Path(file_okay=False),
+    help="folder for logs and results (default: lab/NAME-processes)",
 )
 def processes(experiment: str, seeds: tuple[int, ...], out: str | None) -> None:
-    """Play an experiment on processes of the program over loopback, with its faults, and judge it."""
+    """Run an experiment on processes of the program over loopback, with its faults, and check it."""
     from ..experiments import sweep as sweeping
 
-    spec = load_or_refuse(experiment, Experiment)
-    folder, any_broken = Path(out or f"lab/{spec.name}-processes"), False
+    spec = load_or_exit(experiment, Experiment)
+    folder = Path(out) if out else RESULTS_FOLDER / f"{spec.name}-processes"
     folder.mkdir(parents=True, exist_ok=True)
+    any_broken = False
     for seed in seeds or (spec.seed,):
-        outcome = play_on_processes(spec, folder, seed)
+        outcome = run_on_processes(spec, folder, seed)
+        metrics = outcome.metrics()
         row = {
             "key": json.dumps({"params": {}, "seed": seed}),
             "seed": seed,
             "params": {},
-            "metrics": outcome.metrics(),
+            "metrics": metrics,
             "histogram": outcome.result.latency.encode().decode(),
         }
         with open(folder / sweeping.RESULTS, "a") as sink:
             sink.write(json.dumps(row, sort_keys=True) + "\n")
-        click.echo(json.dumps(outcome.metrics(), sort_keys=True))
+        click.echo(json.dumps(metrics, sort_keys=True))
         any_broken = any_broken or bool(outcome.result.broken)
-    sys.exit(BROKEN if any_broken else 0)
+    sys.exit(EXIT_FAILED if any_broken else 0)
 
 
 def comparison_line(row: dict[str, Any]) -> str:
-    """One line on how far the emulator and the processes are apart."""
-    emulator, sockets = row["emulator"], row["processes"]
+    """One line on the difference between the emulator and the processes, from a row of `compare`."""
+    emulated = row["emulator"]
+    measured = row["processes"]
     shares = ", ".join(
-        f"{share} emulator {emulator[share]:.3f} processes {sockets[share]:.3f}" for share in row["apart"]
+        f"{share} emulator {emulated[share]:.3f} processes {measured[share]:.3f}" for share in row["apart"]
     )
-    over = "" if row["within"] else "  OVER 5%"
-    return f"seed {row['seed']}: {shares}; p50 {emulator['p50_ms']:.0f} and {sockets['p50_ms']:.0f} ms{over}"
+    mark = "" if row["within"] else "  OVER 5%"
+    return f"seed {row['seed']}: {shares}; p50 {emulated['p50_ms']:.0f} and {measured['p50_ms']:.0f} ms{mark}"
 
 
 @click.command()
@@ -148,18 +159,18 @@
     "--out", type=click.Path(file_okay=False), help="folder for logs and results (default: lab/NAME-compare)"
 )
 def compare(experiment: str, seeds: tuple[int, ...], out: str | None) -> None:
-    """Play an experiment in the emulator and on processes; exit 1 where a share is more than 5% apart."""
-    from ..experiments.compare import compare as comparing
-    from ..experiments.errors import LabError
+    """Run an experiment in the emulator and on processes; exit 1 if a share differs by more than 5%."""
+    from ..experiments.compare import compare as run_both
+    from ..experiments.errors import ExperimentError
 
-    spec = load_or_refuse(experiment, Experiment)
-    folder = Path(out or f"lab/{spec.name}-compare")
+    spec = load_or_exit(experiment, Experiment)
+    folder = Path(out) if out else RESULTS_FOLDER / f"{spec.name}-compare"
     try:
-        with progress(spec.name) as told:
-            rows = comparing(spec, folder, list(seeds or (spec.seed,)), told)
-    except LabError as met:
-        refuse(met)
+        with progress(spec.name) as report:
+            rows = run_both(spec, folder, list(seeds or (spec.seed,)), report)
+    except ExperimentError as error:
+        exit_unusable(error)
     (folder / "compare.json").write_text(json.dumps(rows, indent=1, sort_keys=True))
     for row in rows:
         click.echo(comparison_line(row))
-    sys.exit(0 if all(row["within"] for row in rows) else BROKEN)
+    sys.exit(0 if all(row["within"] for row in rows) else EXIT_FAILED)
--- a/brookhub/commands/maintenance.py
+++ b/brookhub/commands/maintenance.py
@@ -1,39 +1,36 @@
-"""`brookhub maintenance check | plan | status` and `brookhub lab plans | check`: work on machines."""
+"""`brookhub maintenance check | plan | status`: maintenance plans of the operators."""
 
 from __future__ import annotations
 
-import json
-import sys
+from collections.abc import Iterable
+from math import ceil
 from pathlib import Path
 
 import click
 
 from ..config import PlanFile
 from ..maintenance import Plan
-from .common import BROKEN, load_or_refuse, out_option, refuse
+from .common import load_or_exit
 
-STATES_MOST = 50_000_000  # states that a search holds: more than this machine's memory has room for
-ENDS_LOOKED_AT = 50  # ends of a search from which the plan is run on to its end
 
-
-def plan_of(path: str) -> Plan:
-    """The plan of a file; ends the program where it can't be used."""
+def load_plan(path: str) -> Plan:
+    """The plan of a file; exits with EXIT_UNUSABLE if it can't be used."""
     from ..program.start_file import plan_from_file
 
-    load_or_refuse(path, PlanFile)
+    load_or_exit(path, PlanFile)
     return plan_from_file(Path(path))
 
 
 @click.group()
 def maintenance() -> None:
-    """Plans of work on machines: check one, see its order, see from the logs how far it is."""
+    """Maintenance plans: check a plan, show its order, read its progress from the logs."""
 
 
 @maintenance.command()
 @click.argument("path", type=click.Path(dir_okay=False))
 def check(path: str) -> None:
     """Check a plan; prints its version and digest, or one line on its first fault (exit 2)."""
-    plan = plan_of(path)
+    plan = load_plan(path)
     click.echo(
         f"{path}: a good plan, version {plan.version}, digest {plan.digest()}, {len(plan.machines)} "
         f"machines, {plan.most_out} out at once, a majority of {len(plan.voters)} voters permits"
@@ -47,100 +44,29 @@
     type=float,
     default=600.0,
     show_default=True,
-    help="s that work on a machine takes, for the time in all",
+    help="duration of the work on a machine (s), for the total",
 )
 def show_order(path: str, work: float) -> None:
-    """The order in which a plan takes its machines out, without failures, and the least time for it."""
+    """Print the order in which a plan takes its machines out, without failures, and its minimum duration."""
     from ..maintenance import order
 
-    plan = plan_of(path)
-    for number, one in enumerate(order(plan, {}, frozenset()), 1):
-        on = ", ".join([*one.servers, *([f"limiter {one.limiter}"] if one.limiter else [])])
-        click.echo(f"{number:3} {one.name}  zone {one.zone or '-'}  capacity {one.capacity:g}  {on}")
-    rounds = -(-len(plan.machines) // plan.most_out)
+    plan = load_plan(path)
+    for number, machine in enumerate(order(plan, {}, frozenset()), 1):
+        components = list(machine.servers)
+        if machine.limiter:
+            components.append(f"limiter {machine.limiter}")
+        click.echo(
+            f"{number:3} {machine.name}  zone {machine.zone or '-'}  capacity {machine.capacity:g}  "
+            f"{', '.join(components)}"
+        )
+    rounds = ceil(len(plan.machines) / plan.most_out)
     click.echo(f"at least {rounds * (work + plan.fill_s):.0f} s with {work:.0f} s of work on each")
 
 
 @maintenance.command()
 @click.argument("logs", type=click.Path(dir_okay=False, exists=True), nargs=-1, required=True)
-def status(logs: tuple[str, ...]) -> None:
-    """How far a plan is, from limiters' logs (JSON lines): machines, steward, why it is halted."""
+def status(logs: Iterable[str]) -> None:
+    """Print the progress of a plan, from limiters' logs (JSON lines): machines, leader, reason of a halt."""
     from ..experiments.maintenance import read_status
 
-    click.echo(read_status([Path(one) for one in logs]))
-
-
-@click.command()
-@out_option("lab/plans")
-@click.option("--scenario", "scenarios", multiple=True, help="may be given often (default: all)")
-@click.option(
-    "--most",
-    "mosts",
-    type=int,
-    multiple=True,
-    help="machines out at once; may be given often (default: 1 and 2)",
-)
-@click.option("--seed", type=int, default=1, show_default=True)
-def plans(out: Path, scenarios: tuple[str, ...], mosts: tuple[int, ...], seed: int) -> None:
-    """Plans of work on eight processes, a fault at each step; a line a run, exit 1 where anything broke."""
-    from ..experiments import plans as playing
-    from ..experiments.errors import LabError
-
-    any_broken = False
-    unknown = [one for one in scenarios if one not in playing.SCENARIOS]
-    if unknown:
-        refuse(f"no scenario {unknown[0]!r}; there are: {', '.join(playing.SCENARIOS)}")
-    for number, scenario in enumerate(scenarios or playing.SCENARIOS):
-        for most in mosts or (1, 2):
-            try:
-                row = playing.play(scenario, most, out / f"{number}-{most}", seed)
-            except LabError as met:
-                refuse(met)
-            click.echo(json.dumps(row, sort_keys=True))
-            any_broken = any_broken or bool(row["broken"]) or not row["kept"] or not row["ended"]
-    sys.exit(BROKEN if any_broken else 0)
-
-
-@click.command("check")
-@click.option("--voters", type=int, default=3, show_default=True)
-@click.option("--most", type=int, default=1, show_default=True, help="machines out at once")
-@click.option("--joins/--no-joins", default=False, help="the last voter joins while the plan runs")
-@click.option(
-    "--deviations", type=int, default=2, show_default=True, help="faults and delays on one trail at the most"
-)
-@click.option("--depth", type=int, default=40, show_default=True)
-@click.option("--seconds", type=float, default=120.0, show_default=True)
-@click.option("--messages", is_flag=True, help="message by message instead of in rounds")
-@click.option(
-    "--planted",
-    type=click.Choice(["none", "counted votes", "no look at the lease", "no abstaining"]),
-    default="none",
-)
-def check_model(
-    voters: int,
-    most: int,
-    joins: bool,
-    deviations: int,
-    depth: int,
-    seconds: float,
-    messages: bool,
-    planted: str,
-) -> None:
-    """Check the maintenance core over its states, faults at every step; exit 1 with the trail of a break."""
-    from ..model_checker import PLANTED, Model, Register, search
-
-    register = PLANTED.get(planted, Register)
-    model = Model(voters, most, machines=1 + most, joins=joins, rounds=not messages, register=register)
-    found = search(model, deviations, depth, seconds=seconds, states=STATES_MOST)
-    click.echo(
-        f"{found.states} states, {found.deviations} deviations, depth {found.depth}, {found.seconds:.0f} s, "
-        f"{'all within the bounds' if found.complete else 'cut off by the time'}"
-    )
-    if found.broken:
-        click.echo(f"broken: {found.broken}")
-        for number, action in enumerate(found.trail):
-            click.echo(f"{number:4} {' '.join(map(str, action))}")
-        sys.exit(BROKEN)
-    held = [model.ends(state) for state in found.ends[:ENDS_LOOKED_AT]]
-    click.echo(f"from {held.count('')} of {len(held)} states, faults over, the plan came to its end")
-    sys.exit(0 if held.count("") == len(held) else BROKEN)
+    click.echo(read_status([Path(log) for log in logs]))
--- a/brookhub/commands/measure.py
+++ b/brookhub/commands/measure.py
@@ -1,13 +1,16 @@
-"""`brookhub lab membership | choices | together | recovery | maintenance`: measurements, tables, plots."""
+"""`brookhub experiments membership | choices | together | recovery | maintenance | plans`: measurements."""
 
 from __future__ import annotations
 
 import json
+import sys
 from pathlib import Path
 
 import click
 
-from .common import out_option, processes_option, progress, seeds_option
+from .common import EXIT_FAILED, exit_unusable, out_option, processes_option, progress, seeds_option
+
+DEFAULT_MAX_OUT = (1, 2)  # machines out at once
 
 
 @click.command()
@@ -27,16 +30,16 @@
     sizes: tuple[int, ...],
     sockets: bool,
 ) -> None:
-    """Measure membership against its baselines in the emulator: a table, and a plot in the folder."""
+    """Measure membership against its baselines in the emulator; prints a table and writes a plot."""
     from ..experiments import membership as measuring
 
     if sockets:
         for seed in seeds or (1,):
             click.echo(json.dumps(measuring.on_processes(out / f"seed-{seed}", seed), sort_keys=True))
         return
-    with progress("membership") as told:
+    with progress("membership") as report:
         rows = measuring.measure(
-            out, list(seeds or range(1, 7)), hour, processes, sizes or measuring.SIZES, told
+            out, list(seeds or range(1, 7)), hour, processes, sizes or measuring.SIZES, report
         )
     click.echo(measuring.table(rows))
     click.echo(f"plot: {measuring.plot(rows, out / 'membership.png')}")
@@ -47,11 +50,11 @@
 @seeds_option("1 to 5")
 @processes_option
 def choices(out: Path, seeds: tuple[int, ...], processes: int | None) -> None:
-    """Measure ways to choose servers for each limiter: balance, load, churn; a table and a plot."""
+    """Measure algorithms that assign each limiter its servers: balance, load, churn; a table and a plot."""
     from ..experiments import choices as measuring
 
-    with progress("choices") as told:
-        rows = measuring.measure(out, list(seeds or range(1, 6)), processes=processes, progress=told)
+    with progress("choices") as report:
+        rows = measuring.measure(out, list(seeds or range(1, 6)), processes=processes, progress=report)
     click.echo(measuring.table(rows))
     click.echo(f"plot: {measuring.plot(rows, out / 'choices.png')}")
 
@@ -61,11 +64,11 @@
 @seeds_option("1 to 4")
 @processes_option
 def together(out: Path, seeds: tuple[int, ...], processes: int | None) -> None:
-    """Measure signals and turns in the emulator: bad and cold servers, fairness; tables and a plot."""
+    """Measure outlier signals and leases in the emulator: bad and cold servers, fairness; tables, a plot."""
     from ..experiments import together as measuring
 
-    with progress("together") as told:
-        rows = measuring.measure(out, list(seeds or range(1, 5)), processes, told)
+    with progress("together") as report:
+        rows = measuring.measure(out, list(seeds or range(1, 5)), processes, report)
     click.echo(measuring.table(rows))
     click.echo(f"plot: {measuring.plot(rows, out / 'together.png')}")
 
@@ -75,11 +78,11 @@
 @seeds_option("1 to 3")
 @processes_option
 def recovery(out: Path, seeds: tuple[int, ...], processes: int | None) -> None:
-    """A counter wiped, swapped and split in the emulator, with and without recovery; a table and plots."""
+    """Wipe, swap and split the emulated counter, with and without recovery; prints a table, writes plots."""
     from ..experiments import recovery as measuring
 
-    with progress("recovery") as told:
-        rows = measuring.measure(out, list(seeds or range(1, 4)), processes, told)
+    with progress("recovery") as report:
+        rows = measuring.measure(out, list(seeds or range(1, 4)), processes, report)
     click.echo(measuring.table(rows))
     click.echo(f"plot: {measuring.plot(rows, out / 'recovery.png')}")
     click.echo(f"plot: {measuring.plot_ceiling(rows, out / 'ceiling.png')}")
@@ -90,10 +93,41 @@
 @click.option("--seeds", type=int, default=1000, show_default=True, help="runs with random faults")
 @processes_option
 def maintenance(out: Path, seeds: int, processes: int | None) -> None:
-    """Plans of work on 200 emulated limiters under random faults, against two baselines; tables, a plot."""
+    """Maintenance plans on 200 emulated limiters, random faults, against two baselines; tables and plot."""
     from ..experiments import maintenance as measuring
 
-    with progress("maintenance") as told:
-        rows = measuring.measure(out, seeds, processes, told)
+    with progress("maintenance") as report:
+        rows = measuring.measure(out, seeds, processes, report)
     click.echo(measuring.table(rows))
     click.echo(f"plot: {measuring.plot(rows, out / 'maintenance.png')}")
+
+
+@click.command()
+@out_option("lab/plans")
+@click.option("--scenario", "scenarios", multiple=True, help="may be given often (default: all)")
+@click.option(
+    "--most",
+    "max_out_values",
+    type=int,
+    multiple=True,
+    help="machines out at once; may be given often (default: 1 and 2)",
+)
+@click.option("--seed", type=int, default=1, show_default=True)
+def plans(out: Path, scenarios: tuple[str, ...], max_out_values: tuple[int, ...], seed: int) -> None:
+    """Maintenance plans on eight processes, a fault at each step; a line per run, exit 1 if any broke."""
+    from ..experiments import plans as measuring
+    from ..experiments.errors import ExperimentError
+
+    unknown = [scenario for scenario in scenarios if scenario not in measuring.SCENARIOS]
+    if unknown:
+        exit_unusable(f"no scenario {unknown[0]!r}; there are: {', '.join(measuring.SCENARIOS)}")
+    any_broken = False
+    for number, scenario in enumerate(scenarios or measuring.SCENARIOS):
+        for max_out in max_out_values or DEFAULT_MAX_OUT:
+            try:
+                row = measuring.play(scenario, max_out, out / f"{number}-{max_out}", seed)
+            except ExperimentError as error:
+                exit_unusable(error)
+            click.echo(json.dumps(row, sort_keys=True))
+            any_broken = any_broken or bool(row["broken"]) or not row["kept"] or not row["ended"]
+    sys.exit(EXIT_FAILED if any_broken else 0)
--- a/brookhub/commands/serve.py
+++ b/brookhub/commands/serve.py
@@ -9,19 +9,21 @@
 from pathlib import Path
 
 import click
+from pydantic import BaseModel
 
-from ..config import ConfigError, Experiment, GatewayFile, MembershipFile, PlanFile, SiteFile, load
-from .common import refuse
+from ..config import ConfigError, Experiment, GatewayFile, MembershipFile, PlanFile, SiteFile
+from .common import exit_unusable, load_or_exit
 
-MODELS = {
+MODELS: dict[str, type[BaseModel]] = {
     "experiment": Experiment,
     "membership": MembershipFile,
     "plan": PlanFile,
     "site": SiteFile,
     "gateway": GatewayFile,
 }
-# The tables by which a kind of file is known, the first that is found; a file without any is a start file.
-MARKS = (
+DEFAULT_KIND = "gateway"
+# The table that identifies a kind of file. The first one found decides; a file without any is a start file.
+KIND_MARKERS = (
     ("[fleet", "experiment"),
     ("[[peers]]", "membership"),
     ("[[machines]]", "plan"),
@@ -43,22 +45,22 @@
 
 
 def kind_of(path: str) -> str:
-    """The kind of a configuration file by its tables; ends the program where it can't be read."""
+    """The kind of a configuration file by its tables; exits with EXIT_UNUSABLE if it can't be read."""
     try:
         text = Path(path).read_text(errors="replace")
-    except OSError as broken:
-        refuse(ConfigError(path, "", 0, broken.strerror or str(broken)))
-    return next((kind for mark, kind in MARKS if mark in text), "gateway")
+    except OSError as error:
+        exit_unusable(ConfigError(path, "", 0, error.strerror or str(error)))
+    return next((kind for marker, kind in KIND_MARKERS if marker in text), DEFAULT_KIND)
 
 
 def check_json_start_file(path: str) -> None:
-    """Check a start file in JSON; ends the program where it can't be used."""
+    """Check a start file in JSON; exits with EXIT_UNUSABLE if it can't be used."""
     from ..program import start_file
 
     try:
         start_file.read({"NODE_CONFIG": path})
-    except start_file.StartError as broken:
-        refuse(broken)
+    except start_file.StartError as error:
+        exit_unusable(error)
 
 
 @click.command("check-config")
@@ -71,16 +73,13 @@
     if kind == "gateway" and path.endswith(".json"):
         check_json_start_file(path)
     else:
-        try:
-            load(path, MODELS[kind])
-        except ConfigError as broken:
-            refuse(broken)
+        load_or_exit(path, MODELS[kind])
     click.echo(f"{path}: a good {kind} file")
 
 
 @click.command()
 def version() -> None:
-    """The program's version."""
+    """Print the version of the installed package."""
     try:
         click.echo(installed_version("brookhub"))
     except PackageNotFoundError:
--- a/brookhub/config/__init__.py
+++ b/brookhub/config/__init__.py
@@ -1,21 +1,12 @@
-"""Checked configuration in TOML: experiments for the emulator and lab, and the gateway's start file.
+"""Checked configuration in TOML: experiments, site files, and the files that operators write for a gateway.
 
 `load(path, Model)` reads and validates; a wrong type, unknown key or missing key raises ConfigError naming
 the key and its line. Format: docs/configuration.md.
 """
 
 from .load import ConfigError, load, loads
-from .models import (
-    Experiment,
-    FaultSpec,
-    FleetSpec,
-    GatewayFile,
-    LoadSpec,
-    MembershipFile,
-    PlanFile,
-    RecoveryFile,
-    SweepSpec,
-)
+from .models import Experiment, FaultSpec, FleetSpec, LoadSpec, SweepSpec
+from .operator_files import GatewayFile, MembershipFile, PlanFile, RecoveryFile
 from .site import SiteFile
 
 __all__ = [
--- a/brookhub/config/load.py
+++ b/brookhub/config/load.py
@@ -1,72 +1,96 @@
-"""Reads TOML (tomllib) into a model; errors name the key, its line and what was wrong."""
+"""Reads TOML (tomllib) into a model; errors name the file, the key, its line and what is wrong with it."""
 
 from __future__ import annotations
 
 import re
 import tomllib
+from collections.abc import Sequence
 from pathlib import Path
 from typing import TypeVar
 
 from pydantic import BaseModel, ValidationError
+from pydantic_core import ErrorDetails
 
-M = TypeVar("M", bound=BaseModel)
+Model = TypeVar("Model", bound=BaseModel)
+KeyPath = Sequence[str | int]  # names of tables and keys, and indices into arrays, from the outermost
+
+UNKNOWN_KEY = "extra_forbidden"  # pydantic's type of error for a key that the model does not have
+MISSING_KEY = "missing"
+REASONS = {UNKNOWN_KEY: "unknown key", MISSING_KEY: "required key missing"}
 
 
 class ConfigError(ValueError):
-    """A configuration file can't be used: `key` (dotted), `line` (1-based, 0 if unknown), and why."""
+    """A configuration file that can't be used.
+
+    `source` is the file, `key` the dotted key (empty: the whole file), `line` is 1-based (0: unknown), `why`
+    the reason.
+    """
 
-    def __init__(self, source: str, key: str, line: int, why: str):
-        self.source, self.key, self.line, self.why = source, key, line, why
+    def __init__(self, source: str, key: str, line: int, why: str) -> None:
+        self.source = source
+        self.key = key
+        self.line = line
+        self.why = why
         where = f"{source}:{line}" if line else source
         super().__init__(f"{where}: {key or '(file)'}: {why}")
 
 
-def line_of(text: str, path: tuple) -> int:
-    """The line where the last named key of `path`, or its table, stands, searched after its parents'."""
-    lines, start = text.splitlines(), 0
-    for depth, part in enumerate(path):
-        if isinstance(part, int):
+def line_of(text: str, path: KeyPath) -> int:
+    """The 1-based line of the last name in `path`, each name searched after the line of its parent.
+
+    A name that is not there gives the line of its parent, or 0 if the first name is not there either.
+    """
+    lines = text.splitlines()
+    current = 0
+    for depth, name in enumerate(path):
+        if isinstance(name, int):
             continue
-        pattern = re.compile(
-            rf"^\s*(\[\[?\s*([\w.]*\.)?{re.escape(str(part))}\s*\]\]?|{re.escape(str(part))}\s*=)"
+        escaped = re.escape(name)
+        definition = re.compile(rf"^\s*(\[\[?\s*([\w.]*\.)?{escaped}\s*\]\]?|{escaped}\s*=)")
+        found = next(
+            (number for number in range(current, len(lines)) if definition.match(lines[number])), None
         )
-        for number in range(start, len(lines)):
-            if pattern.match(lines[number]):
-                start = number
-                break
-        else:
-            return start + 1 if depth else 0
-    return start + 1
+        if found is None:
+            return current + 1 if depth else 0
+        current = found
+    return current + 1
+
 
+def config_error(source: str, text: str, errors: list[ErrorDetails]) -> ConfigError:
+    """The first of a model's validation errors, with its line.
 
-def loads(text: str, model: type[M], source: str = "<text>") -> M:
+    An unknown key comes before others: a misspelt key also makes the correct one missing.
+    """
+    first = min(errors, key=lambda error: error["type"] != UNKNOWN_KEY)
+    path = first["loc"]
+    reason = REASONS.get(first["type"], first["msg"])
+    if first["type"] == MISSING_KEY:
+        table = path[:-1]
+        line = line_of(text, table) if table else 0
+    else:
+        line = line_of(text, path)
+    others = f" (and {len(errors) - 1} more)" if len(errors) > 1 else ""
+    return ConfigError(source, ".".join(map(str, path)), line, reason + others)
+
+
+def loads(text: str, model: type[Model], source: str = "<text>") -> Model:
     """A checked configuration from text; `source` names it in errors. Raises ConfigError."""
     try:
         raw = tomllib.loads(text)
-    except tomllib.TOMLDecodeError as broken:
-        found = re.search(r"line (\d+)", str(broken))
-        raise ConfigError(source, "", int(found.group(1)) if found else 0, f"not TOML: {broken}") from None
+    except tomllib.TOMLDecodeError as error:
+        found = re.search(r"line (\d+)", str(error))
+        line = int(found.group(1)) if found else 0
+        raise ConfigError(source, "", line, f"not TOML: {error}") from None
     try:
         return model.model_validate(raw)
-    except ValidationError as invalid:
-        errors = sorted(invalid.errors(), key=lambda error: error["type"] != "extra_forbidden")
-        first = errors[0]  # an unknown key first: a misspelt key also makes the right one missing
-        path = tuple(first["loc"])
-        kind = {"extra_forbidden": "unknown key", "missing": "required key missing"}.get(
-            first["type"], first["msg"]
-        )
-        if first["type"] == "missing":
-            line = line_of(text, path[:-1]) if len(path) > 1 else 0
-        else:
-            line = line_of(text, path)
-        more = f" (and {len(invalid.errors()) - 1} more)" if len(invalid.errors()) > 1 else ""
-        raise ConfigError(source, ".".join(map(str, path)), line, kind + more) from None
+    except ValidationError as error:
+        raise config_error(source, text, error.errors()) from None
 
 
-def load(path: str | Path, model: type[M]) -> M:
+def load(path: str | Path, model: type[Model]) -> Model:
     """A checked configuration file. Raises ConfigError."""
     try:
         text = Path(path).read_text()
-    except OSError as broken:
-        raise ConfigError(str(path), "", 0, broken.strerror or str(broken)) from None
+    except OSError as error:
+        raise ConfigError(str(path), "", 0, error.strerror or str(error)) from None
     return loads(text, model, str(path))
--- a/brookhub/config/site.py
+++ b/brookhub/config/site.py
@@ -1,8 +1,8 @@
-"""Site files of the operators' bench: the parts that a gateway of the site is told about, checked and drawn.
+"""Site files of the operators' bench: the tables from which a gateway's settings follow.
 
-A site file gives ranges; the bench draws a day from them. `SiteFile.settings` states the middle of each range
-in the names of the settings that a gateway reads at its start (settings.py), so a site can be checked without
-the bench. Keys that no gateway is told of are left to the bench: they are accepted here unread.
+A site file gives ranges; the bench draws a day from them. `SiteFile.settings` returns the middle of each
+range under the names of the settings that a gateway reads at its start (settings.py), so that a site can be
+checked without the bench. Keys that do not concern a gateway belong to the bench and are ignored.
 """
 
 from __future__ import annotations
@@ -13,9 +13,13 @@
 
 Number = float | int
 
+# Words of the site file and the gateway settings' words for them
+MEMBERSHIP_MODES = {"push": "pushed", "ask": "on_request"}
+SEMANTICS = {"safe": "read_like", "keyed": "idempotency_key", "unsafe": "non_idempotent"}
+
 
 def check_range(value: Any) -> tuple[float, float]:
-    """A number, or a range of two, as (lower end, upper end). Raises ValueError."""
+    """Convert a number, or a list of two, into (lower end, upper end). Raises ValueError."""
     ends = value if isinstance(value, list) else [value, value]
     if len(ends) != 2 or not all(isinstance(end, Number) and not isinstance(end, bool) for end in ends):
         raise ValueError(f"a number or a range of two is needed, not {value!r}")
@@ -23,7 +27,7 @@
 
 
 def check_positive(ends: tuple[float, float]) -> tuple[float, float]:
-    """Both ends of a range have to be above 0, the first not above the second."""
+    """Return the range unchanged if both ends are above 0 and finite; raises ValueError otherwise."""
     if not 0 < ends[0] <= ends[1] < float("inf"):
         raise ValueError(f"only numbers above 0 are possible, not {list(ends)}")
     return ends
@@ -38,25 +42,25 @@
     return sum(ends) / 2
 
 
-class Part(BaseModel):
-    """A table of a site file: keys that are not listed here are the bench's own."""
+class SiteTable(BaseModel):
+    """Base of a site file's tables: immutable; keys that are not listed belong to the bench."""
 
     model_config = ConfigDict(extra="ignore", frozen=True)
 
 
-class Net(Part):
-    """The network. `zones` may name a single one."""
+class Net(SiteTable):
+    """The network: names of the zones, at least one."""
 
     zones: list[str] = Field(min_length=1)
 
 
-class DiscoverySpec(Part):
-    """Whether lists of servers are pushed to the gateways or asked for."""
+class DiscoverySpec(SiteTable):
+    """Whether endpoint lists are pushed to the gateways or polled."""
 
     mode: Literal["push", "ask"]
 
 
-class Allow(Part):
+class Allow(SiteTable):
     """What gateways may do."""
 
     cancel: bool
@@ -65,30 +69,30 @@
     max_attempts: int = Field(ge=1)
 
 
-class Rules(Part):
-    """The rules on draining (ms) and on cold servers (a multiple of what they can do, within ms)."""
+class Rules(SiteTable):
+    """Drain grace period (ms); load that a cold server bears (multiple of its capacity, window in ms)."""
 
     drain_grace_ms: float = Field(ge=0)
     fall_multiple: float = Field(gt=1)
     fall_ms: float = Field(gt=0)
 
 
-class ServerKind(Part):
-    """A kind of server: the share of its capacity it starts with, and the seconds until it is warm."""
+class ServerKind(SiteTable):
+    """A kind of server: the share of its capacity at its start, and the duration of its slow start (s)."""
 
     name: str
     cold_from: PositiveRange
     cold_s: PositiveRange
 
 
-class Connections(Part):
-    """Connections to servers: when an idle one is closed (s), how long one may take to come up (ms)."""
+class Connections(SiteTable):
+    """Connections to servers: idle timeout (s) and connect timeout (ms)."""
 
     idle_s: float = Field(gt=0)
     connect_timeout_ms: float = Field(gt=0)
 
 
-class Tier(Part):
+class Tier(SiteTable):
     """The servers."""
 
     name: str
@@ -96,11 +100,8 @@
     kind: list[ServerKind] = Field(min_length=1)
 
 
-class RequestClass(Part):
-    """A class of requests.
-
-    Its aim and deadline (ms), what it is worth, whether it may run again and where.
-    """
+class RequestClass(SiteTable):
+    """A class of requests: latency objective, deadline (ms), priority weight, idempotency and its scope."""
 
     name: str
     aim_ms: float = Field(gt=0)
@@ -113,7 +114,7 @@
 
     @model_validator(mode="after")
     def check_times(self) -> RequestClass:
-        """A request has to have time for its answer."""
+        """The deadline must not lie before the objective; an idempotency key needs a window."""
         if self.deadline_ms < self.aim_ms:
             raise ValueError("deadline_ms is below aim_ms")
         if self.effect == "keyed" and not self.window_ms:
@@ -121,18 +122,15 @@
         return self
 
 
-class TenantSpec(Part):
-    """Customers on one plan, by the name of the plan."""
+class TenantSpec(SiteTable):
+    """The customers of a plan, under the plan's name."""
 
     name: str
     share: float = Field(gt=0)
 
 
-class Quota(Part):
-    """A plan's quota.
-
-    Units a second, seconds of them held at most, prices, and a ceiling in multiples of both.
-    """
+class Quota(SiteTable):
+    """A plan's quota: rate (units/s), burst (in seconds of the rate), prices, ceiling (multiple of both)."""
 
     rate: PositiveRange
     burst_s: PositiveRange
@@ -142,8 +140,8 @@
     ceiling: Range = (0.0, 0.0)
 
 
-class Family(Part):
-    """What belongs to gateways with quotas: how units are told, the counter and its time-out (ms)."""
+class Family(SiteTable):
+    """Quotas: how the units of a request become known, and the shared counter with its timeout (ms)."""
 
     units: Literal["one", "class", "size", "after"]
     most_units: float = Field(1.0, gt=0)
@@ -153,13 +151,13 @@
     plan: list[Quota] = Field(min_length=1)
 
 
-class Clients(Part):
-    """What clients do after a refusal: they wait at most so long (ms)."""
+class Clients(SiteTable):
+    """Clients: the longest Retry-After (ms) that they follow."""
 
     max_retry_after_ms: float = Field(ge=0)
 
 
-class SiteFile(Part):
+class SiteFile(SiteTable):
     """A deployment as the operators' bench reads it."""
 
     name: str = Field(min_length=1)
@@ -176,25 +174,26 @@
 
     @model_validator(mode="after")
     def check_plans(self) -> SiteFile:
-        """What the plans name has to be there."""
+        """Tenants and plans are paired by position, so their numbers have to be equal."""
         if len(self.fam.plan) != len(self.tenant):
             raise ValueError(f"{len(self.tenant)} tenants need as many plans, not {len(self.fam.plan)}")
         return self
 
     def settings(self, gateways: int) -> dict[str, Any]:
-        """The settings of one of so many gateways, with the middle of each range."""
-        tier, kind = self.tier[0], self.tier[0].kind[0]
+        """The settings of the first gateway in a fleet of `gateways`, with the middle of each range."""
+        tier = self.tier[0]
+        kind = tier.kind[0]
         return {
             "areas": list(self.net.zones),
-            "kinds": [one.name for one in tier.kind],
+            "kinds": [server_kind.name for server_kind in tier.kind],
             "balancers": gateways,
             "slot_no": 0,
             "zone": 0,
-            "membership_mode": {"push": "pushed", "ask": "on_request"}[self.discovery.mode],
-            "classes": [class_settings(one) for one in self.classes],
+            "membership_mode": MEMBERSHIP_MODES[self.discovery.mode],
+            "classes": [class_settings(request_class) for request_class in self.classes],
             "tariffs": [
-                plan_settings(one.name, quota, self.fam.slack)
-                for one, quota in zip(self.tenant, self.fam.plan, strict=False)
+                plan_settings(tenant.name, quota, self.fam.slack)
+                for tenant, quota in zip(self.tenant, self.fam.plan, strict=True)
             ],
             "extra": {
                 "counter": self.fam.counter,
@@ -220,28 +219,25 @@
         }
 
 
-def class_settings(one: RequestClass) -> dict[str, Any]:
-    """A class as the settings name its parts."""
-    semantics = {"safe": "read_like", "keyed": "idempotency_key", "unsafe": "non_idempotent"}[one.effect]
+def class_settings(request_class: RequestClass) -> dict[str, Any]:
+    """The settings of a class of requests."""
     return {
-        "name": one.name,
-        "slo_s": one.aim_ms / 1000,
-        "hard_limit_s": one.deadline_ms / 1000,
-        "semantics": semantics,
-        "key_scope": one.group,
-        "window_s": one.window_ms / 1000,
-        "importance": one.worth,
-        "late_value": one.late_worth,
+        "name": request_class.name,
+        "slo_s": request_class.aim_ms / 1000,
+        "hard_limit_s": request_class.deadline_ms / 1000,
+        "semantics": SEMANTICS[request_class.effect],
+        "key_scope": request_class.group,
+        "window_s": request_class.window_ms / 1000,
+        "importance": request_class.worth,
+        "late_value": request_class.late_worth,
     }
 
 
 def plan_settings(name: str, quota: Quota, slack: float) -> dict[str, Any]:
-    """A plan as the settings name its parts."""
-    rate, burst, ceiling = (
-        middle(quota.rate),
-        middle(quota.rate) * middle(quota.burst_s),
-        middle(quota.ceiling),
-    )
+    """The settings of a plan; `slack` is the tolerance of the ceiling, as a share of its burst."""
+    rate = middle(quota.rate)
+    burst = rate * middle(quota.burst_s)
+    ceiling = middle(quota.ceiling)
     return {
         "name": name,
         "refill": rate,
--- a/brookhub/experiments/address_pool.py
+++ b/brookhub/experiments/address_pool.py
@@ -4,7 +4,7 @@
 
 import socket
 
-from .errors import LabError
+from .errors import ExperimentError
 
 LANES = 16  # labs at a time on one machine
 FIRST = 10  # limiter i of a lane has the address 127.LANE.(FIRST + i).1
@@ -12,7 +12,7 @@
 
 
 class Lane:
-    """A range that no other lab uses until `close`. Raises LabError where none is free."""
+    """A range that no other lab uses until `close`. Raises ExperimentError where none is free."""
 
     def __init__(self) -> None:
         for self.number in range(LANES):
@@ -22,7 +22,7 @@
                 return
             except OSError:
                 self.guard.close()
-        raise LabError(f"{LANES} labs are played on this machine already")
+        raise ExperimentError(f"{LANES} labs are played on this machine already")
 
     def address(self, index: int) -> str:
         """The address of a limiter by its number."""
--- a/brookhub/experiments/compare.py
+++ b/brookhub/experiments/compare.py
@@ -7,7 +7,7 @@
 
 from ..config.models import Experiment
 from ..emulator import Fleet
-from .processes import ProcessLab
+from .processes import ProcessFleet
 
 SHARES = ("served_share", "rate_limited_share")
 ALLOWED = 0.05  # of all calls: the most that a share may differ
@@ -23,7 +23,7 @@
     rows = []
     for number, seed in enumerate(seeds):
         emulated = Fleet(experiment, seed=seed, keep_trail=False).run().metrics()
-        with ProcessLab(experiment, folder / f"seed-{seed}", seed) as lab:
+        with ProcessFleet(experiment, folder / f"seed-{seed}", seed) as lab:
             played = lab.play(lambda done, number=number: progress((number + done) / len(seeds))).metrics()
         apart = {share: played[share] - emulated[share] for share in SHARES}
         rows.append(
--- a/brookhub/experiments/errors.py
+++ b/brookhub/experiments/errors.py
@@ -1,5 +1,5 @@
-"""What goes wrong in a lab."""
+"""Errors of experiments."""
 
 
-class LabError(RuntimeError):
-    """The lab can't play this: says why in one line."""
+class ExperimentError(RuntimeError):
+    """The experiment can't be run on this machine; the message says why in one line."""
--- a/brookhub/experiments/membership.py
+++ b/brookhub/experiments/membership.py
@@ -178,7 +178,7 @@
     from time import monotonic, sleep, time
 
     from ..config.models import Experiment
-    from .processes import ProcessLab
+    from .processes import ProcessFleet
 
     spec = Experiment.model_validate(
         {
@@ -215,7 +215,7 @@
         return None
 
     row = {"what": "processes", "members": limiters, "protocol": "lifeguard", "seed": seed}
-    with ProcessLab(spec, folder, seed) as lab:
+    with ProcessFleet(spec, folder, seed) as lab:
         lab.start()
         sleep(4.0)
         ways = lab.mesh.ways.values()
--- a/brookhub/experiments/plans.py
+++ b/brookhub/experiments/plans.py
@@ -15,7 +15,7 @@
 
 from ..config import Experiment
 from .maintenance import Workers
-from .processes import ProcessLab
+from .processes import ProcessFleet
 
 LIMITERS, SERVERS, GRACE, WORK = 8, 12, 1.0, 2.0  # s: from the drain's announcement to the end; of work
 LONGEST = 110.0  # s until a plan counts as one that does not end
@@ -66,8 +66,8 @@
 
 
 def play(scenario: str, most: int, folder: Path, seed: int = 1) -> dict:
-    """One plan with one fault; raises lab.processes.LabError where it can't be played."""
-    with ProcessLab(experiment(LONGEST), folder, seed) as lab:
+    """One plan with one fault; raises lab.processes.ExperimentError where it can't be played."""
+    with ProcessFleet(experiment(LONGEST), folder, seed) as lab:
         found: dict = {}
         start = lab.start
 
@@ -97,7 +97,7 @@
         }
 
 
-def run(lab: ProcessLab, scenario: str, most: int) -> dict:
+def run(lab: ProcessFleet, scenario: str, most: int) -> dict:
     """Play a plan with its fault; the figures."""
     sleep(3.0)  # until they know each other
     workers, once, began = Workers(lab, MACHINES, WORK, GRACE), threading.Event(), monotonic()
--- a/brookhub/experiments/process_faults.py
+++ b/brookhub/experiments/process_faults.py
@@ -8,14 +8,14 @@
 from ..config.models import FaultSpec
 from ..emulator.faults import pick_share
 from ..model import ServerState
-from .errors import LabError
+from .errors import ExperimentError
 from .limiter_process import Limiter
 
 RESTART_AFTER = 1.0  # s a restarted limiter is away, as in the emulator
 
 
 class ProcessFaults:
-    """Plays faults on a `processes.ProcessLab`, whose chance it uses.
+    """Plays faults on a `processes.ProcessFleet`, whose chance it uses.
 
     What takes a while runs in threads of the lab's.
     """
@@ -49,11 +49,11 @@
         }
 
     def play(self, fault: FaultSpec) -> None:
-        """Play a fault now; what ends after `for_s` is cleared then. Raises LabError."""
+        """Play a fault now; what ends after `for_s` is cleared then. Raises ExperimentError."""
         self.lab.note(f"fault {fault.action} {fault.share} for {fault.for_s} s")
         action = self.actions.get(fault.action)
         if action is None:
-            raise LabError(f"{fault.action}: not played on processes, only in the emulator")
+            raise ExperimentError(f"{fault.action}: not played on processes, only in the emulator")
         action(fault)
 
     def pick(self, items: Sequence[Any], share: float) -> list[Any]:
@@ -85,9 +85,11 @@
     # links
 
     def mesh(self, fault: FaultSpec) -> Any:
-        """The relays of the peers' datagrams. Raises LabError where there are none."""
+        """The relays of the peers' datagrams. Raises ExperimentError where there are none."""
         if not self.lab.mesh:
-            raise LabError(f"{fault.action}: the experiment's fleet has no membership, so no peer links")
+            raise ExperimentError(
+                f"{fault.action}: the experiment's fleet has no membership, so no peer links"
+            )
         return self.lab.mesh
 
     def lose_packets(self, fault: FaultSpec) -> None:
--- a/brookhub/experiments/processes.py
+++ b/brookhub/experiments/processes.py
@@ -2,7 +2,7 @@
 
 1 to 32 processes of `brookhub run` on loopback, each link relayed, faults by script, judged.
 
-`ProcessLab(experiment, folder).play()` -> Outcome. Each limiter has an address of its own (lanes.py), dials
+`ProcessFleet(experiment, folder).play()` -> Outcome. Each limiter has an address of its own (lanes.py), dials
 every server, the counter and discovery over its own relays and, with membership on, its peers over a UDP
 mesh. Ends only the processes it started, by their ids. Docs: docs/process-lab.md. Times in s (monotonic).
 """
@@ -27,7 +27,7 @@
 from ..fault_injection import Relays
 from ..model import ServerState
 from .address_pool import Lane
-from .errors import LabError
+from .errors import ExperimentError
 from .invariant_checker import Outage, Verdict, judge
 from .limiter_process import Limiter
 from .load import Load
@@ -59,7 +59,7 @@
         }
 
 
-class ProcessLab:
+class ProcessFleet:
     """Everything one run needs; a context manager that ends all it started.
 
     `source_folders`: where each limiter's process finds the package, in the order of their numbers (None: as
@@ -75,10 +75,10 @@
     ):
         fleet = experiment.fleet
         if not LEAST <= fleet.limiters <= MOST:
-            raise LabError(f"{fleet.limiters} limiters: the process lab plays {LEAST} to {MOST}")
+            raise ExperimentError(f"{fleet.limiters} limiters: the process lab plays {LEAST} to {MOST}")
         source_folders = source_folders or [None] * fleet.limiters
         if len(source_folders) != fleet.limiters:
-            raise LabError(f"{len(source_folders)} source folders for {fleet.limiters} limiters")
+            raise ExperimentError(f"{len(source_folders)} source folders for {fleet.limiters} limiters")
         soft, hard = resource.getrlimit(resource.RLIMIT_NOFILE)
         resource.setrlimit(
             resource.RLIMIT_NOFILE, (hard if hard != resource.RLIM_INFINITY else max(soft, 8192), hard)
@@ -125,7 +125,7 @@
             else None
         )
 
-    def __enter__(self) -> "ProcessLab":
+    def __enter__(self) -> "ProcessFleet":
         return self
 
     def __exit__(self, *_) -> None:
@@ -225,7 +225,7 @@
     def start(self) -> None:
         """Start every limiter and wait until all answer PING.
 
-        Raises LabError with the log of one that does not.
+        Raises ExperimentError with the log of one that does not.
         """
         for one in self.limiters:
             one.start()
@@ -233,11 +233,11 @@
             self.wait_ready(one)
 
     def wait_ready(self, one: Limiter) -> None:
-        """Wait until a limiter answers; raises LabError."""
+        """Wait until a limiter answers; raises ExperimentError."""
         end = monotonic() + READY_IN
         while not one.ready():
             if monotonic() > end or not one.alive():
-                raise LabError(f"n{one.index} did not start: {one.log_path.read_text()[-800:]}")
+                raise ExperimentError(f"n{one.index} did not start: {one.log_path.read_text()[-800:]}")
             sleep(0.05)
 
     # faults
@@ -370,7 +370,7 @@
         for thread in self.threads:
             thread.join(READY_IN)
         if self.errors:
-            raise LabError(f"a fault could not be played or cleared: {self.errors[0]}")
+            raise ExperimentError(f"a fault could not be played or cleared: {self.errors[0]}")
         return self.outcome(load, began)
 
     def hurt(self, limiter: str, ident: int, at: float) -> bool:
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -10,7 +10,7 @@
 
 import pytest
 
-from brookhub.experiments.processes import ProcessLab
+from brookhub.experiments.processes import ProcessFleet
 from helpers import Program, experiment, play_script
 
 KNOWN_RED = Path(__file__).parent.parent / "KNOWN-RED.txt"
@@ -85,7 +85,7 @@
 
     def begin(script, duration, limiters=5, servers=6, **more):
         spec = experiment(limiters=limiters, servers=servers, duration=duration, membership=True, **more)
-        lab = ProcessLab(spec, tmp_path, seed=1)
+        lab = ProcessFleet(spec, tmp_path, seed=1)
         made.append(lab)
         return play_script(lab, script)
 
--- a/tests/test_choices_processes.py
+++ b/tests/test_choices_processes.py
@@ -13,7 +13,7 @@
 from brookhub.coordination import Parts, Turns
 from brookhub.coordination.ejections import EJECTED_MOST, PROBE_AT, REPORT_TTL
 from brookhub.coordination.epoch_leases import GRACE
-from brookhub.experiments.processes import ProcessLab
+from brookhub.experiments.processes import ProcessFleet
 from brookhub.membership.core import SHRINK
 from brookhub.protocol import hosts
 from helpers import experiment, until
@@ -227,7 +227,7 @@
     # Cold for 8 s: at 2 s a machine that takes long to start eight processes finds all warm when they are
     # back, and no cold one has been used (seen: 7 of 12).
     spec = spec.model_copy(update={"fleet": spec.fleet.model_copy(update={"zones": 2})})
-    with ProcessLab(spec, tmp_path, 1) as played:
+    with ProcessFleet(spec, tmp_path, 1) as played:
         outcome = played.play()
         push = {ident: one.model.push for ident, one in played.servers.items() if one.model.push}
     assert not outcome.result.broken, outcome.result.first_break
--- a/tests/test_entry.py
+++ b/tests/test_entry.py
@@ -5,6 +5,8 @@
 
 import pytest
 
+from brookhub.cli import experiments, lab
+
 
 @pytest.mark.parametrize("arguments", [["--help"], ["run", "--help"], ["check-config", "--help"]])
 def test_the_module_and_the_command_have_one_help_text(arguments):
@@ -33,3 +35,31 @@
     completed = subprocess.run(command, stdin=subprocess.DEVNULL, capture_output=True, text=True)
     assert completed.returncode == 0 and completed.stdout == ""
     assert completed.stderr.splitlines() == ["brookhub.drill: deprecated, use `python -m brookhub.simulator`"]
+
+
+def run_cli(*arguments):
+    command = [sys.executable, "-m", "brookhub", *arguments]
+    return subprocess.run(command, capture_output=True, text=True)
+
+
+@pytest.mark.parametrize(
+    "arguments, exit_code",
+    [
+        (["plans", "--scenario", "none of them"], 2),
+        (["sweep", "missing.toml"], 2),
+        (["check", "--seconds", "20", "--depth", "2", "--deviations", "0"], 0),
+        (["check", "--help"], 0),
+    ],
+)
+def test_the_former_group_name_lab_works_with_one_warning_line(arguments, exit_code):
+    current = run_cli("experiments", *arguments)
+    former = run_cli("lab", *arguments)
+    assert former.returncode == current.returncode == exit_code
+    usage = ("Usage: brookhub lab", "Usage: brookhub experiments")
+    assert former.stdout.replace(*usage) == current.stdout
+    warning = "brookhub lab: deprecated, use `brookhub experiments`"
+    assert former.stderr.splitlines() == [warning, *current.stderr.splitlines()]
+
+
+def test_the_former_group_name_has_every_command_of_the_current_one():
+    assert lab.commands == experiments.commands and len(experiments.commands) == 11
--- a/tests/test_lab.py
+++ b/tests/test_experiments.py
@@ -70,7 +70,7 @@
     assert len(rows) == 4 and len({row["key"] for row in rows}) == 4
     assert all(row["metrics"]["digest"] == first[row["key"]] for row in rows if row["key"] in first)
     assert sweep.sweep(spec, tmp_path, processes=1) == 0
-    ran = CliRunner().invoke(main, ["lab", "plot", str(tmp_path)])
+    ran = CliRunner().invoke(main, ["experiments", "plot", str(tmp_path)])
     assert ran.exit_code == 0 and (tmp_path / "plot.png").stat().st_size > 10_000
 
 
--- a/tests/test_limiter_process.py
+++ b/tests/test_limiter_process.py
@@ -2,9 +2,9 @@
 
 import pytest
 
-from brookhub.experiments.errors import LabError
+from brookhub.experiments.errors import ExperimentError
 from brookhub.experiments.limiter_process import Limiter
-from brookhub.experiments.processes import ProcessLab
+from brookhub.experiments.processes import ProcessFleet
 from helpers import experiment, until
 
 
@@ -51,5 +51,5 @@
 
 
 def test_a_lab_wants_a_source_folder_for_each_limiter(tmp_path):
-    with pytest.raises(LabError, match="1 source folders for 2 limiters"):
-        ProcessLab(experiment(limiters=2), tmp_path, seed=1, source_folders=[tmp_path])
+    with pytest.raises(ExperimentError, match="1 source folders for 2 limiters"):
+        ProcessFleet(experiment(limiters=2), tmp_path, seed=1, source_folders=[tmp_path])
--- a/tests/test_processes.py
+++ b/tests/test_processes.py
@@ -16,10 +16,10 @@
 
 from brookhub.emulator.world import ServerModel
 from brookhub.experiments.address_pool import LANES, Lane
-from brookhub.experiments.errors import LabError
+from brookhub.experiments.errors import ExperimentError
 from brookhub.experiments.invariant_checker import Outage, judge
 from brookhub.experiments.load import Asked, Load
-from brookhub.experiments.processes import ProcessLab
+from brookhub.experiments.processes import ProcessFleet
 from brookhub.fakes import FakeListener, ModelServer, Timers, read_value
 from brookhub.fakes.server import Seen
 from brookhub.model import ServerState
@@ -117,7 +117,7 @@
 
 
 def play(tmp_path, spec, seed=1):
-    with ProcessLab(spec, tmp_path, seed) as lab:
+    with ProcessFleet(spec, tmp_path, seed) as lab:
         outcome = lab.play()
         outcome.seen = lab.seen
         pids = [one.process.pid for one in lab.limiters]
@@ -166,11 +166,11 @@
 
 
 def test_what_the_lab_cannot_play_is_told_in_one_line(tmp_path):
-    with pytest.raises(LabError, match="33 limiters: the process lab plays 1 to 32"):
-        ProcessLab(experiment(limiters=33), tmp_path)
+    with pytest.raises(ExperimentError, match="33 limiters: the process lab plays 1 to 32"):
+        ProcessFleet(experiment(limiters=33), tmp_path)
     with (
-        ProcessLab(experiment(limiters=1), tmp_path) as lab,
-        pytest.raises(LabError, match="no membership, so no peer links"),
+        ProcessFleet(experiment(limiters=1), tmp_path) as lab,
+        pytest.raises(ExperimentError, match="no membership, so no peer links"),
     ):
         lab.faults.play(experiment(faults=[{"at_s": 0, "action": "split_limiters"}]).faults[0])
 
--- a/tests/test_recovery_processes.py
+++ b/tests/test_recovery_processes.py
@@ -9,7 +9,7 @@
 import pytest
 
 from brookhub.config import ConfigError, Experiment, RecoveryFile, loads
-from brookhub.experiments.processes import ProcessLab
+from brookhub.experiments.processes import ProcessFleet
 from brookhub.experiments.recovery import Debt, bound
 from brookhub.recovery import scan
 from helpers import play_script, until
@@ -85,7 +85,7 @@
     made = []
 
     def begin(experiment, script):
-        lab = ProcessLab(experiment, tmp_path, seed=1)
+        lab = ProcessFleet(experiment, tmp_path, seed=1)
         made.append(lab)
         outcome = play_script(lab, script)
         debts, plan = {}, experiment.fleet.plans[0]
