--- a/benchmarks/rolling_upgrade.py
+++ b/benchmarks/rolling_upgrade.py
@@ -243,7 +243,7 @@
         """In one window: limiters that sent nothing or outside their subset; how many servers each used."""
         since = monotonic()
         sleep(STEADY_S)
-        seen = [attempt for attempt in list(self.lab.seen) if attempt.at >= since]
+        seen = [attempt for attempt in list(self.lab.seen) if attempt.arrived_at >= since]
         wrong, sizes = [], []
         for limiter in self.lab.limiters:
             used = {attempt.server for attempt in seen if attempt.limiter == limiter.address}
@@ -271,7 +271,7 @@
         since = monotonic() - STEADY_S
         users: dict[int, set[str]] = {}
         for attempt in list(self.lab.seen):
-            if attempt.at >= since and attempt.server not in PLANNED_SERVERS:
+            if attempt.arrived_at >= since and attempt.server not in PLANNED_SERVERS:
                 users.setdefault(attempt.server, set()).add(attempt.limiter)
         return max(users, key=lambda server: len(users[server]))
 
--- a/brookhub/experiments/invariant_checker.py
+++ b/brookhub/experiments/invariant_checker.py
@@ -9,12 +9,12 @@
 from dataclasses import dataclass, field
 
 from ..config.models import Experiment
-from ..fakes.server import Seen
+from ..fakes import AttemptEnd, ServerAttempt
 from .load import Asked
 
 # Seconds beyond a time limit: 50 ms of the protocol page, the rest for this machine's threads under load
 SLACK = 0.25
-RAN_NOT = ("turned away",)  # ends of a try that prove that nothing ran
+RAN_NOT = (AttemptEnd.REJECTED,)  # ends of a try that prove that nothing ran
 
 
 @dataclass
@@ -63,7 +63,7 @@
 def judge(
     experiment: Experiment,
     asked: list[Asked],
-    seen: list[Seen],
+    seen: list[ServerAttempt],
     outages: list[Outage],
     falls: int,
     zones: dict[int, tuple[int, int]],
@@ -82,15 +82,15 @@
         answers(one, outages, verdict)
         if one.answers and one.answers[0][1] == "proxied":
             verdict.use[one.customer] = verdict.use.get(one.customer, 0.0) + 1.0
-    tries: dict[int, list[Seen]] = defaultdict(list)
-    for one in sorted(seen, key=lambda one: one.at):
-        tries[one.call].append(one)
-        if one.drained_for is not None and one.drained_for > fleet.grace_s + SLACK:
+    tries: dict[int, list[ServerAttempt]] = defaultdict(list)
+    for one in sorted(seen, key=lambda one: one.arrived_at):
+        tries[one.request].append(one)
+        if one.draining_for is not None and one.draining_for > fleet.grace_s + SLACK:
             verdict.broken[3].append(
-                f"call {one.call} sent to server {one.server}, drained {one.drained_for:.2f} s before"
+                f"call {one.request} sent to server {one.server}, drained {one.draining_for:.2f} s before"
             )
-        if one.cold:
-            key = (one.server, int(one.at - began))
+        if one.warming_up:
+            key = (one.server, int(one.arrived_at - began))
             verdict.cold[key] = verdict.cold.get(key, 0) + 1
     for ident, own in tries.items():
         if ident in calls:
@@ -106,7 +106,10 @@
                 and call.sent - SLACK <= one.since <= call.again
             ]
             for asking in (
-                ([one for one in own if one.at < call.again], [one for one in own if one.at >= call.again])
+                (
+                    [one for one in own if one.arrived_at < call.again],
+                    [one for one in own if one.arrived_at >= call.again],
+                )
                 if killed
                 else (own,)
             ):
@@ -133,20 +136,20 @@
             verdict.broken[1].append(f"call {one.id} lost by n{one.limiter} ({one.end})")
 
 
-def history(call: Asked, tries: list[Seen]) -> str:
+def history(call: Asked, tries: list[ServerAttempt]) -> str:
     """A request as its client and its servers saw it, in s after it was sent."""
     answers = [f"{how} at {at - call.sent:.3f}" for at, how in call.answers]
     again = f", asked again at {call.again - call.sent:.3f}" if call.again else ""
     seen = [
-        f"server {one.server} from {one.limiter} at {one.at - call.sent:.3f}: {one.how}, "
-        f"{'ran' if one.ran else 'did not run'}, over at {one.ended - call.sent:.3f}"
+        f"server {one.server} from {one.limiter} at {one.arrived_at - call.sent:.3f}: {one.end}, "
+        f"{'ran' if one.executed else 'did not run'}, over at {one.ended_at - call.sent:.3f}"
         for one in tries
     ]
     return f"n{call.limiter}{again}, {', '.join(answers)}; {'; '.join(seen)}"
 
 
 def repeats(
-    experiment: Experiment, call: Asked, tries: list[Seen], zones: dict, verdict: Verdict, hurt
+    experiment: Experiment, call: Asked, tries: list[ServerAttempt], zones: dict, verdict: Verdict, hurt
 ) -> None:
     """Rule 2: no effect twice; one try out where second copies are off.
 
@@ -154,12 +157,12 @@
     """
     fleet, broken = experiment.fleet, verdict.broken[2]
     route = fleet.routes[call.route]
-    ran: list[Seen] = []
+    ran: list[ServerAttempt] = []
     for one in tries:
         if not fleet.second_copies:
             for before in tries[: tries.index(one)]:
-                out = before.how is None or before.ended > one.at + SLACK
-                if out and not hurt(before.limiter, before.server, one.at):
+                out = before.end is None or before.ended_at > one.arrived_at + SLACK
+                if out and not hurt(before.limiter, before.server, one.arrived_at):
                     broken.append(
                         f"call {call.id}: a second try out at server {one.server} beside {before.server}"
                     )
@@ -169,13 +172,13 @@
             )
         elif ran and route.repeat == "tokened":
             first = ran[0]
-            if one.at > first.at + route.window_s + SLACK:
+            if one.arrived_at > first.arrived_at + route.window_s + SLACK:
                 broken.append(f"tokened call {call.id} repeated after its window: a second effect")
             elif route.group == "zone" and zones[one.server][0] != zones[first.server][0]:
                 broken.append(f"tokened call {call.id} repeated outside its zone: a second effect")
             elif route.group == "cell" and zones[one.server] != zones[first.server]:
                 broken.append(f"tokened call {call.id} repeated outside its cell: a second effect")
-        if one.how not in RAN_NOT:
+        if one.end not in RAN_NOT:
             ran.append(one)
     safe = route.repeat == "idempotent" or (route.repeat == "tokened" and route.group == "all")
     if ran and not safe and call.answers and call.answers[0][1] == "rate-limited":
--- a/brookhub/experiments/load.py
+++ b/brookhub/experiments/load.py
@@ -15,7 +15,7 @@
 from time import monotonic, sleep
 
 from ..config.models import Experiment
-from ..fakes.base import read_value
+from ..fakes import read_value
 from ..protocol import resp
 from ..site import Idempotency
 
--- a/brookhub/experiments/membership.py
+++ b/brookhub/experiments/membership.py
@@ -218,7 +218,7 @@
     with ProcessFleet(spec, folder, seed) as lab:
         lab.start()
         sleep(4.0)
-        ways = lab.mesh.ways.values()
+        ways = lab.mesh.directions.values()
         before = (sum(way.packets for way in ways), sum(way.bytes for way in ways))
         sleep(quiet_s)
         datagrams, size = (
@@ -244,7 +244,7 @@
         lab.split([], False)
         row["agree_s"] = reached(lambda line: line["present"] == limiters, lab.limiters)
         sleep(2.0)
-        lab.mesh.every(loss=0.1, duplicate=0.1, reorder=0.1)
+        lab.mesh.set_all(loss=0.1, duplicate=0.1, reorder=0.1)
         began = time()
         sleep(loss_s)
         row["false"] = sum(
--- a/brookhub/experiments/plans.py
+++ b/brookhub/experiments/plans.py
@@ -114,7 +114,7 @@
         elif scenario == "stopped past its lease":
             lab.stall(limiter, 6.0)
         elif scenario == "cut one way":
-            ways = [way for way in lab.mesh.ways if way[0] == f"n{limiter.index}"]
+            ways = [way for way in lab.mesh.directions if way[0] == f"n{limiter.index}"]
             for way in ways:
                 lab.mesh.set(*way, cut=True)
             sleep(8.0)
--- a/brookhub/experiments/process_faults.py
+++ b/brookhub/experiments/process_faults.py
@@ -95,14 +95,14 @@
     def lose_packets(self, fault: FaultSpec) -> None:
         """Datagrams between limiters are lost, doubled and reordered."""
         mesh = self.mesh(fault)
-        mesh.every(loss=fault.share, duplicate=fault.share, reorder=fault.share)
+        mesh.set_all(loss=fault.share, duplicate=fault.share, reorder=fault.share)
         self.lab.after(fault.for_s, mesh.clear)
 
     def cut_peers(self, fault: FaultSpec) -> None:
         """Datagrams do not pass between two sides, or one way only."""
         mesh = self.mesh(fault)
         side = {f"n{one.index}" for one in self.pick(self.lab.limiters, fault.share)}
-        for (a, b), way in mesh.ways.items():
+        for (a, b), way in mesh.directions.items():
             out, into = a in side and b not in side, b in side and a not in side
             if (out and fault.way != "back") or (into and fault.way != "forward"):
                 way.set(cut=True)
@@ -176,5 +176,5 @@
         """Answers of servers and counter get lost for a while."""
         hit = [self.lab.counter, *self.lab.servers.values()]
         for one in hit:
-            one.lost = fault.share
-        self.lab.after(fault.for_s, lambda: [setattr(one, "lost", 0.0) for one in hit])
+            one.answer_loss = fault.share
+        self.lab.after(fault.for_s, lambda: [setattr(one, "answer_loss", 0.0) for one in hit])
--- a/brookhub/experiments/processes.py
+++ b/brookhub/experiments/processes.py
@@ -109,11 +109,11 @@
         ]
         self.links: dict[tuple[str, int], object] = {}  # (limiter's address, server) -> TcpLink
         self.counter_links = {
-            one.address: self.relays.tcp(f"counter/{one.index}", self.counter.at, one.address)
+            one.address: self.relays.tcp(f"counter/{one.index}", self.counter.endpoint, one.address)
             for one in self.limiters
         }
         self.discovery_links = {
-            one.address: self.relays.tcp(f"discovery/{one.index}", self.discovery.at, one.address)
+            one.address: self.relays.tcp(f"discovery/{one.index}", self.discovery.endpoint, one.address)
             for one in self.limiters
         }
         for ident in self.servers:
@@ -147,7 +147,7 @@
         """A relay from each limiter to a server."""
         for one in self.limiters:
             self.links[one.address, ident] = self.relays.tcp(
-                f"n{one.index}/s{ident}", self.servers[ident].at, one.address
+                f"n{one.index}/s{ident}", self.servers[ident].endpoint, one.address
             )
 
     def dial_of(self, limiter: str, name: str) -> str:
@@ -312,14 +312,14 @@
         """Servers are back, and cold."""
         now = monotonic()
         for ident in idents:
-            self.servers[ident].back(now)
+            self.servers[ident].revive(now)
             self.servers[ident].model.state, self.servers[ident].model.drained_at = ServerState.READY, None
             for one in self.limiters:
                 self.links[one.address, ident].clear()
         self.discovery.hosts = [
             self.entry(one) for one in self.servers.values() if one.model.state is ServerState.READY
         ]
-        self.discovery.tell(*[self.entry(self.servers[ident]) for ident in idents])
+        self.discovery.push(*[self.entry(self.servers[ident]) for ident in idents])
 
     def drain(self, idents: list[int]) -> None:
         """Servers begin to drain."""
@@ -329,7 +329,7 @@
         self.discovery.hosts = [
             self.entry(one) for one in self.servers.values() if one.model.state is ServerState.READY
         ]
-        self.discovery.tell(*[self.entry(self.servers[ident], "Terminating") for ident in idents])
+        self.discovery.push(*[self.entry(self.servers[ident], "Terminating") for ident in idents])
 
     def gone(self, idents: list[int], replace: bool) -> None:
         """Servers are gone, and others take their places where that is asked."""
@@ -343,7 +343,7 @@
         self.discovery.hosts = [
             self.entry(one) for one in self.servers.values() if one.model.state is ServerState.READY
         ]
-        self.discovery.tell(
+        self.discovery.push(
             *[self.entry(self.servers[ident], "Gone") for ident in idents],
             *[self.entry(self.servers[ident]) for ident in fresh],
         )
@@ -407,7 +407,11 @@
                 result.left += 1
             else:
                 result.lost += 1
-        result.tries, result.counter_calls, result.cold_falls = len(self.seen), self.counter.asked, falls
+        result.tries, result.counter_calls, result.cold_falls = (
+            len(self.seen),
+            self.counter.request_count,
+            falls,
+        )
         result.broken, result.first_break = verdict.counts(), verdict.first()
         result.wall_s = monotonic() - began
         overs = []
@@ -422,7 +426,7 @@
                 result.ceiling_overshoot = max(result.ceiling_overshoot, over)
         result.quota_overshoot = sum(overs) / len(overs) if overs else 0.0
         result.worst_overshoot = max(overs, default=0.0)
-        noise = {"arrivals_late_s": round(load.late, 4), "timers_late_s": round(self.timers.latest, 4)}
+        noise = {"arrivals_late_s": round(load.late, 4), "timers_late_s": round(self.timers.max_delay, 4)}
         return Outcome(result, verdict, noise)
 
     def close(self) -> None:
--- a/brookhub/fakes/counter.py
+++ b/brookhub/fakes/counter.py
@@ -1,89 +1,133 @@
-"""A shared counter on loopback: ADDGET NAME AMOUNT LIVES over RESP2, with fault controls."""
+"""A fake of the shared counter: `ADDGET NAME AMOUNT LIFETIME_MS` over RESP2, with faults."""
 
 from __future__ import annotations
 
 import random
+import socket
 import threading
 import time
+from collections.abc import Callable
+from enum import StrEnum
 from time import monotonic
+from typing import BinaryIO
 
-from ..emulator.world import Keeper
-from .base import FakeListener, read_value
+from ..emulator.world import Keeper as CounterInstance
+from .listener import ANY_LOOPBACK_PORT, Endpoint, FakeListener
+from .resp import read_command
+
+PONG = b"+PONG\r\n"
+BUSY = b"-BUSY\r\n"
+NONSENSE = b"$3\r\nfoo\r\n"
+
+
+class CounterMode(StrEnum):
+    """How the counter answers."""
+
+    OK = "ok"
+    BUSY = "busy"
+    SILENT = "silent"
+    NONSENSE = "nonsense"
+    CLOSE = "close"
+
+
+def first_instance(limiter: str) -> int:
+    """The instance that a limiter reaches while there is one."""
+    return 0
 
 
 class FakeCounter(FakeListener):
-    """A counter. `mode`: ok, busy, silent, nonsense or close; `delay` s before each answer.
+    """The counter. `mode` may be set at any time; `delay` (s) passes before each answer.
 
-    `split()` gives the limiters (by their address, `side`) different keepers; `wipe()` empties all, `lose()`
-    a share of the names; `swap()` puts an empty keeper in its place and `restore()` the old one back; `lost`
-    is the share of answers that never come.
+    `answer_loss` is the share of answers that are lost, though the amount was added. `lock` guards
+    `instances`, `instance_of`, `set_aside` and `request_count`.
     """
 
-    def __init__(self, at: tuple[str, int] = ("127.0.0.1", 0), delay: float = 0.0):
-        self.lost, self.rng, self.aside = 0.0, random.Random(1), None
-        self.mode, self.asked, self.delay, self.lock = "ok", 0, delay, threading.Lock()
-        self.keepers, self.side = [Keeper()], lambda limiter: 0
-        super().__init__(at)
+    def __init__(self, endpoint: Endpoint = ANY_LOOPBACK_PORT, delay: float = 0.0) -> None:
+        self.mode = CounterMode.OK
+        self.delay = delay
+        self.answer_loss = 0.0
+        self.random = random.Random(1)
+        self.lock = threading.Lock()
+        self.request_count = 0
+        self.instances = [CounterInstance()]
+        self.instance_of: Callable[[str], int] = (
+            first_instance  # limiter's IP address -> index of its instance
+        )
+        self.set_aside: list[CounterInstance] | None = None  # the instances from before `swap`
+        super().__init__(endpoint)
 
     @property
-    def totals(self) -> dict:
-        """All totals of the first keeper (units), by name as sent, dead ones included."""
-        return {name: held[0] for name, held in self.keepers[0].counts.items()}
+    def totals(self) -> dict[bytes, float]:
+        """All totals of the first instance (units), by name as sent, expired ones included."""
+        counts = self.instances[0].counts.items()
+        return {name: count[0] for name, count in counts}  # type: ignore[misc]  # the emulator's names are ints
 
     def wipe(self) -> None:
         """Forget all counts."""
         with self.lock:
-            for keeper in self.keepers:
-                keeper.counts.clear()
+            for instance in self.instances:
+                instance.counts.clear()
 
     def lose(self, share: float) -> None:
-        """Forget a share of the counts."""
+        """Forget a random share of the counts."""
         with self.lock:
-            for keeper in self.keepers:
-                for name in self.rng.sample(list(keeper.counts), round(share * len(keeper.counts))):
-                    del keeper.counts[name]
+            for instance in self.instances:
+                names = list(instance.counts)
+                for name in self.random.sample(names, round(share * len(names))):
+                    del instance.counts[name]
 
     def swap(self) -> None:
-        """An empty counter takes its place."""
+        """Put an empty counter in place of this one; `restore` undoes it."""
         with self.lock:
-            self.aside, self.keepers = self.keepers, [Keeper() for _ in self.keepers]
+            self.set_aside = self.instances
+            self.instances = [CounterInstance() for _ in self.instances]
 
     def restore(self) -> None:
-        """The one before is back."""
+        """Put the counter from before `swap` back."""
         with self.lock:
-            self.keepers, self.aside = self.aside or self.keepers, None
+            self.instances = self.set_aside or self.instances
+            self.set_aside = None
 
-    def split(self, side) -> None:
-        """From now on limiters with `side(address)` 1 see a second, empty keeper; `heal` drops it."""
+    def split(self, instance_of: Callable[[str], int]) -> None:
+        """Add a second, empty instance: `instance_of` says which one a limiter (IP address) reaches."""
         with self.lock:
-            self.keepers, self.side = [self.keepers[0], Keeper()], side
+            self.instances = [self.instances[0], CounterInstance()]
+            self.instance_of = instance_of
 
     def heal(self) -> None:
-        """One counter again, the first."""
+        """End a split: the first instance serves all limiters again, the second is dropped."""
         with self.lock:
-            self.keepers, self.side = [self.keepers[0]], lambda limiter: 0
+            self.instances = [self.instances[0]]
+            self.instance_of = first_instance
 
-    def serve(self, conn, lines):
-        """Answer the calls on a connection."""
-        limiter = conn.getpeername()[0]
+    def serve(self, connection: socket.socket, lines: BinaryIO) -> None:
+        """Answer the commands of a connection."""
+        limiter = connection.getpeername()[0]
         while True:
-            words = read_value(lines)
-            if self.mode == "close":
+            command = read_command(lines)
+            if self.mode == CounterMode.CLOSE:
                 return
-            if words[0] == b"PING":
-                answer = b"+PONG\r\n"
-            else:
-                with self.lock:
-                    self.asked += 1
-                    keeper = self.keepers[self.side(limiter)]
-                    total = keeper.add(words[1], float(words[2]), float(words[3]) / 1000, monotonic())
-                answer = {
-                    "ok": b"$%d\r\n%b\r\n" % (len(b"%.7g" % total), b"%.7g" % total),
-                    "busy": b"-BUSY\r\n",
-                    "nonsense": b"$3\r\nfoo\r\n",
-                    "silent": b"",
-                }.get(self.mode, b"")
+            answer = PONG if command[0] == b"PING" else self.add(limiter, command)
             if self.delay:
                 time.sleep(self.delay)
-            if self.mode != "silent" and not (self.lost and self.rng.random() < self.lost):
-                conn.sendall(answer)
+            if self.mode != CounterMode.SILENT and not self.loses_answer():
+                connection.sendall(answer)
+
+    def add(self, limiter: str, command: list[bytes]) -> bytes:
+        """Add what an ADDGET says; returns the answer of the current mode."""
+        _, name, amount, lifetime_ms = command[:4]
+        with self.lock:
+            self.request_count += 1
+            instance = self.instances[self.instance_of(limiter)]
+            lifetime = float(lifetime_ms) / 1000
+            total = instance.add(name, float(amount), lifetime, monotonic())  # type: ignore[arg-type]  # as above
+        if self.mode == CounterMode.BUSY:
+            return BUSY
+        if self.mode == CounterMode.NONSENSE:
+            return NONSENSE
+        text = b"%.7g" % total
+        return b"$%d\r\n%b\r\n" % (len(text), text)
+
+    def loses_answer(self) -> bool:
+        """Draw whether an answer is lost."""
+        return self.answer_loss > 0 and self.random.random() < self.answer_loss
--- a/brookhub/fakes/discovery.py
+++ b/brookhub/fakes/discovery.py
@@ -1,93 +1,114 @@
-"""Discovery on loopback: the server list and its changes, as chunked HTTP/1.1."""
+"""A fake of discovery: the endpoint list and its watch events, as chunked HTTP/1.1."""
 
 from __future__ import annotations
 
 import contextlib
 import json
+import socket
 import time
+from collections.abc import Callable, Iterable, Sequence
+from typing import Any, BinaryIO
 
-from .base import FakeListener
+from .listener import ANY_LOOPBACK_PORT, FakeListener
 
-BEAT = 0.5  # s between empty lines while nothing changes
+KEEPALIVE_INTERVAL = 0.5  # s between empty lines on a watch
+FIRST_VERSION = 41
+
+Host = dict[str, Any]  # a server as discovery's JSON describes it; made by `host`
+DialAddress = Callable[[str, str], str]  # (limiter's IP address, server's name) -> "host:port"
+
+
+def host(
+    name: str, address: str, health: str = "Ready", born_ms: int = 0, zone: str = "a", cell: int = 1
+) -> Host:
+    """A server as discovery's JSON describes it; `born_ms` in Unix time, 0 for long ago."""
+    return {
+        "host": name,
+        "dial": address,
+        "site": zone,
+        "class": "m",
+        "block": cell,
+        "health": health,
+        "share": 1.0,
+        "born_ms": born_ms,
+    }
 
 
 class FakeDiscovery(FakeListener):
-    """Discovery. `tell` sends text as a chunk to all that watch; a watch begins with the whole list.
+    """Discovery. A watch begins with the complete endpoint list; `push` sends events to all watches.
 
-    `dial(limiter, host)` may give each limiter (its address) another address of a host, as links need it.
+    `dial(limiter, server)` may give each limiter another address of a server, as relayed links need it.
     `indent` is that of the JSON text (None: one line), `cut` sends each byte by itself, `chunked` False an
-    answer of no stated length. The calls that come first are answered with the heads in `refusals` and
-    closed.
+    answer of no stated length. The first requests are answered with the heads in `refusals` and closed.
+    `requests` holds the request lines; `quiet` stops the keepalive lines.
     """
 
     def __init__(
         self,
-        hosts,
-        at: tuple[str, int] = ("127.0.0.1", 0),
-        dial=None,
+        hosts: Sequence[Host],
+        dial: DialAddress | None = None,
+        *,
         indent: int | None = None,
         cut: bool = False,
         chunked: bool = True,
-        refusals: tuple[bytes, ...] = (),
-    ):
-        self.hosts, self.seq, self.asked, self.quiet, self.dial = hosts, 41, [], False, dial
-        self.indent, self.cut, self.chunked, self.refusals = indent, cut, chunked, list(refusals)
-        super().__init__(at)
-
-    def seen_from(self, limiter: str, hosts) -> list[dict]:
-        """Hosts as a limiter is to dial them."""
-        return (
-            [{**one, "dial": self.dial(limiter, one["host"])} for one in hosts] if self.dial else list(hosts)
-        )
-
-    def whole(self, limiter: str = "") -> str:
-        """The whole list as a line."""
-        return self.text(True, self.seen_from(limiter, self.hosts))
-
-    def text(self, whole: bool, hosts: list[dict]) -> str:
-        """A list, whole or of changes, as a line."""
-        return json.dumps({"seq": self.seq, "whole": whole, "hosts": hosts}, indent=self.indent)
-
-    def serve(self, conn, lines):
-        """Answer a watch."""
-        self.asked.append(lines.readline())
+        refusals: Iterable[bytes] = (),
+    ) -> None:
+        self.hosts = hosts
+        self.dial = dial
+        self.indent = indent
+        self.cut = cut
+        self.chunked = chunked
+        self.refusals = list(refusals)
+        self.version = FIRST_VERSION
+        self.requests: list[bytes] = []
+        self.quiet = False
+        super().__init__(ANY_LOOPBACK_PORT)
+
+    def hosts_for(self, limiter: str, hosts: Sequence[Host]) -> list[Host]:
+        """Servers with the addresses at which a limiter reaches them."""
+        if self.dial is None:
+            return list(hosts)
+        return [{**server, "dial": self.dial(limiter, server["host"])} for server in hosts]
+
+    def complete_list(self, limiter: str = "") -> str:
+        """The complete endpoint list for a limiter, as JSON."""
+        return self.event(True, self.hosts_for(limiter, self.hosts))
+
+    def event(self, complete: bool, hosts: Sequence[Host]) -> str:
+        """A watch event as JSON: the complete list, or the changed servers alone."""
+        return json.dumps({"seq": self.version, "whole": complete, "hosts": hosts}, indent=self.indent)
+
+    def serve(self, connection: socket.socket, lines: BinaryIO) -> None:
+        """Answer a watch, until its client ends it."""
+        self.requests.append(lines.readline())
         while lines.readline().strip():
-            pass
+            pass  # the head of the request
         if self.refusals:
-            return conn.sendall(self.refusals.pop(0))
+            connection.sendall(self.refusals.pop(0))
+            return
         encoding = b"Transfer-Encoding: chunked\r\n" if self.chunked else b""
-        conn.sendall(b"HTTP/1.1 200 OK\r\n%b\r\n" % encoding)
-        self.send(conn, self.whole(conn.getpeername()[0]))
+        connection.sendall(b"HTTP/1.1 200 OK\r\n%b\r\n" % encoding)
+        self.send(connection, self.complete_list(connection.getpeername()[0]))
         while not lines.closed:
-            time.sleep(BEAT)
+            time.sleep(KEEPALIVE_INTERVAL)
             if not self.quiet:
-                self.send(conn, "")
+                self.send(connection, "")
 
-    def send(self, conn, text):
+    def send(self, connection: socket.socket, text: str) -> None:
         """Write a line to a watch."""
         data = text.encode() + b"\n"
-        data = b"%x\r\n%b\r\n" % (len(data), data) if self.chunked else data
-        for piece in (data[at : at + 1] for at in range(len(data))) if self.cut else (data,):
-            conn.sendall(piece)
-
-    def tell(self, *hosts, text=None):
-        """Send a change (hosts as `host` makes them), or `text` as it is, to all that watch."""
-        self.seq += 1
-        for conn in list(self.open):
+        if self.chunked:
+            data = b"%x\r\n%b\r\n" % (len(data), data)
+        if not self.cut:
+            connection.sendall(data)
+            return
+        for byte in data:
+            connection.sendall(bytes([byte]))
+
+    def push(self, *hosts: Host, text: str | None = None) -> None:
+        """Send changed servers, or `text` as it is, to all watches."""
+        self.version += 1
+        for connection in list(self.connections):
             with contextlib.suppress(OSError):
-                told = self.seen_from(conn.getpeername()[0], hosts)
-                self.send(conn, text or self.text(False, told))
-
-
-def host(name, address, health="Ready", born=0, zone="a", cell=1):
-    """A server as discovery words it; `born` in Unix ms, 0 for long ago."""
-    return {
-        "host": name,
-        "dial": address,
-        "site": zone,
-        "class": "m",
-        "block": cell,
-        "health": health,
-        "share": 1.0,
-        "born_ms": born,
-    }
+                changed = self.hosts_for(connection.getpeername()[0], hosts)
+                self.send(connection, text or self.event(False, changed))
--- /dev/null
+++ b/brookhub/fakes/model_server.py
@@ -0,0 +1,252 @@
+"""A fake upstream server that behaves as the emulator's model of one."""
+
+from __future__ import annotations
+
+import contextlib
+import random
+import socket
+import threading
+from collections import deque
+from dataclasses import dataclass
+from enum import StrEnum
+from time import monotonic
+from typing import BinaryIO
+
+from ..emulator.world import ServerModel
+from ..fault_injection import reserve
+from ..model import ServerState
+from .listener import ANY_LOOPBACK_PORT, Endpoint, FakeListener, reset
+from .resp import read_command
+from .timers import Timers
+
+PONG = b"+PONG\r\n"
+REJECTION = b"-BUSY\r\n"
+FAILURE = b"-ERR failed\r\n"
+
+
+class AttemptEnd(StrEnum):
+    """How an attempt ended at its server."""
+
+    ANSWERED = "answered"
+    FAILED = "failed"
+    LOST = "lost"  # the work was done, the answer was lost
+    REJECTED = "rejected"  # no capacity, or not ready: nothing ran
+    ABANDONED = "abandoned"  # the limiter closed the connection
+    RESET = "reset"  # the server collapsed or died
+
+
+@dataclass(eq=False)
+class ServerAttempt:
+    """An attempt as its server recorded it. Times in s (monotonic).
+
+    `limiter` is an IP address; `draining_for` the time since the server began to drain, None if it did not;
+    `warming_up` whether it was in its slow start; `executed` whether work began; `end` is None until the
+    attempt ends.
+    """
+
+    arrived_at: float
+    server: int
+    limiter: str
+    request: int
+    customer: int
+    route: str
+    idempotency_key: bytes
+    warming_up: bool
+    draining_for: float | None
+    executed: bool = False
+    end: AttemptEnd | None = None
+    ended_at: float = 0.0
+
+    def finish(self, end: AttemptEnd, now: float) -> None:
+        """Record the end."""
+        self.end = end
+        self.ended_at = now
+
+
+@dataclass(eq=False, kw_only=True)
+class ConnectedAttempt(ServerAttempt):
+    """An attempt with the connection on which it is answered."""
+
+    connection: socket.socket
+
+
+class ModelServer(FakeListener):
+    """A server with the emulator's model: capacity, queue, service time, slow start with collapse, modes.
+
+    Modes as in emulator.world: ok, slow, failing, silent (takes up capacity, never answers), dead (refuses
+    connections). `attempts` (servers may share it) gets every attempt that arrived complete. `answer_loss` is
+    the share of answers that are lost after the work was done. `lock` guards `active`, `waiting` and
+    the model's counts.
+    """
+
+    def __init__(
+        self,
+        model: ServerModel,
+        timers: Timers,
+        rng: random.Random,
+        attempts: list[ServerAttempt],
+        endpoint: Endpoint = ANY_LOOPBACK_PORT,
+    ) -> None:
+        self.model = model
+        self.timers = timers
+        self.rng = rng
+        self.attempts = attempts
+        self.answer_loss = 0.0
+        self.lock = threading.Lock()
+        self.active: set[ConnectedAttempt] = set()
+        self.waiting: deque[ConnectedAttempt] = deque()
+        super().__init__(endpoint)
+
+    def serve(self, connection: socket.socket, lines: BinaryIO) -> None:
+        """Receive the attempts of a connection."""
+        limiter = connection.getpeername()[0]
+        try:
+            while True:
+                command = read_command(lines)
+                if command[0] == b"PING":
+                    connection.sendall(PONG)
+                else:
+                    self.receive(self.parse(command, limiter, connection))
+        finally:
+            self.abandon(connection)
+
+    def parse(self, command: list[bytes], limiter: str, connection: socket.socket) -> ConnectedAttempt:
+        """The record of an attempt that arrives now."""
+        _, customer, request, options = command[:4]
+        fields = dict(option.split(b"=", 1) for option in options.split(b","))
+        now = monotonic()
+        drained_at = self.model.drained_at
+        return ConnectedAttempt(
+            arrived_at=now,
+            server=self.model.id,
+            limiter=limiter,
+            request=int(request, 16),
+            customer=int(customer, 16),
+            route=fields[b"c"].decode(),
+            idempotency_key=fields.get(b"k", b""),
+            warming_up=self.model.cold(now),
+            draining_for=None if drained_at is None else now - drained_at,
+            connection=connection,
+        )
+
+    def receive(self, attempt: ConnectedAttempt) -> None:
+        """Start an attempt, queue it, or reject it; each one may collapse a server that is warming up."""
+        now = attempt.arrived_at
+        with self.lock:
+            self.attempts.append(attempt)
+            has_capacity = self.has_capacity(now)
+            has_room = has_capacity or len(self.waiting) < self.model.queue
+            admitted = self.model.state is ServerState.READY and has_room
+            collapses = self.model.pushed_over(now)
+            if not admitted:
+                attempt.finish(AttemptEnd.REJECTED, now)
+            elif has_capacity:
+                self.start_locked(attempt, now, answers=not collapses)
+            else:
+                self.waiting.append(attempt)
+            if admitted and collapses:
+                self.collapse_locked()
+        if admitted:
+            return
+        with contextlib.suppress(OSError):  # an attempt that was given up at once counts all the same
+            attempt.connection.sendall(REJECTION)
+        if collapses:
+            with self.lock:
+                self.collapse_locked()
+
+    def has_capacity(self, now: float) -> bool:
+        """Whether another attempt can start now."""
+        return len(self.active) < max(1, int(self.model.capacity(now)))
+
+    def start_locked(self, attempt: ConnectedAttempt, now: float, answers: bool = True) -> None:
+        """Begin the work of an attempt; if it `answers`, then after the service time. Needs the lock."""
+        self.active.add(attempt)
+        attempt.executed = True
+        if not answers or self.model.mode == "silent":
+            return
+        slow_factor = self.model.slow_factor if self.model.mode == "slow" else 1.0
+        duration = self.rng.expovariate(1.0 / self.model.service) * slow_factor
+        self.timers.call_at(now + duration, lambda: self.answer(attempt))
+
+    def answer(self, attempt: ConnectedAttempt) -> None:
+        """End the work of an attempt and answer it. Runs in the timers' thread."""
+        with self.lock:
+            if attempt not in self.active:
+                return
+            self.active.discard(attempt)
+            attempt.finish(self.draw_end(), monotonic())
+            self.start_waiting_locked()
+        if attempt.end is AttemptEnd.FAILED:
+            attempt.connection.sendall(FAILURE)
+        elif attempt.end is AttemptEnd.ANSWERED:
+            attempt.connection.sendall(b"*3\r\n$16\r\n%016x\r\n$-1\r\n$-1\r\n" % attempt.request)
+
+    def draw_end(self) -> AttemptEnd:
+        """Draw how an attempt ends whose work is done."""
+        fails = self.model.mode == "failing" or self.rng.random() < self.model.error_share
+        if self.answer_loss and self.rng.random() < self.answer_loss:
+            return AttemptEnd.LOST
+        return AttemptEnd.FAILED if fails else AttemptEnd.ANSWERED
+
+    def start_waiting_locked(self) -> None:
+        """Start waiting attempts as far as there is capacity. Needs the lock."""
+        now = monotonic()
+        while self.waiting and self.has_capacity(now):
+            self.start_locked(self.waiting.popleft(), now)
+
+    def abandon(self, connection: socket.socket) -> None:
+        """End the attempts of a connection that was closed; their capacity comes free."""
+        with self.lock:
+            for attempt in [*self.active, *self.waiting]:
+                if attempt.connection is connection:
+                    self.end_locked(attempt, AttemptEnd.ABANDONED)
+            self.start_waiting_locked()
+
+    def end_locked(self, attempt: ConnectedAttempt, end: AttemptEnd) -> None:
+        """End an attempt without an answer. Needs the lock."""
+        attempt.finish(end, monotonic())
+        self.active.discard(attempt)
+        with contextlib.suppress(ValueError):
+            self.waiting.remove(attempt)
+
+    def collapse_locked(self) -> None:
+        """Reset all and refuse for a while: too much was sent while warming up (rule 4). Needs the lock."""
+        self.model.falls += 1
+        self.model.sent.clear()
+        self.reset_attempts_locked()
+        self.stop_listening()
+        self.timers.call_at(monotonic() + self.model.fall_for, self.listen_again)
+
+    def reset_attempts_locked(self) -> None:
+        """End all attempts by a reset. Needs the lock."""
+        for attempt in [*self.active, *self.waiting]:
+            self.end_locked(attempt, AttemptEnd.RESET)
+
+    # faults
+
+    def stop_listening(self) -> None:
+        """Refuse connections from now on and reset the open ones; the port stays reserved."""
+        with contextlib.suppress(OSError):
+            self.listener.shutdown(socket.SHUT_RDWR)
+        self.listener.close()
+        self.reserved = reserve(self.endpoint)
+        for connection in list(self.connections):
+            reset(connection)
+
+    def listen_again(self) -> None:
+        """Accept connections again; the listener stays closed if the port was taken."""
+        with contextlib.suppress(OSError):
+            self.listen(self.endpoint)
+
+    def die(self) -> None:
+        """Crash: reset all attempts and refuse connections."""
+        with self.lock:
+            self.model.mode = "dead"
+            self.reset_attempts_locked()
+        self.stop_listening()
+
+    def revive(self, now: float) -> None:
+        """Return after `die`, with a slow start from `now` (s, monotonic)."""
+        self.model.mode = "ok"
+        self.model.started_at = now
+        self.listen_again()
--- a/brookhub/fault_injection/__init__.py
+++ b/brookhub/fault_injection/__init__.py
@@ -1,11 +1,23 @@
-"""Relays between any two processes on loopback, TCP and UDP, whose links can be hurt while they run.
+"""Fault injection: TCP and UDP relays between processes on loopback, whose conditions change while they run.
 
-`Relays()` is one thread; `tcp` and `udp_mesh` make links; `link.set("forward", cut=True)` hurts,
-`link.clear()` heals. Docs: docs/process-lab.md.
+`Relays()` owns one thread; `tcp` and `udp_mesh` create links; `link.set("forward", cut=True)` injects a
+fault, `link.clear()` removes it. Docs: docs/process-lab.md.
 """
 
-from .conditions import Conditions, Way
+from .direction import ConditionChanges, Conditions, Direction
 from .ports import reserve
-from .relay import Relays, TcpLink, UdpMesh
+from .relays import Relays
+from .tcp import DirectionName, TcpLink
+from .udp import Path, UdpMesh
 
-__all__ = ["Conditions", "Relays", "TcpLink", "UdpMesh", "Way", "reserve"]
+__all__ = [
+    "ConditionChanges",
+    "Conditions",
+    "Direction",
+    "DirectionName",
+    "Path",
+    "Relays",
+    "TcpLink",
+    "UdpMesh",
+    "reserve",
+]
--- a/brookhub/fault_injection/ports.py
+++ b/brookhub/fault_injection/ports.py
@@ -1,19 +1,21 @@
-"""Ports that are kept while nobody listens there."""
+"""Reserves ports while nobody listens on them."""
 
 from __future__ import annotations
 
 import contextlib
 import socket
 
+Endpoint = tuple[str, int]  # IPv4 address and port
 
-def reserve(at: tuple[str, int]) -> socket.socket:
-    """A socket that is bound there and does not listen: dials are refused, and nobody else is given the port.
 
-    Without it a port that is closed for a while may become another lab's, whose servers then get what
-    limiters of this one send to where they knew one of theirs.
+def reserve(endpoint: Endpoint) -> socket.socket:
+    """A socket that is bound there and does not listen: connections are refused, and the port stays taken.
+
+    Otherwise a port that is closed for a while may be given to another experiment, whose servers would then
+    receive requests of this one's limiters. The caller closes the socket.
     """
-    sock = socket.socket()
-    sock.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
-    with contextlib.suppress(OSError):  # somebody was quicker: as if it had not been tried
-        sock.bind(at)
-    return sock
+    placeholder = socket.socket()
+    placeholder.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
+    with contextlib.suppress(OSError):  # another process was quicker: as if it had not been tried
+        placeholder.bind(endpoint)
+    return placeholder
--- a/brookhub/fault_injection/udp.py
+++ b/brookhub/fault_injection/udp.py
@@ -5,88 +5,110 @@
 import contextlib
 import selectors
 import socket
+from collections.abc import Callable, Collection
 from time import monotonic
-from typing import TYPE_CHECKING
+from typing import NamedTuple, Unpack
 
-from .conditions import Way
+from .direction import ConditionChanges, Direction
+from .event_loop import EventLoop
+from .ports import Endpoint
 
-if TYPE_CHECKING:
-    from .relay import Relays
+MAX_DATAGRAM = 65536  # bytes
+
+
+class Path(NamedTuple):
+    """A direction between two members, by their names."""
+
+    sender: str
+    receiver: str
 
 
 class UdpMesh:
     """UDP between all pairs of members.
 
-    Member a reaches b at `address(a, b)`, and sees b's packets come from there; packets that do not come from
-    the process bound to a's own address are dropped and counted (`strange`).
+    Member a reaches b at `address(a, b)`, and sees b's packets come from there. Packets that do not come from
+    a's own endpoint are dropped and counted in `foreign_packets`. The sockets belong to the loop's thread.
     """
 
-    def __init__(self, relays: Relays, members: dict[str, tuple[str, int]]):
-        self.relays, self.members, self.strange = relays, dict(members), 0
-        self.ways = {(a, b): Way(f"{relays.seed}/udp/{a}/{b}") for a in members for b in members if a != b}
-        self.sockets = {}
-        for pair in self.ways:
-            sock = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
-            sock.bind(("127.0.0.1", 0))
-            sock.setblocking(False)
-            self.sockets[pair] = sock
-        relays.call(
-            lambda: [
-                relays.selector.register(sock, selectors.EVENT_READ, lambda mask, pair=pair: self.come(pair))
-                for pair, sock in self.sockets.items()
-            ]
-        )
-
-    def address(self, a: str, b: str) -> str:
-        """Where member a reaches member b."""
-        return "%s:%d" % self.sockets[a, b].getsockname()
-
-    def set(self, a: str, b: str, **changes) -> None:
-        """Change the direction from a to b; see Conditions."""
-        self.ways[a, b].set(**changes)
-
-    def split(self, side: set[str]) -> None:
-        """Cut every pair of which one is in `side` and the other is not, both ways."""
-        for (a, b), way in self.ways.items():
-            if (a in side) != (b in side):
-                way.set(cut=True)
-
-    def every(self, **changes) -> None:
-        """Change all directions."""
-        for way in self.ways.values():
-            way.set(**changes)
+    def __init__(self, loop: EventLoop, seed: str, members: dict[str, Endpoint]) -> None:
+        self.loop = loop
+        self.members = dict(members)
+        self.foreign_packets = 0
+        paths = [Path(sender, receiver) for sender in members for receiver in members if sender != receiver]
+        self.directions = {path: Direction(f"{seed}/{path.sender}/{path.receiver}") for path in paths}
+        self.sockets = {path: self.bind() for path in paths}
+        loop.call(self.watch_all)
+
+    @staticmethod
+    def bind() -> socket.socket:
+        """A non-blocking UDP socket on a free port."""
+        bound = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
+        bound.bind(("127.0.0.1", 0))
+        bound.setblocking(False)
+        return bound
+
+    def watch_all(self) -> None:
+        """Receive on all sockets from now on. Runs in the loop's thread."""
+        for path, path_socket in self.sockets.items():
+            self.loop.watch(path_socket, selectors.EVENT_READ, self.receiver_of(path))
+
+    def receiver_of(self, path: Path) -> Callable[[int], None]:
+        """The callback that relays what arrives on a path."""
+        return lambda mask: self.receive(path)
+
+    def address(self, sender: str, receiver: str) -> str:
+        """Where a member reaches another, as "host:port"."""
+        return "%s:%d" % self.sockets[Path(sender, receiver)].getsockname()
+
+    def set(self, sender: str, receiver: str, **changes: Unpack[ConditionChanges]) -> None:
+        """Change the conditions of one direction."""
+        self.directions[Path(sender, receiver)].set(**changes)
+
+    def set_all(self, **changes: Unpack[ConditionChanges]) -> None:
+        """Change the conditions of all directions."""
+        for direction in self.directions.values():
+            direction.set(**changes)
+
+    def split(self, side: Collection[str]) -> None:
+        """Cut every pair of which one member is in `side` and the other is not, in both directions."""
+        for path, direction in self.directions.items():
+            if (path.sender in side) != (path.receiver in side):
+                direction.set(cut=True)
 
     def clear(self) -> None:
-        """All directions as they should be."""
-        for way in self.ways.values():
-            way.clear()
+        """Remove all faults."""
+        for direction in self.directions.values():
+            direction.clear()
 
-    def come(self, pair: tuple[str, str]) -> None:
-        """Packets came on the way of a pair."""
-        a, b = pair
+    def receive(self, path: Path) -> None:
+        """Relay all packets that arrived on a path. Runs in the loop's thread."""
         while True:
             try:
-                data, source = self.sockets[pair].recvfrom(65536)
+                data, source = self.sockets[path].recvfrom(MAX_DATAGRAM)
             except BlockingIOError:
                 return
-            if source != self.members[a]:
-                self.strange += 1
-                continue
-            now = monotonic()
-            for due in self.ways[pair].packet(len(data), now):
-                if due <= now:
-                    self.pass_on(b, a, data)
-                else:
-                    self.relays.at(due, lambda data=data: self.pass_on(b, a, data))
-
-    def pass_on(self, b: str, a: str, data: bytes) -> None:
-        """A packet reaches b, as of a."""
+            if source == self.members[path.sender]:
+                self.relay(path, data)
+            else:
+                self.foreign_packets += 1
+
+    def relay(self, path: Path, data: bytes) -> None:
+        """Forward a packet now or later, as the conditions say. Runs in the loop's thread."""
+        now = monotonic()
+        for due in self.directions[path].packet(len(data), now):
+            if due <= now:
+                self.forward(path, data)
+            else:
+                self.loop.call_at(due, lambda: self.forward(path, data))
+
+    def forward(self, path: Path, data: bytes) -> None:
+        """Send a packet to its receiver, from the address at which that one knows the sender."""
+        reply_path = Path(path.receiver, path.sender)
         with contextlib.suppress(OSError):  # nobody is bound there: the packet is lost, as on a network
-            self.sockets[b, a].sendto(data, self.members[b])
-
-    def shut(self) -> None:
-        """Close all sockets."""
-        for sock in self.sockets.values():
-            with contextlib.suppress(KeyError, ValueError):
-                self.relays.selector.unregister(sock)
-            sock.close()
+            self.sockets[reply_path].sendto(data, self.members[path.receiver])
+
+    def close(self) -> None:
+        """Close all sockets. Runs in the loop's thread."""
+        for path_socket in self.sockets.values():
+            self.loop.unwatch(path_socket)
+            path_socket.close()
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -233,7 +233,7 @@
             "seed": "8c1f30",
             "limits": limits or {"memory_mb": 192, "sockets": 1024},
             "counter": self.counter.address,
-            "known": json.loads(self.discovery.whole()),
+            "known": json.loads(self.discovery.complete_list()),
             "settings": {**SETTINGS, **(settings or {})},
             **(start or {}),
         }
@@ -249,7 +249,9 @@
             },
         )
         assert until(self.ready, 20), self.log_path.read_text()
-        until(lambda: self.counter.open, 1)  # a first call decided without the counter's word may be refused
+        until(
+            lambda: self.counter.connections, 1
+        )  # a first call decided without the counter's word may be refused
 
     def ready(self):
         with contextlib.suppress(OSError), self.dial() as sock:
--- a/tests/test_choices_processes.py
+++ b/tests/test_choices_processes.py
@@ -26,7 +26,7 @@
 
 
 def sends(lab, since, server=BAD):
-    return [one for one in list(lab.seen) if one.server == server and one.at >= since]
+    return [one for one in list(lab.seen) if one.server == server and one.arrived_at >= since]
 
 
 IDENT = int.from_bytes(sha256(f"s-{BAD}".encode()).digest()[:6], "big")
@@ -78,7 +78,7 @@
     def script(lab):
         assert until(all_hold(lab, 8), 8)
         sleep(6.0)
-        assert sum(one.how == "abandoned" for one in list(lab.seen)) > 10  # so there were some
+        assert sum(one.end == "abandoned" for one in list(lab.seen)) > 10  # so there were some
         told = [
             line
             for one in lab.limiters
@@ -111,7 +111,9 @@
         began = monotonic()
         lab.cut(lab.limiters[0], sorted(lab.servers), "back", 6.0)  # it sends, and hears no answer
         others = {
-            one.server for one in lab.seen if began + 1 < one.at and one.limiter != lab.limiters[0].address
+            one.server
+            for one in lab.seen
+            if began + 1 < one.arrived_at and one.limiter != lab.limiters[0].address
         }
         assert len(others) >= 20, others
         mine = [one for one in lab.load.asked if one.limiter != 0 and began < one.sent < began + 5]
@@ -138,7 +140,7 @@
 
 
 def told_of(tries, since):
-    return [(round(one.at - since, 2), one.limiter, one.how) for one in tries]
+    return [(round(one.arrived_at - since, 2), one.limiter, one.end) for one in tries]
 
 
 def test_a_holder_stopped_for_five_seconds_takes_no_turn_on_waking(lab):
@@ -155,7 +157,7 @@
         names = [f"n{n}" for n in range(8)]
         # The first try by turn failed: away for longer now
         assert until(lambda: sends(lab, began + PROBE_AT * REPORT_TTL), 2 * REPORT_TTL)
-        tried = sends(lab, began + PROBE_AT * REPORT_TTL)[0].at
+        tried = sends(lab, began + PROBE_AT * REPORT_TTL)[0].arrived_at
         sleeper = holder(lab, names, tried + PROBE_AT * 2 * REPORT_TTL + 0.5)  # a failed try doubles the time
         sleep(max(0.0, tried + 1.0 - monotonic()))
         lab.stall(sleeper, 5.0)
@@ -163,7 +165,7 @@
         sleep(GRACE)
         own = [one for one in sends(lab, woke) if one.limiter == sleeper.address]
         assert not own, told_of(own, woke)
-        first = [one.how for one in sends(lab, tried) if one.at <= tried]
+        first = [one.end for one in sends(lab, tried) if one.arrived_at <= tried]
         assert first == ["failed"], first  # so the others know that it is still bad
         after = sends(lab, tried + 0.5)
         assert len(after) <= 3, told_of(after, tried)  # its turn, whoever took it, and one more view's
@@ -263,7 +265,8 @@
         since, own = monotonic(), parts(lab, here)
         sleep(seconds)
         used = {
-            at: {one.server for one in list(lab.seen) if one.at >= since and one.limiter == at} for at in own
+            at: {one.server for one in list(lab.seen) if one.arrived_at >= since and one.limiter == at}
+            for at in own
         }
         beyond = {at: them - own[at] for at, them in used.items() if them - own[at]}
         assert not beyond, (beyond, here)
--- a/tests/test_endings.py
+++ b/tests/test_endings.py
@@ -52,9 +52,9 @@
     program = started(servers=[one], start={"known": None}, discovery=form)
     try:
         with Client(program) as client:
-            assert client.ask(api_call(1)) == b"ok" and len(one.asked) == 1
-            program.discovery.tell(host("s-0", one.address, "Terminating"), host("s-9", two.address))
-            assert until(lambda: client.ask(api_call(2)) == b"ok" and two.asked, 5)
+            assert client.ask(api_call(1)) == b"ok" and len(one.requests) == 1
+            program.discovery.push(host("s-0", one.address, "Terminating"), host("s-9", two.address))
+            assert until(lambda: client.ask(api_call(2)) == b"ok" and two.requests, 5)
         assert ("discovery", "nonsense") not in program.ended()
     finally:
         two.close()
@@ -185,8 +185,8 @@
     try:
         with unread_log(program, writer) as (port, process):
             program.discovery.hosts = [host("s-9", two.address)]
-            program.discovery.break_all()
-            assert until(lambda: ask_at(port) == b"ok" and two.asked, 6) and process.poll() is None
+            program.discovery.reset_connections()
+            assert until(lambda: ask_at(port) == b"ok" and two.requests, 6) and process.poll() is None
     finally:
         two.close()
 
@@ -242,16 +242,16 @@
             program.process.send_signal(signal.SIGCONT)
             assert usual.ask(api_call(2)) == b"%016x" % 2
             time.sleep(0.3)
-    assert [words[2] for words in program.servers[0].asked] == [b"%016x" % 1, b"%016x" % 2]
+    assert [words[2] for words in program.servers[0].requests] == [b"%016x" % 1, b"%016x" % 2]
 
 
 def test_a_client_that_leaves_between_two_attempts_gets_no_further_one(started):
     program = started(servers=[FakeServer(["silent"] * 9), FakeServer(["silent"] * 9)])
     with Client(program) as client:
         client.sock.sendall(api_call(1))
-        assert until(lambda: sum(len(one.asked) for one in program.servers) == 1)
+        assert until(lambda: sum(len(one.requests) for one in program.servers) == 1)
     time.sleep(0.8)  # a further attempt is made at half the target, 0.5 s
-    assert sum(len(one.asked) for one in program.servers) == 1
+    assert sum(len(one.requests) for one in program.servers) == 1
 
 
 # Attempts: whether one ran is known from what was written, also where its connection comes up late.
@@ -304,7 +304,7 @@
     with Client(program) as client:
         assert [client.ask(api_call(n, "once")) for n in range(8)] == [b"ok"] * 8
     assert until(lambda: ("server", "unconnected") in program.ended(), 1.5)
-    assert late.open(1.5) == b"" and len(good.asked) == len({words[2] for words in good.asked}) == 8
+    assert late.open(1.5) == b"" and len(good.requests) == len({words[2] for words in good.requests}) == 8
 
 
 def test_a_client_that_leaves_while_its_attempt_is_dialled_has_nothing_sent(started):
@@ -329,7 +329,7 @@
     with Client(program) as client:
         began = time.monotonic()
         assert client.ask(api_call(1, "once", patience=500)) == b"-ERR failed"
-        assert 0.45 < time.monotonic() - began < 1.5 and until(lambda: not program.servers[0].open)
+        assert 0.45 < time.monotonic() - began < 1.5 and until(lambda: not program.servers[0].connections)
         assert client.ask(api_call(2, "once")) == b"ok"
 
 
@@ -362,12 +362,12 @@
     program = started(servers=servers)
     with Client(program) as client:
         client.sock.sendall(api_call(1, patience=1900))
-        assert until(lambda: sum(len(one.asked) for one in servers) == 2, 5)
+        assert until(lambda: sum(len(one.requests) for one in servers) == 2, 5)
         assert read_value(client.lines) == b"-ERR failed"
     told = sorted(
         int(next(field for field in words[3].split(b",") if field.startswith(b"d="))[2:])
         for one in servers
-        for words in one.asked
+        for words in one.requests
     )
     assert told[1] > 1850 and told[0] <= 1900 - 450  # the second began after half the target, 0.5 s
 
@@ -379,7 +379,7 @@
     program = started(servers=[FakeServer([1.2])])
     with Client(program) as client:
         client.sock.sendall(api_call(1))
-        assert until(lambda: program.servers[0].asked)
+        assert until(lambda: program.servers[0].requests)
         for sent in (signal.SIGTERM, signal.SIGHUP, signal.SIGTERM, signal.SIGINT, signal.SIGHUP):
             program.process.send_signal(sent)
             time.sleep(0.1)
@@ -398,7 +398,7 @@
         assert answered() == b""
         with contextlib.suppress(OSError):
             half.sock.sendall(whole[60:])
-    assert program.process.wait(5) == 0 and program.servers[0].asked == []
+    assert program.process.wait(5) == 0 and program.servers[0].requests == []
 
 
 def test_a_client_that_keeps_asking_through_the_drain_gets_one_answer_each_in_order(started):
@@ -419,7 +419,7 @@
     assert program.process.wait(5) == 0
     text = b"".join(answers)
     count = text.count(b"$16\r\n") + sum(text.count(b"-" + word) for word in (b"BUSY", b"ERR"))
-    reached = [words[2] for words in program.servers[0].asked]
+    reached = [words[2] for words in program.servers[0].requests]
     assert len(reached) == len(set(reached)) and len(reached) <= count <= asked
 
 
@@ -439,7 +439,7 @@
     program.discovery.close()
     with Client(program) as client:
         client.sock.sendall(api_call(1))
-        assert until(lambda: program.servers[0].asked)
+        assert until(lambda: program.servers[0].requests)
         told_at = time.monotonic()
         program.process.send_signal(signal.SIGTERM)
         assert read_value(client.lines) == b"%016x" % 1
@@ -483,8 +483,8 @@
             with contextlib.suppress(OSError):
                 held.enter_context(contextlib.closing(program.dial())).sendall(command(b"PING"))
         assert until(lambda: program.descriptors() > 70)
-        program.discovery.listen(program.discovery.at)
-        assert until(lambda: program.discovery.open, 6)
+        program.discovery.listen(program.discovery.endpoint)
+        assert until(lambda: program.discovery.connections, 6)
         assert until(lambda: asks(program) == b"ok", 5)
         assert program.descriptors() < 128
 
--- a/tests/test_fault_injection.py
+++ b/tests/test_fault_injection.py
@@ -9,7 +9,7 @@
 
 from brookhub.emulator.world import ServerModel
 from brookhub.fakes import FakeListener, FakeServer, ModelServer, Timers
-from brookhub.fault_injection import Relays, Way
+from brookhub.fault_injection import Direction, Relays
 from helpers import api_call, read_value, until
 
 
@@ -29,12 +29,12 @@
 @pytest.fixture
 def link(relays):
     echo = Echo()
-    yield relays.tcp("echo", echo.at, source="127.0.9.1")
+    yield relays.tcp("echo", echo.endpoint, source="127.0.9.1")
     echo.close()
 
 
 def dial(link, timeout=3.0):
-    return socket.create_connection(link.at, timeout)
+    return socket.create_connection(link.endpoint, timeout)
 
 
 def echoed(sock, data=b"hello"):
@@ -47,15 +47,17 @@
 
 def test_bytes_pass_both_ways_whole_and_the_target_sees_the_link_s_source(relays):
     server = FakeServer()
-    link = relays.tcp("server", server.at, source="127.0.9.7")
+    link = relays.tcp("server", server.endpoint, source="127.0.9.7")
     with dial(link) as sock, sock.makefile("rb") as lines:
         sock.sendall(api_call(1))
         assert read_value(lines)[0] == b"ok"
-        assert [conn.getpeername()[0] for conn in server.open] == ["127.0.9.7"]
-    assert until(lambda: not server.open and not link.pairs)  # an end is passed on, and nothing is kept
+        assert [conn.getpeername()[0] for conn in server.connections] == ["127.0.9.7"]
+    assert until(
+        lambda: not server.connections and not link.connections
+    )  # an end is passed on, and nothing is kept
     big = bytes(range(256)) * 8000
     echo = Echo()
-    with dial(relays.tcp("big", echo.at)) as sock:
+    with dial(relays.tcp("big", echo.endpoint)) as sock:
         sock.settimeout(0.2)
         sent, got = 0, b""
         while len(got) < len(big):
@@ -67,17 +69,17 @@
     echo.close()
 
 
-@pytest.mark.parametrize("way", ["forward", "back"])
-def test_a_cut_is_silent_holds_what_came_and_lets_no_dial_through_until_it_is_cleared(link, way):
+@pytest.mark.parametrize("direction", ["forward", "back"])
+def test_a_cut_is_silent_holds_what_came_and_lets_no_dial_through_until_it_is_cleared(link, direction):
     with dial(link) as sock:
         assert echoed(sock) == b"hello"
-        link.set(way, cut=True)
+        link.set(direction, cut=True)
         sock.sendall(b"held")
         sock.settimeout(0.3)
         with pytest.raises(TimeoutError):
             sock.recv(10)
         with pytest.raises(OSError):
-            socket.create_connection(link.at, 0.3)
+            socket.create_connection(link.endpoint, 0.3)
         link.clear()
         sock.settimeout(3.0)
         assert sock.recv(10) == b"held"
@@ -146,25 +148,28 @@
     stranger.sendto(b"no", to_b)
     mesh.split({"a"})
     a.sendto(b"lost", to_b)
-    assert drain(b) == [] and mesh.strange == 1 and mesh.ways["a", "b"].dropped == 1
+    assert drain(b) == [] and mesh.foreign_packets == 1 and mesh.directions["a", "b"].dropped == 1
     mesh.clear()
-    mesh.every(loss=0.3, duplicate=0.3, reorder=0.3)
+    mesh.set_all(loss=0.3, duplicate=0.3, reorder=0.3)
     for n in range(100):
         a.sendto(b"%d" % n, to_b)
         time.sleep(0.001)
     got = [int(data) for data, _ in drain(b)]
-    way = mesh.ways["a", "b"]
-    assert len(got) == way.packets - 1 - way.dropped + way.doubled and 50 < len(set(got)) < 90
-    assert got != sorted(got) and way.doubled > 0
+    direction = mesh.directions["a", "b"]
+    assert (
+        len(got) == direction.packets - 1 - direction.dropped + direction.duplicated
+        and 50 < len(set(got)) < 90
+    )
+    assert got != sorted(got) and direction.duplicated > 0
     for sock in (a, b, stranger):
         sock.close()
 
 
 def test_one_seed_makes_the_same_choices():
     def fates(seed):
-        way = Way(seed)
-        way.set(loss=0.2, duplicate=0.1, reorder=0.1, delay=0.01, spread=0.02)
-        return [way.packet(100, float(n)) for n in range(200)]
+        direction = Direction(seed)
+        direction.set(loss=0.2, duplicate=0.1, reorder=0.1, delay=0.01, spread=0.02)
+        return [direction.packet(100, float(n)) for n in range(200)]
 
     assert fates("1/a") == fates("1/a") != fates("2/a")
 
@@ -186,9 +191,9 @@
 def test_a_port_that_refuses_for_a_while_is_nobody_else_s(link):
     """It was free then: a server of another lab that was given it got requests of this one's limiters."""
     link.set(refuse=True)
-    assert is_refused(link.at) and not can_be_taken(link.at)
+    assert is_refused(link.endpoint) and not can_be_taken(link.endpoint)
     link.clear()
-    assert not is_refused(link.at)
+    assert not is_refused(link.endpoint)
 
 
 def test_the_port_of_a_server_that_is_down_is_nobody_else_s():
@@ -197,9 +202,9 @@
     server = ModelServer(model, timers, random.Random(1), [])
     try:
         server.die()
-        assert is_refused(server.at) and not can_be_taken(server.at)
-        server.back(time.monotonic())
-        assert not is_refused(server.at)
+        assert is_refused(server.endpoint) and not can_be_taken(server.endpoint)
+        server.revive(time.monotonic())
+        assert not is_refused(server.endpoint)
     finally:
         server.close()
         timers.close()
--- a/tests/test_fleet_processes.py
+++ b/tests/test_fleet_processes.py
@@ -101,7 +101,7 @@
     def script(lab):
         assert until(all_hold(lab, 4), 5)
         before = {one.index: len(one.lines()) for one in lab.limiters}
-        lab.mesh.every(loss=0.1, duplicate=0.1, reorder=0.1)
+        lab.mesh.set_all(loss=0.1, duplicate=0.1, reorder=0.1)
         for flap in range(
             6
         ):  # one pair, one way, then the other: each still reaches the other through the rest
--- a/tests/test_golden_process.py
+++ b/tests/test_golden_process.py
@@ -60,7 +60,7 @@
     for name, request in REQUESTS.items():
         actual[f"{name}: sent"] = request
         actual[f"{name}: answer"] = answer(program, request)
-    for number, words in enumerate(server.asked):
+    for number, words in enumerate(server.requests):
         actual[f"forwarded {number}"] = TIME_LEFT.sub(b"d=TIME", command(*words))
     assert_golden("conversations.jsonl", actual)
-    assert program.discovery.asked == [b"GET /v1/servers?stream=1&index=41 HTTP/1.1\r\n"]
+    assert program.discovery.requests == [b"GET /v1/servers?stream=1&index=41 HTTP/1.1\r\n"]
--- a/tests/test_maintenance_processes.py
+++ b/tests/test_maintenance_processes.py
@@ -83,7 +83,9 @@
         workers.stop()
         assert workers.most_out() == 2  # at once, and never more
         # Used again
-        assert until(lambda: [one for one in lab.seen if one.server == 0 and one.at > workers.outs[0][2]], 5)
+        assert until(
+            lambda: [one for one in lab.seen if one.server == 0 and one.arrived_at > workers.outs[0][2]], 5
+        )
         assert "m3  done" in read_status([one.log_path for one in lab.limiters])
 
     outcome = lab(script, 90.0, limiters=5, **LARGE)
--- a/tests/test_processes.py
+++ b/tests/test_processes.py
@@ -20,8 +20,7 @@
 from brookhub.experiments.invariant_checker import Outage, judge
 from brookhub.experiments.load import Asked, Load
 from brookhub.experiments.processes import ProcessFleet
-from brookhub.fakes import FakeListener, ModelServer, Timers, read_value
-from brookhub.fakes.server import Seen
+from brookhub.fakes import AttemptEnd, FakeListener, ModelServer, ServerAttempt, Timers, read_value
 from brookhub.model import ServerState
 from brookhub.protocol import resp
 from helpers import experiment, until
@@ -38,7 +37,7 @@
         super().__init__()
 
     def ask(self, server, words):
-        with socket.create_connection(server.at, 2.0) as sock, sock.makefile("rb") as lines:
+        with socket.create_connection(server.endpoint, 2.0) as sock, sock.makefile("rb") as lines:
             sock.sendall(resp.command(*words))
             return read_value(lines)
 
@@ -85,7 +84,7 @@
             update={"fleet": spec.fleet.model_copy(update={"grace_s": 0.1, "list_delay_s": 0.05})}
         )
     )
-    load = Load(spec, [rogue.at], seed=1)
+    load = Load(spec, [rogue.endpoint], seed=1)
     began = time.monotonic()
     load.run(1.0)
     verdict = judge(spec, load.asked, seen, [], 0, {0: (0, 0), 1: (1, 0)}, began)
@@ -105,7 +104,20 @@
     spec = experiment()
     call = Asked(1, 0, 1, 2, 10.0, 11.0, answers=[(10.5, "proxied")], end="answered", again=10.3, before=0)
     seen = [
-        Seen(at, server, "127.0.10.1", 1, 0, "once", b"", False, None, ran=True, how="ok", ended=at + 0.02)
+        ServerAttempt(
+            at,
+            server,
+            "127.0.10.1",
+            1,
+            0,
+            "once",
+            b"",
+            False,
+            None,
+            executed=True,
+            end=AttemptEnd.ANSWERED,
+            ended_at=at + 0.02,
+        )
         for at, server in ((10.1, 3), (10.4, 4))
     ]
     outages = [Outage(0, 10.2, 11.5)] if killed else []
@@ -146,7 +158,7 @@
     result = outcome.result
     assert not result.broken, result.first_break
     assert result.calls > 150 and result.proxied > 0.8 * (result.calls - outcome.verdict.excused)
-    assert any(one.how == "lost" for one in outcome.seen)  # answers that never came, for work that was done
+    assert any(one.end == "lost" for one in outcome.seen)  # answers that never came, for work that was done
 
 
 def test_a_planned_end_of_every_limiter_in_turn_loses_no_call(tmp_path):
@@ -182,7 +194,7 @@
     model.mode = "silent"
 
     def ask(n):
-        sock = socket.create_connection(server.at, 2.0)
+        sock = socket.create_connection(server.endpoint, 2.0)
         sock.sendall(resp.command(b"CALL.GET", b"%016x" % 1, b"%016x" % n, b"c=look,t=wide,d=900"))
         return sock
 
@@ -195,7 +207,7 @@
     with ask(3) as fourth:  # two places, one in the queue, the next is turned away
         assert fourth.recv(100) == b"-BUSY\r\n"
     held[0].close()  # given up: its place comes free, who waits begins
-    assert until(lambda: sum(one.ran for one in seen) == 3 and seen[0].how == "abandoned")
+    assert until(lambda: sum(one.executed for one in seen) == 3 and seen[0].end == "abandoned")
     for one in held:
         one.close()
     # cold: 5 calls/s of capacity at first, falls beyond 15 a second
@@ -214,7 +226,7 @@
     assert until(lambda: model.falls == 1)
     with pytest.raises(OSError):
         ask(50)
-    assert until(lambda: server.sock.fileno() >= 0, 1.0)  # back after the model's time
+    assert until(lambda: server.listener.fileno() >= 0, 1.0)  # back after the model's time
     server.close()
     timers.close()
 
--- a/tests/test_program.py
+++ b/tests/test_program.py
@@ -33,10 +33,10 @@
     with Client(program) as client:
         assert client.ask(api_call(1, more=",k=5c0f6e1a2b3d4c59")) == b"ok"
         time.sleep(0.02)
-        program.servers[0].how = [b"*3\r\n$65536\r\n%b\r\n$-1\r\n$-1\r\n" % body]
+        program.servers[0].script = [b"*3\r\n$65536\r\n%b\r\n$-1\r\n$-1\r\n" % body]
         assert client.ask(api_call(2, "once", body=body)) == body
         assert client.ask(command(b"ping")) == b"+PONG"
-    first, second = program.servers[0].asked
+    first, second = program.servers[0].requests
     assert (
         first[:3] == [b"CALL.GET", b"%016x" % 7, b"%016x" % 1]
         and second[0] == b"CALL.POST"
@@ -52,7 +52,7 @@
         b"first=0",
     ]
     assert 0 < int(next(one for one in fields if one[:2] == b"d=")[2:]) <= 2000
-    assert program.servers[0].dialled == 1  # kept open and used again
+    assert program.servers[0].connection_count == 1  # kept open and used again
     assert until(lambda: ("client", "left") in program.ended())
 
 
@@ -75,7 +75,7 @@
     with Client(program) as client:
         answers = [client.ask(api_call(n, plan="narrow")) for n in range(6)]
     assert answers.count(b"ok") == 2 and all(answer.startswith(b"-BUSY ") for answer in answers[2:])
-    assert program.counter.asked > 0
+    assert program.counter.request_count > 0
 
 
 @pytest.mark.parametrize(
@@ -98,10 +98,10 @@
     bad, good = FakeServer([how]), FakeServer()
     program, answers = started(servers=[bad, good]), []
     with Client(program) as client:
-        while not bad.asked and len(answers) < 40:
+        while not bad.requests and len(answers) < 40:
             answers.append(client.ask(api_call(len(answers), route)))
-    met = bad.asked[0][2]
-    assert answers[-1] == wanted and [met, *(words[2] for words in good.asked)].count(met) == tries
+    met = bad.requests[0][2]
+    assert answers[-1] == wanted and [met, *(words[2] for words in good.requests)].count(met) == tries
 
 
 def test_a_refused_dial_proves_that_nothing_ran(started):
@@ -117,11 +117,11 @@
     program = started()
     with Client(program) as client:
         assert client.ask(api_call(1, "once")) == b"ok"
-        program.servers[0].break_all()
-        assert until(lambda: not program.servers[0].open)
+        program.servers[0].reset_connections()
+        assert until(lambda: not program.servers[0].connections)
         time.sleep(0.1)
         assert client.ask(api_call(2, "once")) == b"ok"
-    assert program.servers[0].dialled == 2
+    assert program.servers[0].connection_count == 2
 
 
 def test_a_connection_that_breaks_in_the_moment_of_use_may_have_run_its_call(started):
@@ -131,8 +131,8 @@
         time.sleep(0.02)
         # Written whole on a used connection: never again
         assert client.ask(api_call(2, "once")) == b"-ERR failed"
-    assert [words[2] for words in program.servers[0].asked] == [b"%016x" % 1, b"%016x" % 2]
-    assert program.servers[0].dialled == 1
+    assert [words[2] for words in program.servers[0].requests] == [b"%016x" % 1, b"%016x" % 2]
+    assert program.servers[0].connection_count == 1
 
 
 def test_a_command_may_come_byte_by_byte(started):
@@ -159,7 +159,7 @@
         assert client.ask(api_call(1)) == b"ok"
     assert until(lambda: ("server", "idle") in program.ended())
     # The limiter closes before it logs; the fake's thread still has to read the end of the connection
-    assert until(lambda: not program.servers[0].open, 1.5)
+    assert until(lambda: not program.servers[0].connections, 1.5)
 
 
 def test_a_silent_server_costs_each_call_its_time_and_no_more(started):
@@ -168,7 +168,7 @@
     with Client(program) as client:
         assert client.ask(api_call(1, patience=500)) == b"-ERR failed"
         assert 0.45 < time.monotonic() - began < 1.5
-    assert until(lambda: not program.servers[0].open)  # to give up a try is to close its connection
+    assert until(lambda: not program.servers[0].connections)  # to give up a try is to close its connection
     assert until(lambda: ("server", "abandoned") in program.ended())
 
 
@@ -176,8 +176,8 @@
     program = started(servers=[FakeServer(["silent"])])
     with Client(program) as client:
         client.sock.sendall(api_call(1))
-        assert until(lambda: program.servers[0].asked)
-    assert until(lambda: not program.servers[0].open, 1.5)
+        assert until(lambda: program.servers[0].requests)
+    assert until(lambda: not program.servers[0].connections, 1.5)
 
 
 @pytest.mark.parametrize(
@@ -201,7 +201,7 @@
         with contextlib.suppress(ConnectionResetError):
             assert client.lines.read() == b""
     assert until(lambda: ("client", reason) in program.ended())
-    assert len(program.servers[0].asked) <= 1
+    assert len(program.servers[0].requests) <= 1
 
 
 def test_commands_that_ask_for_nothing_get_an_error_and_the_connection_stays(started):
@@ -251,7 +251,7 @@
             b"ok",
             b"ok",
         ]
-    assert len(program.servers[0].asked) == 2
+    assert len(program.servers[0].requests) == 2
 
 
 @pytest.mark.parametrize(
@@ -284,7 +284,7 @@
     program = started(servers=[FakeServer([0.4, 0.01])])
     with Client(program) as usual, Client(program) as other:
         usual.sock.sendall(api_call(1))
-        assert until(lambda: program.servers[0].asked)
+        assert until(lambda: program.servers[0].requests)
         assert other.ask(api_call(1)).startswith(b"-ERR the id")
         assert read_value(usual.lines) == b"%016x" % 1
         assert other.ask(api_call(1)) == b"%016x" % 1  # it is free again
@@ -348,14 +348,15 @@
         for n in range(30):
             assert client.ask(api_call(n, customer=n)) in (b"ok", b"-BUSY") or mode
         program.counter.mode = "ok"
-        program.counter.break_all()
+        program.counter.reset_connections()
         assert until(
             lambda: client.ask(api_call(99, customer=98)) == b"ok" and program.counter.totals.get(0) is None
         )
-        before = program.counter.asked
+        before = program.counter.request_count
         assert until(
             lambda: (
-                client.ask(api_call(99, customer=random.randrange(1000))) and program.counter.asked > before
+                client.ask(api_call(99, customer=random.randrange(1000)))
+                and program.counter.request_count > before
             )
         )
 
@@ -366,23 +367,23 @@
     told = program.discovery
 
     def all_go_to(server):
-        count = len(server.asked)
+        count = len(server.requests)
         with Client(program) as client:
             return [client.ask(api_call(n)) for n in range(5)] == [b"ok"] * 5 and len(
-                server.asked
+                server.requests
             ) == count + 5
 
     try:
-        assert all_go_to(one) and until(lambda: told.asked)
-        told.tell(host("s-0", one.address, "Terminating"), host("s-9", two.address))
+        assert all_go_to(one) and until(lambda: told.requests)
+        told.push(host("s-0", one.address, "Terminating"), host("s-9", two.address))
         assert until(lambda: all_go_to(two))
         told.hosts = [host("s-0", one.address)]
-        told.tell(text="{ no JSON")  # nonsense: asked again, and what is not in a whole list is gone
+        told.push(text="{ no JSON")  # nonsense: asked again, and what is not in a whole list is gone
         assert until(lambda: all_go_to(one))
         assert until(lambda: ("discovery", "nonsense") in program.ended(), 1.5)
-        assert b"index=42" in told.asked[-1] or b"index=41" in told.asked[-1]
+        assert b"index=42" in told.requests[-1] or b"index=41" in told.requests[-1]
         told.hosts = [host("s-9", two.address)]
-        told.break_all()
+        told.reset_connections()
         assert until(lambda: all_go_to(two))
         told.quiet, told.hosts = True, [host("s-0", one.address)]
         assert until(lambda: ("discovery", "silent") in program.ended(), 15)
@@ -440,7 +441,7 @@
             time.sleep(0.1)  # it reads late, and slowly
             assert read_value(client.lines) == data[:size] and read_value(client.lines) == b"+PONG"
             time.sleep(0.02)
-    program.servers[0].how = [b"*3\r\n$3000000000\r\n" + data] * 9
+    program.servers[0].script = [b"*3\r\n$3000000000\r\n" + data] * 9
     with Client(program) as client:
         assert client.ask(api_call(1)) == b"-ERR failed"
     assert until(lambda: ("server", "oversized") in program.ended()) and program.status("VmHWM") < 60_000
@@ -475,7 +476,7 @@
     with Client(program) as waiting, Client(program) as idle:
         idle.ask(command(b"PING"))
         waiting.sock.sendall(api_call(1))
-        assert until(lambda: program.servers[0].asked)
+        assert until(lambda: program.servers[0].requests)
         told_at = time.monotonic()
         program.process.send_signal(signal.SIGTERM)
         time.sleep(0.25)
@@ -498,7 +499,7 @@
     program = started(servers=[FakeServer(["silent"] * 9)])
     with Client(program) as client:
         client.sock.sendall(api_call(1, patience=60000))
-        assert until(lambda: program.servers[0].asked)
+        assert until(lambda: program.servers[0].requests)
         told_at = time.monotonic()
         program.process.send_signal(signal.SIGTERM)
         assert read_value(client.lines) == b"-ERR failed"
@@ -525,15 +526,17 @@
             told.update(counter=program.counter.address, discovery=program.discovery.address)
             (tmp_path / "config.json").write_text(json.dumps(told))
             program.process.send_signal(signal.SIGHUP)
-            assert until(lambda: program.counter.asked > 5 and program.discovery.asked)
-            assert until(lambda: not old[0].open and not old[1].open)  # left, though they did not close
+            assert until(lambda: program.counter.request_count > 5 and program.discovery.requests)
+            assert until(
+                lambda: not old[0].connections and not old[1].connections
+            )  # left, though they did not close
             for one in old:
                 one.close()
         (tmp_path / "config.json").write_text("{")
         program.process.send_signal(signal.SIGHUP)
         assert until(lambda: "not reloaded" in program.log_path.read_text())
-        asked = program.counter.asked
-        assert until(lambda: program.counter.asked > asked + 5)
+        asked = program.counter.request_count
+        assert until(lambda: program.counter.request_count > asked + 5)
     finally:
         stop.set()
         for one in talkers:
@@ -544,7 +547,7 @@
         and program.log_path.read_text().count('"reloaded"') == 3
     )
     # The limiter may still be closing the talkers' connections, and the fake's threads reading an end
-    assert until(lambda: program.descriptors() - len(program.servers[0].open) <= before + 2, 1.5)
+    assert until(lambda: program.descriptors() - len(program.servers[0].connections) <= before + 2, 1.5)
     assert program.process.poll() is None
     program.process.send_signal(signal.SIGTERM)
     assert program.process.wait(5) == 0
--- a/tests/test_recovery_processes.py
+++ b/tests/test_recovery_processes.py
@@ -170,8 +170,8 @@
     assert sum(len({one.limiter < 2 for one in them}) == 2 for them in asked.values()) > 5
     ran: dict[bytes, set] = {}
     for one in lab.seen:
-        if one.key and one.ran:
-            ran.setdefault(one.key, set()).add(one.call)
+        if one.idempotency_key and one.executed:
+            ran.setdefault(one.idempotency_key, set()).add(one.request)
     # A refused call had no effect, whichever side refused it
     assert ran and all(len(calls) == 1 for calls in ran.values())
 
