--- a/benchmarks/rolling_upgrade.py
+++ b/benchmarks/rolling_upgrade.py
@@ -36,8 +36,9 @@
 from brookhub.config import Experiment
 from brookhub.coordination import Parts
 from brookhub.experiments.limiter_process import Limiter
-from brookhub.experiments.maintenance import Workers
-from brookhub.experiments.processes import Outcome, ProcessFleet
+from brookhub.experiments.maintenance_workers import Workers
+from brookhub.experiments.outcome import Outcome
+from brookhub.experiments.processes import ProcessFleet
 from brookhub.protocol import hosts
 
 ROOT = Path(__file__).resolve().parent.parent
@@ -129,13 +130,13 @@
 class MixedWorkers(Workers):
     """The people who work on machines, following the logs of both versions."""
 
-    def heard(self, limiter: Limiter, line: dict[str, Any]) -> None:
+    def on_line(self, limiter: Limiter, line: dict[str, Any]) -> None:
         """Take a line under the name that this checkout gives its event."""
         event = line.get("event", "")
         for prefix in LOG_EVENTS.safe_to_work:
             if event.startswith(prefix):
                 line = line | {"event": FOLLOWED_EVENT + event.removeprefix(prefix)}
-        super().heard(limiter, line)
+        super().on_line(limiter, line)
 
 
 class Trial:
@@ -243,7 +244,7 @@
         """In one window: limiters that sent nothing or outside their subset; how many servers each used."""
         since = monotonic()
         sleep(STEADY_S)
-        seen = [attempt for attempt in list(self.lab.seen) if attempt.arrived_at >= since]
+        seen = [attempt for attempt in list(self.lab.attempts) if attempt.arrived_at >= since]
         wrong, sizes = [], []
         for limiter in self.lab.limiters:
             used = {attempt.server for attempt in seen if attempt.limiter == limiter.address}
@@ -264,13 +265,13 @@
         assert load is not None
         for limiter in self.lab.limiters:
             chosen = self.version(limiter) in versions
-            load.refused[limiter.index] = 0.0 if chosen else monotonic() + LONGEST_RUN_S
+            load.pools.refused_at[limiter.index] = 0.0 if chosen else monotonic() + LONGEST_RUN_S
 
     def most_used_server(self) -> int:
         """The server outside the plan that the most limiters have used of late."""
         since = monotonic() - STEADY_S
         users: dict[int, set[str]] = {}
-        for attempt in list(self.lab.seen):
+        for attempt in list(self.lab.attempts):
             if attempt.arrived_at >= since and attempt.server not in PLANNED_SERVERS:
                 users.setdefault(attempt.server, set()).add(attempt.limiter)
         return max(users, key=lambda server: len(users[server]))
@@ -339,7 +340,7 @@
         workers = MixedWorkers(self.lab, MACHINES, WORK_S, GRACE_S)
         for limiter in self.lab.limiters:
             self.lab.plan_path(limiter).write_text(plan_text())  # also for their next lives
-        self.lab.limiters[-1].hit(signal.SIGHUP)
+        self.lab.limiters[-1].send_signal(signal.SIGHUP)
         self.check_all(
             "maintenance: the plan is taken",
             lambda limiter: bool(lines_of(limiter, LOG_EVENTS.plan_taken)),
@@ -371,9 +372,9 @@
         """The plan ended as one: each machine out once, never too many, one digest, nothing refused."""
         done = self.done_machines()
         self.check("maintenance: the plan runs to its end", done == set(MACHINES), f"done: {sorted(done)}")
-        outs = sorted(str(out[0]) for out in workers.outs)
-        agreed = outs == sorted(MACHINES) and workers.most_out() <= MOST_OUT
-        self.check("maintenance: one table at all", agreed, f"out: {outs}, at once {workers.most_out()}")
+        outs = sorted(out.machine for out in workers.outs)
+        agreed = outs == sorted(MACHINES) and workers.max_out() <= MOST_OUT
+        self.check("maintenance: one table at all", agreed, f"out: {outs}, at once {workers.max_out()}")
         limiters = self.lab.limiters
         digests = {line["digest"] for one in limiters for line in lines_of(one, LOG_EVENTS.plan_taken)}
         refused = [one for one in limiters if lines_of(one, LOG_EVENTS.plan_refused)]
@@ -402,12 +403,12 @@
 
     def check_outcome(self, outcome: Outcome) -> None:
         """The judge's verdict, and the logs' faults."""
-        result, excused = outcome.result, outcome.verdict.excused
+        result, excused = outcome.result, outcome.checks.excused
         answers = f"{result.calls} requests, {result.proxied} served, {result.rate_limited} rejected, "
         answers += f"{result.errored} failed, {result.lost} lost, {excused} excused"
         self.check("judge: each request has one final answer", not (result.lost or excused), answers)
-        detail = result.first_break or f"{len(self.lab.seen)} attempts at servers judged"
-        print(f"       noise of this machine: {json.dumps(outcome.noise)}")
+        detail = result.first_break or f"{len(self.lab.attempts)} attempts at servers judged"
+        print(f"       noise of this machine: {json.dumps(outcome.noise.metrics())}")
         self.check("judge: no rule is broken", not result.broken, detail)
         faults = [line for one in self.lab.limiters for line in lines_of(one, LOG_EVENTS.fault)]
         self.check("log: no fault of the program", not faults, str(faults[:1] or "none"))
--- a/brookhub/commands/experiments.py
+++ b/brookhub/commands/experiments.py
@@ -14,7 +14,7 @@
 from .common import EXIT_FAILED, exit_unusable, load_or_exit, progress
 
 if TYPE_CHECKING:
-    from ..experiments.processes import Outcome
+    from ..experiments.outcome import Outcome
 
 # Results go below this folder unless `--out` names another; operators have such folders, ignored by git.
 RESULTS_FOLDER = Path("lab")
--- a/brookhub/commands/maintenance.py
+++ b/brookhub/commands/maintenance.py
@@ -67,6 +67,6 @@
 @click.argument("logs", type=click.Path(dir_okay=False, exists=True), nargs=-1, required=True)
 def status(logs: Iterable[str]) -> None:
     """Print the progress of a plan, from limiters' logs (JSON lines): machines, leader, reason of a halt."""
-    from ..experiments.maintenance import read_status
+    from ..experiments.maintenance_status import read_status
 
     click.echo(read_status([Path(log) for log in logs]))
--- a/brookhub/experiments/address_pool.py
+++ b/brookhub/experiments/address_pool.py
@@ -1,4 +1,4 @@
-"""Ranges of loopback addresses, so that several labs on one machine have none in common."""
+"""Ranges of loopback addresses, so that experiments on one machine have no address in common."""
 
 from __future__ import annotations
 
@@ -6,28 +6,34 @@
 
 from .errors import ExperimentError
 
-LANES = 16  # labs at a time on one machine
-FIRST = 10  # limiter i of a lane has the address 127.LANE.(FIRST + i).1
-GUARD = 18017  # port at 127.LANE.(FIRST - 1).1 that is held as long as the lane is in use
+RANGE_COUNT = 16  # experiments that can run on one machine at a time
+FIRST_HOST = 10  # limiter i of range r has the address 127.r.(FIRST_HOST + i).1
+GUARD_PORT = 18017  # this port of 127.r.(FIRST_HOST - 1).1 is bound as long as range r is in use
 
 
-class Lane:
-    """A range that no other lab uses until `close`. Raises ExperimentError where none is free."""
+class AddressRange:
+    """A range of addresses that no other experiment uses until `close`.
+
+    Raises ExperimentError if all ranges are in use.
+    """
 
     def __init__(self) -> None:
-        for self.number in range(LANES):
-            self.guard = socket.socket()
+        for number in range(RANGE_COUNT):
+            guard = socket.socket()
             try:
-                self.guard.bind((f"127.{self.number}.{FIRST - 1}.1", GUARD))
-                return
+                guard.bind((f"127.{number}.{FIRST_HOST - 1}.1", GUARD_PORT))
             except OSError:
-                self.guard.close()
-        raise ExperimentError(f"{LANES} labs are played on this machine already")
+                guard.close()
+                continue
+            self.number = number
+            self.guard = guard
+            return
+        raise ExperimentError(f"{RANGE_COUNT} labs are played on this machine already")
 
     def address(self, index: int) -> str:
-        """The address of a limiter by its number."""
-        return f"127.{self.number}.{FIRST + index}.1"
+        """The IP address of a limiter by its index in the fleet."""
+        return f"127.{self.number}.{FIRST_HOST + index}.1"
 
     def close(self) -> None:
-        """Leave the range to others."""
+        """Release the range."""
         self.guard.close()
--- a/brookhub/experiments/choices.py
+++ b/brookhub/experiments/choices.py
@@ -18,7 +18,7 @@
 
 from ..coordination.hashing import score
 from ..coordination.subsets import Subsets, size
-from .canvas import panels, saved
+from .canvas import panels, save_figure
 
 RESULTS = "choices.jsonl"
 GOLDEN = 0.6180339887  # of a circle, between numbers in turn (policy.GOLDEN)
@@ -223,4 +223,4 @@
         axis.set_title(title)
         axis.grid(alpha=0.3)
     axes[0].legend()
-    return saved(figure, png)
+    return save_figure(figure, png)
--- a/brookhub/experiments/compare.py
+++ b/brookhub/experiments/compare.py
@@ -1,38 +1,40 @@
-"""One experiment played both ways, in the emulator and on processes, and how far the shares are apart."""
+"""Runs an experiment in the emulator and on processes, and compares the shares of their answers."""
 
 from __future__ import annotations
 
+from collections.abc import Callable
 from pathlib import Path
-from typing import Callable
 
 from ..config.models import Experiment
 from ..emulator import Fleet
+from .jobs import Progress, Row, no_progress
 from .processes import ProcessFleet
 
 SHARES = ("served_share", "rate_limited_share")
-ALLOWED = 0.05  # of all calls: the most that a share may differ
+MAX_DIFFERENCE = 0.05  # of a share, as a share of all requests
 
 
 def compare(
-    experiment: Experiment,
-    folder: Path,
-    seeds: list[int],
-    progress: Callable[[float], None] = lambda done: None,
-) -> list[dict]:
-    """A row a seed: {"seed", "emulator", "processes" (metrics), "apart" (share -> difference), "within"}."""
+    experiment: Experiment, folder: Path, seeds: list[int], progress: Progress = no_progress
+) -> list[Row]:
+    """A row per seed: {"seed", "emulator", "processes" (metrics), "apart" (differences), "within"}."""
+
+    def progress_of(number: int) -> Callable[[float], None]:
+        return lambda done: progress((number + done) / len(seeds))
+
     rows = []
     for number, seed in enumerate(seeds):
         emulated = Fleet(experiment, seed=seed, keep_trail=False).run().metrics()
-        with ProcessFleet(experiment, folder / f"seed-{seed}", seed) as lab:
-            played = lab.play(lambda done, number=number: progress((number + done) / len(seeds))).metrics()
-        apart = {share: played[share] - emulated[share] for share in SHARES}
+        with ProcessFleet(experiment, folder / f"seed-{seed}", seed) as fleet:
+            measured = fleet.play(progress_of(number)).metrics()
+        differences = {share: measured[share] - emulated[share] for share in SHARES}
         rows.append(
             {
                 "seed": seed,
                 "emulator": emulated,
-                "processes": played,
-                "apart": apart,
-                "within": all(abs(value) <= ALLOWED for value in apart.values()),
+                "processes": measured,
+                "apart": differences,
+                "within": all(abs(difference) <= MAX_DIFFERENCE for difference in differences.values()),
             }
         )
     return rows
--- a/brookhub/experiments/limiter_process.py
+++ b/brookhub/experiments/limiter_process.py
@@ -1,4 +1,4 @@
-"""One process of the program in a lab: started, signalled, ended by its id, its log read."""
+"""A limiter of an experiment: one process of the program, started, signalled and ended by its id, its log."""
 
 from __future__ import annotations
 
@@ -9,26 +9,34 @@
 import subprocess
 import sys
 import threading
+from collections.abc import Callable
 from contextlib import suppress
 from pathlib import Path
-from typing import Callable
+from typing import Any
 
-ENDS_IN = 6.0  # s for a limiter to end after SIGTERM, longer than its longest client timeout
+from ..fakes import Endpoint
 
+LogLine = dict[str, Any]  # a line of the program's structured log
+SHUTDOWN_TIMEOUT = 6.0  # s for a limiter to end after SIGTERM, longer than the longest client timeout
+PING = b"*1\r\n$4\r\nPING\r\n"
+PONG = b"+PONG\r\n"
 
-def free_port(address: str, kind: int = socket.SOCK_STREAM) -> int:
-    """A port of an address that nobody uses now."""
+
+def free_endpoint(address: str, kind: int = socket.SOCK_STREAM) -> Endpoint:
+    """An IP address with a port that is free now."""
     with socket.socket(socket.AF_INET, kind) as probe:
         probe.bind((address, 0))
-        return probe.getsockname()[1]
+        endpoint: Endpoint = probe.getsockname()
+        return endpoint
 
 
 class Limiter:
-    """One process of the program, started again at the same address as often as asked.
+    """A limiter's process, which may be started again, always at the same endpoints.
 
     `write_config` writes its start file to `config` before each start. The process imports `brookhub` from
     `source_folder`, or from where this process runs if that is None; it may be changed between two starts.
-    `folder` has to be absolute where a source folder is given.
+    `folder` gets the start file and the log; it has to be absolute where a source folder is given. `starts`
+    counts the starts. The owner ends the process by `end`.
     """
 
     def __init__(
@@ -39,21 +47,28 @@
         write_config: Callable[[Limiter], None],
         source_folder: Path | None = None,
     ) -> None:
-        self.index, self.address, self.write_config = index, address, write_config
+        self.index = index
+        self.address = address
+        self.write_config = write_config
         self.source_folder = source_folder
-        self.at = (self.address, free_port(self.address))
-        self.udp = (self.address, free_port(self.address, socket.SOCK_DGRAM))
+        self.endpoint = free_endpoint(address)
+        self.udp_endpoint = free_endpoint(address, socket.SOCK_DGRAM)
         self.config = folder / f"n{index}.json"
         self.log_path = folder / f"n{index}.log"
-        # Guards the two below: the log's lines so far, and the bytes of it that were read
+        # Guards the next two: the log's lines so far, and the number of bytes read
         self.log_lock = threading.Lock()
-        self.log_lines: list[dict] = []
+        self.log_lines: list[LogLine] = []
         self.log_offset = 0
-        self.process: subprocess.Popen | None = None
+        self.process: subprocess.Popen[bytes] | None = None
         self.starts = 0
 
+    @property
+    def name(self) -> str:
+        """Its name in the fleet."""
+        return f"n{self.index}"
+
     def start(self) -> None:
-        """Start the process; it may not be ready yet."""
+        """Start the process; it is not ready yet."""
         self.starts += 1
         self.write_config(self)
         environment = {name: value for name, value in os.environ.items() if not name.startswith("NODE_")}
@@ -68,46 +83,47 @@
 
     def ready(self) -> bool:
         """Whether it answers PING."""
-        with suppress(OSError, ValueError), socket.create_connection(self.at, 1.0) as sock:
-            sock.settimeout(1.0)
-            sock.sendall(b"*1\r\n$4\r\nPING\r\n")
-            return sock.recv(64) == b"+PONG\r\n"
+        with suppress(OSError, ValueError), socket.create_connection(self.endpoint, 1.0) as connection:
+            connection.settimeout(1.0)
+            connection.sendall(PING)
+            return connection.recv(64) == PONG
         return False
 
     def alive(self) -> bool:
         """Whether the process runs."""
         return self.process is not None and self.process.poll() is None
 
-    def hit(self, number: int) -> None:
-        """Send it a signal, if it runs."""
-        if self.alive():
+    def send_signal(self, number: int) -> None:
+        """Send a signal to the process, if it runs."""
+        if self.process is not None and self.alive():
             self.process.send_signal(number)
 
     def end(self, number: int = signal.SIGKILL) -> None:
-        """Have it end by a signal, and kill it where that takes too long."""
-        if self.process is not None:
-            self.hit(signal.SIGCONT)  # a stopped process would not hear SIGTERM
-            self.hit(number)
-            with suppress(subprocess.TimeoutExpired):
-                self.process.wait(ENDS_IN)
-            if self.alive():
-                self.process.kill()
-                self.process.wait()
-
-    def lines(self) -> list[dict]:
-        """Its structured log so far, all starts. Only what was added since the last call is read."""
+        """End the process by a signal and wait for it; after SHUTDOWN_TIMEOUT it is killed."""
+        if self.process is None:
+            return
+        self.send_signal(signal.SIGCONT)  # a stopped process would not get SIGTERM
+        self.send_signal(number)
+        with suppress(subprocess.TimeoutExpired):
+            self.process.wait(SHUTDOWN_TIMEOUT)
+        if self.alive():
+            self.process.kill()
+            self.process.wait()
+
+    def lines(self) -> list[LogLine]:
+        """The structured log so far, of all starts. Reads only what was added since the last call."""
         with self.log_lock:
             if self.log_path.exists():
                 self.read_log()
             return list(self.log_lines)
 
     def read_log(self) -> None:
-        """Read the whole lines that were added to the log. Called under `log_lock`."""
+        """Read the complete lines that were added to the log. Needs `log_lock`."""
         with open(self.log_path, "rb") as log:
             log.seek(self.log_offset)
             added = log.read()
-        whole = added[: added.rfind(b"\n") + 1]
-        self.log_offset += len(whole)
-        for line in whole.decode(errors="replace").splitlines():
+        complete = added[: added.rfind(b"\n") + 1]
+        self.log_offset += len(complete)
+        for line in complete.decode(errors="replace").splitlines():
             with suppress(ValueError):
                 self.log_lines.append(json.loads(line))
--- a/brookhub/experiments/load.py
+++ b/brookhub/experiments/load.py
@@ -1,268 +1,223 @@
-"""A RESP2 load generator: open-loop arrivals of an experiment against the limiters of a lab.
+"""A RESP2 load generator: open-loop arrivals of an experiment against the limiters of a fleet.
 
-Each call goes over a connection of its own from a pool; the record of a call (`Asked`) holds every answer
-that came, so the judge sees lost, late and doubled ones. Times in s (monotonic clock of this machine).
+Each request has a connection to itself while it is out; `ClientRequest` records every answer, so that the
+invariant checker finds lost, late and duplicate ones. Times in s (monotonic clock of this machine).
 """
 
 from __future__ import annotations
 
-import contextlib
 import random
-import socket
 import threading
-from dataclasses import dataclass, field
+from dataclasses import dataclass
 from queue import SimpleQueue
 from time import monotonic, sleep
 
 from ..config.models import Experiment
-from ..fakes import read_value
+from ..fakes import Endpoint
 from ..protocol import resp
-from ..site import Idempotency
+from .client_connections import ClientConnection, ConnectionPools
+from .client_request import Answer, AnswerKind, ClientRequest, RequestEnd
 
-OVERTIME = 1.5  # s after a call's client timeout in which its client still listens, to catch late answers
-REFUSED = 0.5  # s that the front leaves a limiter alone that refused a connection
-DIAL = 1.0  # s for a connection to a limiter to come up
-WORKERS = 600  # calls out at once at most; beyond that the generator itself would be late
-REPEATS = {
-    "idempotent": Idempotency.IDEMPOTENT,
-    "tokened": Idempotency.KEYED,
-    "non_idempotent": Idempotency.NON_IDEMPOTENT,
-}
+LATE_ANSWER_TIME = 1.5  # s after the client timeout in which answers are still recorded
+MIN_TIMEOUT = 0.01  # s
+DEFAULT_RETRY_AFTER = 1.0  # s, for a rejection that does not say
+MAX_WORKERS = 600  # requests out at once; with more threads the generator itself would be late
 
 
-@dataclass(eq=False)
-class Asked:
-    """One API call as its client saw it.
-
-    `answers`: (s, "proxied", "rate-limited" or "errored"), all that came; `end`: "answered", "closed" (the
-    connection ended without one), "none" (silence), "left", "no-limiter".
-    """
-
-    id: int
-    customer: int
-    route: int
-    limiter: int
-    sent: float
-    expires: float
-    repeated: bool = False
-    answers: list = field(default_factory=list)
-    retry_after: float = 0.0
-    end: str = ""
-    ended: float = 0.0
-    again: float = 0.0  # when its client asked once more, its connection having ended
-    before: int = -1  # the limiter that it had asked before that
-    # In a tokened route: the id of the call that its client asked first, where this one asks again
-    token: int = 0
+@dataclass(frozen=True)
+class LoadCustomer:
+    """A customer of the load: the index of its plan, and its requests/s."""
 
+    plan: int
+    rate: float
 
-class Connection:
-    """One client connection to a limiter; `last` is the call answered on it before."""
 
-    def __init__(self, at: tuple[str, int]):
-        self.sock = socket.create_connection(at, DIAL)
-        self.sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
-        self.lines, self.last = self.sock.makefile("rb"), None
-
-    def fresh(self) -> bool:
-        """Whether it can carry another call.
-
-        Bytes nobody asked for are booked as a second answer of the last one.
-        """
-        self.sock.setblocking(False)
-        try:
-            data = self.sock.recv(4096)
-        except BlockingIOError:
-            return True
-        except OSError:
-            return False
-        if data and self.last:
-            self.last.answers.append((monotonic(), "again"))
-        return False
+@dataclass(frozen=True)
+class Job:
+    """A request for a worker; its client cancels it `patience` s after it was sent (0: it does not)."""
 
-    def close(self) -> None:
-        """Close the connection."""
-        with contextlib.suppress(OSError):
-            self.lines.close()
-            self.sock.close()
+    request: ClientRequest
+    patience: float
 
 
 class Load:
-    """Plays the arrivals; `asked` holds every call.
+    """Plays the arrivals of an experiment; `endpoints` are the limiters' in the order of their indices.
 
-    `limiters`: address of each, in the order of their slots.
+    `requests` holds every request, in order. `stop` may be set to end the arrivals before their time.
+    `max_arrival_delay` (s) is the largest delay of an arrival: the generator's own noise. `lock` guards
+    `requests`, the pools and the workers' counts.
     """
 
-    def __init__(self, experiment: Experiment, limiters: list[tuple[str, int]], seed: int):
-        self.experiment, self.limiters, self.rng = experiment, limiters, random.Random(f"load/{seed}")
+    def __init__(self, experiment: Experiment, endpoints: list[Endpoint], seed: int) -> None:
         fleet = experiment.fleet
+        self.experiment = experiment
         self.routes = fleet.routes
-        self.route_weights = [one.share for one in fleet.routes]
         self.customers = [
-            (plan, one.calls_per_s * experiment.load.scale)
-            for plan, one in enumerate(fleet.plans)
-            for _ in range(one.customers)
+            LoadCustomer(number, plan.calls_per_s * experiment.load.scale)
+            for number, plan in enumerate(fleet.plans)
+            for _ in range(plan.customers)
         ]
-        self.weights = [rate for _, rate in self.customers]
-        self.rate = sum(self.weights)
-        self.asked: list[Asked] = []
+        self.rng = random.Random(f"load/{seed}")
         self.lock = threading.Lock()
-        self.pools: list[list[Connection]] = [[] for _ in limiters]
-        self.refused = [0.0] * len(limiters)
-        self.jobs: SimpleQueue = SimpleQueue()
-        self.idle = self.workers = self.ident = 0
-        self.late = 0.0  # s, the most by which an arrival went out late: the generator's own noise
-        self.over, self.stop = threading.Event(), threading.Event()  # stop: no more arrivals, before the time
+        self.pools = ConnectionPools(endpoints, self.rng, self.lock)
+        self.requests: list[ClientRequest] = []
+        self.jobs: SimpleQueue[Job] = SimpleQueue()
+        self.idle_workers = 0
+        self.worker_count = 0
+        self.max_arrival_delay = 0.0
+        self.stop = threading.Event()
+        self.is_over = threading.Event()  # no more requests, retries included
 
     def run(self, seconds: float) -> None:
-        """Send arrivals for so long (s), then wait until the last call has its end."""
-        began = monotonic()
-        due, load = began, self.experiment.load
+        """Send arrivals for so long (s), then wait until every request has ended."""
+        self.send_arrivals(seconds)
+        self.is_over.set()
+        longest = max(route.client_timeout_s for route in self.routes) + LATE_ANSWER_TIME + 1.0
+        deadline = monotonic() + longest
+        while monotonic() < deadline and any(request.end is None for request in self.requests):
+            sleep(0.05)
+        self.pools.close()
+
+    def send_arrivals(self, seconds: float) -> None:
+        """Send requests at random times, until the time is over or `stop` is set."""
+        weights = [customer.rate for customer in self.customers]
+        route_weights = [route.share for route in self.routes]
+        rate = sum(weights)
+        began = due = monotonic()
         while True:
-            bursting = load.shape == "bursty" and (due - began) % load.burst_every_s < load.burst_for_s
-            due += self.rng.expovariate(self.rate * (load.burst_factor if bursting else 1.0))
+            due += self.rng.expovariate(rate * self.rate_factor(due - began))
             if due - began > seconds or self.stop.is_set():
-                break
+                return
             wait = due - monotonic()
             if wait > 0:
                 sleep(wait)
-            self.late = max(self.late, monotonic() - due)
-            customer = self.rng.choices(range(len(self.customers)), self.weights)[0]
-            self.submit(customer, self.rng.choices(range(len(self.routes)), self.route_weights)[0], False)
-        self.over.set()
-        longest = max(one.client_timeout_s for one in self.routes) + OVERTIME + 1.0
-        end = monotonic() + longest
-        while monotonic() < end and any(not one.end for one in self.asked):
-            sleep(0.05)
-        for pool in self.pools:
-            for one in pool:
-                one.fresh()
-                one.close()
-
-    def submit(self, customer: int, route: int, repeated: bool, token: int = 0) -> None:
-        """A client asks; `token`: of the request that it asked first."""
+            self.max_arrival_delay = max(self.max_arrival_delay, monotonic() - due)
+            customer = self.rng.choices(range(len(self.customers)), weights)[0]
+            route = self.rng.choices(range(len(self.routes)), route_weights)[0]
+            self.submit(customer, route)
+
+    def rate_factor(self, elapsed: float) -> float:
+        """The factor on the mean rate, `elapsed` s after the start."""
+        load = self.experiment.load
+        is_burst = load.shape == "bursty" and elapsed % load.burst_every_s < load.burst_for_s
+        return load.burst_factor if is_burst else 1.0
+
+    def submit(self, customer: int, route: int, repeated: ClientRequest | None = None) -> None:
+        """Send a request; `repeated` is the rejected one that its client repeats."""
+        timeout = self.routes[route].client_timeout_s
         with self.lock:
-            self.ident += 1
             now = monotonic()
-            limiter = self.choose(now)
-            one = Asked(
-                self.ident, customer, route, limiter, now, now + self.routes[route].client_timeout_s, repeated
-            )
-            one.token = token or one.id
-            leaves = self.rng.random() < self.experiment.load.give_up_share
-            patience = (
-                self.routes[route].client_timeout_s * (0.2 + 0.7 * self.rng.random()) if leaves else 0.0
-            )
-            self.asked.append(one)
-            spare = self.idle > self.jobs.qsize()
-            if not spare and self.workers < WORKERS:
-                self.workers += 1
+            limiter = self.pools.choose_locked(now)
+            number = len(self.requests) + 1
+            request = ClientRequest(number, customer, route, limiter, now, now + timeout)
+            request.repeats = repeated is not None
+            request.original = number if repeated is None else repeated.original
+            patience = self.draw_patience(timeout)
+            self.requests.append(request)
+            has_idle_worker = self.idle_workers > self.jobs.qsize()
+            if not has_idle_worker and self.worker_count < MAX_WORKERS:
+                self.worker_count += 1
                 threading.Thread(target=self.work, daemon=True).start()
-        self.jobs.put((one, patience))
+        self.jobs.put(Job(request, patience))
 
-    def choose(self, now: float, but: int | None = None) -> int:
-        """The front: a limiter at random, not one that refused a connection just now."""
-        open_to = [n for n in range(len(self.limiters)) if now - self.refused[n] > REFUSED and n != but]
-        return self.rng.choice(open_to or list(range(len(self.limiters))))
+    def draw_patience(self, timeout: float) -> float:
+        """After how many s a client cancels its request; 0 for most, who do not. Needs the lock."""
+        if self.rng.random() >= self.experiment.load.give_up_share:
+            return 0.0
+        return timeout * (0.2 + 0.7 * self.rng.random())
 
     def work(self) -> None:
-        """Play requests, one after another. Runs in a thread of its own."""
+        """Send requests, one after another. Runs in a thread of its own."""
         while True:
             with self.lock:
-                self.idle += 1
-            one, patience = self.jobs.get()
+                self.idle_workers += 1
+            job = self.jobs.get()
             with self.lock:
-                self.idle -= 1
+                self.idle_workers -= 1
+            request = job.request
             try:
-                self.ask(one, patience)
+                self.send(request, job.patience)
             finally:
-                one.ended, one.end = monotonic(), one.end or "closed"
-            how = one.answers[0][1] if one.answers else ""
-            if how == "rate-limited" and not self.over.is_set():
-                with self.lock:
-                    again = self.rng.random() < self.experiment.load.repeat_share
-                if again:
-                    threading.Timer(one.retry_after or 1.0, self.again, (one,)).start()
+                request.ended_at = monotonic()
+                request.end = request.end or RequestEnd.CLOSED
+            if request.outcome is AnswerKind.REJECTED and not self.is_over.is_set():
+                self.maybe_repeat(request)
 
-    def again(self, one: Asked) -> None:
-        """A refused client asks once more."""
-        if not self.over.is_set():
-            self.submit(one.customer, one.route, True, one.token)
+    def maybe_repeat(self, request: ClientRequest) -> None:
+        """Have a share of the rejected clients send their request once more, after the Retry-After."""
+        with self.lock:
+            repeats = self.rng.random() < self.experiment.load.repeat_share
+        if repeats:
+            delay = request.retry_after or DEFAULT_RETRY_AFTER
+            threading.Timer(delay, self.repeat, (request,)).start()
 
-    def words(self, one: Asked) -> bytes:
+    def repeat(self, request: ClientRequest) -> None:
+        """Send a rejected request once more, unless the load is over."""
+        if not self.is_over.is_set():
+            self.submit(request.customer, request.route, request)
+
+    def command(self, request: ClientRequest) -> bytes:
         """The request as a command."""
-        spec, plan = self.routes[one.route], self.experiment.fleet.plans[self.customers[one.customer][0]]
-        reads = spec.repeat == "idempotent"
-        key = f",k={one.token:016x}" if spec.repeat == "tokened" else ""
-        fields = (
-            f"c={spec.name},t={plan.name},d={max(1, round((one.expires - monotonic()) * 1000))}{key}"
-            f"{',r=1' if one.repeated else ''},units=1,spread={len(self.limiters)},first={one.limiter}"
-        )
+        route = self.routes[request.route]
+        plan = self.experiment.fleet.plans[self.customers[request.customer].plan]
+        deadline_ms = max(1, round((request.expires_at - monotonic()) * 1000))
+        fields = [f"c={route.name}", f"t={plan.name}", f"d={deadline_ms}"]
+        if route.repeat == "tokened":
+            fields.append(f"k={request.original:016x}")
+        if request.repeats:
+            fields.append("r=1")
+        fields += ["units=1", f"spread={len(self.pools.endpoints)}", f"first={request.limiter}"]
+        is_read = route.repeat == "idempotent"
+        body = () if is_read else (b"",)
         return resp.command(
-            b"CALL.GET" if reads else b"CALL.POST",
-            b"%016x" % one.customer,
-            b"%016x" % one.id,
-            fields.encode(),
-            *(() if reads else (b"",)),
+            b"CALL.GET" if is_read else b"CALL.POST",
+            b"%016x" % request.customer,
+            b"%016x" % request.id,
+            ",".join(fields).encode(),
+            *body,
         )
 
-    def connect(self, one: Asked) -> tuple[Connection | None, bool]:
-        """A connection to its limiter, or to another where that refuses."""
-        dials = 0
-        while dials <= len(self.limiters):
-            with self.lock:
-                pool = self.pools[one.limiter]
-                held = pool.pop() if pool else None
-            if held:
-                if held.fresh():
-                    return held, True
-                held.close()
-                continue
-            dials += 1
-            try:
-                return Connection(self.limiters[one.limiter]), False
-            except OSError:
-                with self.lock:
-                    self.refused[one.limiter] = monotonic()
-                    one.limiter = self.choose(monotonic(), one.limiter)
-        return None, False
+    def send(self, request: ClientRequest, patience: float) -> None:
+        """Send a request and record its end.
 
-    def ask(self, one: Asked, patience: float) -> None:
-        """Send a request and wait for its answer."""
-        for again in (False, True):
-            conn, used = self.connect(one)
-            if conn is None:
-                one.end = "no-limiter"
+        If the close of an idle connection crossed the request, it is sent once more on another one.
+        """
+        for is_second in (False, True):
+            connection, was_used = self.pools.connect(request)
+            if connection is None:
+                request.end = RequestEnd.NO_LIMITER
                 return
             try:
-                conn.sock.settimeout(DIAL)
-                conn.sock.sendall(self.words(one))
-                conn.sock.settimeout(
-                    max(0.01, (one.sent + patience if patience else one.expires + OVERTIME) - monotonic())
-                )
-                said = read_value(conn.lines)
+                connection.send(self.command(request))
+                ends_at = request.sent_at + patience if patience else request.expires_at + LATE_ANSWER_TIME
+                answer = connection.receive(max(MIN_TIMEOUT, ends_at - monotonic()))
             except TimeoutError:
-                one.end = "left" if patience else "none"
-                conn.close()
+                request.end = RequestEnd.CANCELLED if patience else RequestEnd.SILENT
+                connection.close()
                 return
             except (OSError, ValueError):
-                conn.close()
-                if used and not again:
-                    one.again, one.before = monotonic(), one.limiter
-                    continue  # the close of an idle connection crossed the call: once more, on a new one
-                one.end = "closed"
-                return
-            return self.took(one, conn, said)
-
-    def took(self, one: Asked, conn: Connection, said) -> None:
-        """An answer came."""
-        how = "errored"
-        if said is not None and said[:5] == b"-BUSY":
-            how = "rate-limited"
-            words = said.split()
-            one.retry_after = int(words[1]) / 1000 if len(words) > 1 else 0.0
-        elif said is not None and not said.startswith(b"-"):
-            how = "proxied"
-        one.answers.append((monotonic(), how))
-        one.end, conn.last = "answered", one
-        with self.lock:
-            self.pools[one.limiter].append(conn)
+                connection.close()
+                if not was_used or is_second:
+                    request.end = RequestEnd.CLOSED
+                    return
+                request.resent_at = monotonic()
+                request.previous_limiter = request.limiter
+                continue
+            self.record_answer(request, connection, answer)
+            return
+
+    def record_answer(
+        self, request: ClientRequest, connection: ClientConnection, answer: bytes | None
+    ) -> None:
+        """Record an answer and keep its connection for other requests."""
+        kind = AnswerKind.FAILED
+        if answer is not None and answer.startswith(b"-BUSY"):
+            kind = AnswerKind.REJECTED
+            words = answer.split()
+            request.retry_after = int(words[1]) / 1000 if len(words) > 1 else 0.0
+        elif answer is not None and not answer.startswith(b"-"):
+            kind = AnswerKind.SERVED
+        request.answers.append(Answer(monotonic(), kind))
+        request.end = RequestEnd.ANSWERED
+        connection.last_request = request
+        self.pools.put(request.limiter, connection)
--- a/brookhub/experiments/maintenance.py
+++ b/brookhub/experiments/maintenance.py
@@ -1,155 +1,18 @@
-"""How far a plan is, read from limiters' logs.
-
-Plans on a fleet in the emulator, against a timetable and no agreement.
-"""
+"""Measures maintenance plans on a fleet in the emulator, against a timetable and no agreement."""
 
 from __future__ import annotations
 
-import json
-import signal
-import threading
-from contextlib import suppress
 from pathlib import Path
-from time import monotonic, sleep
 from typing import Callable
 
 from ..config import Experiment
 from ..emulator import Fleet
 from ..emulator.site import Site
 from ..maintenance import Machine, Plan
-from .canvas import panels, saved
+from .canvas import panels, save_figure
 from .jobs import keyed, play_all
 from .together import base
 
-STEPS = {"permitted": "leaving", "back": "filling", "brought back": "waits", "withdrawn": "waits"}
-
-
-def read_status(paths: list[Path]) -> str:
-    """One line for each machine that the logs speak of, then the steward and why it is halted.
-
-    Lines by their time stamps.
-    """
-    lines = []
-    for path in paths:
-        for text in path.read_text(errors="replace").splitlines():
-            with suppress(ValueError):
-                line = json.loads(text)
-                if isinstance(line, dict) and line.get("what") == "maintenance":
-                    lines.append(line)
-    lines.sort(key=lambda line: line.get("timestamp", ""))
-    machines: dict[str, tuple[str, str]] = {}
-    steward = halted = plan = ""
-    refused = []
-    for line in lines:
-        event, machine, at = line.get("event", ""), line.get("machine", ""), line.get("timestamp", "")
-        if event == "steward":
-            steward = line.get("steward", "")
-        elif event == "plan taken":
-            plan = f"version {line.get('version')}, digest {line.get('digest')}"
-        elif event == "plan refused":
-            refused.append(
-                f"version {line.get('version')}, digest {line.get('digest')} (held: {line.get('held')})"
-            )
-        elif event in ("plan halted", "plan goes on"):
-            halted = line.get("why", "") if event == "plan halted" else ""
-        elif machine:
-            step = (
-                "safe to work on"
-                if event.startswith("safe to")
-                else "done"
-                if event.startswith("done")
-                else STEPS.get(event)
-            )
-            if step:
-                machines[machine] = (step, at)
-    told = [f"{name}  {step}  since {at}" for name, (step, at) in machines.items()]
-    told += [f"plan: {plan or 'none taken'}", f"steward: {steward or 'none seen'}"]
-    told += [f"halted: {halted}"] if halted else []
-    told += [f"refused: {one}" for one in dict.fromkeys(refused)]
-    return "\n".join(told)
-
-
-class Workers:
-    """The people who work on machines of a process lab.
-
-    They follow the limiters' logs, begin as soon as one says that it is safe, announce the drain to
-    discovery, take the machine down, work, and bring it back cold.
-
-    A machine's list has servers by their numbers and limiters by their names (n4): those are ended by
-    SIGTERM. `outs`: (machine, from s, to s; 0 while it is out), from "safe to work" to its return.
-    """
-
-    def __init__(self, lab, machines: dict[str, list], work_s: float, grace_s: float):
-        self.lab, self.machines, self.work_s, self.grace_s = lab, machines, work_s, grace_s
-        self.outs: list[list] = []
-        self.read = [0] * len(lab.limiters)
-        self.over, self.errors, self.hooks = threading.Event(), [], {}
-        self.thread = threading.Thread(target=self.follow, daemon=True)
-        self.thread.start()
-
-    def follow(self) -> None:
-        """Read all logs as they grow. Runs in a thread of its own."""
-        while not self.over.is_set():
-            for place, one in enumerate(self.lab.limiters):
-                lines = one.lines()
-                for line in lines[self.read[place] :]:
-                    self.heard(one, line)
-                self.read[place] = len(lines)
-            sleep(0.05)
-
-    def heard(self, limiter, line: dict) -> None:
-        """A limiter logged a line."""
-        event, machine = line.get("event", ""), line.get("machine", "")
-        hook: Callable | None = self.hooks.get(event.split(" ")[0])
-        if hook:
-            hook(limiter, line)
-        if event.startswith("safe to work on ") and not any(
-            one[0] == machine and not one[2] for one in self.outs
-        ):
-            self.outs.append([machine, monotonic(), 0.0])
-            threading.Thread(target=self.work, args=(self.outs[-1],), daemon=True).start()
-
-    def work(self, out: list) -> None:
-        """Somebody works on a machine."""
-        try:
-            servers = [one for one in self.machines[out[0]] if isinstance(one, int)]
-            limiters = [
-                self.lab.limiters[int(one[1:])] for one in self.machines[out[0]] if isinstance(one, str)
-            ]
-            self.lab.drain(servers)
-            sleep(self.grace_s)
-            for ident in servers:
-                self.lab.dead(ident)
-            for one in limiters:
-                self.lab.kill(one, None, signal.SIGTERM)
-            sleep(self.work_s)
-            for one in limiters:
-                one.start()
-                self.lab.wait_ready(one)
-            out[2] = monotonic()
-            self.lab.returned(servers)
-        except BaseException as met:
-            self.errors.append(met)
-
-    def most_out(self) -> int:
-        """The most machines that were out at one time."""
-        ends = [(at, 1) for _, at, _ in self.outs] + [(to or 1e12, -1) for _, _, to in self.outs]
-        most = now = 0
-        for _, step in sorted(ends):
-            now += step
-            most = max(most, now)
-        return most
-
-    def stop(self) -> None:
-        """Follow no more."""
-        self.over.set()
-        self.thread.join(5.0)
-        if self.errors:
-            raise self.errors[0]
-
-
-# measurements in the emulator
-
 RESULTS = "maintenance.jsonl"
 MACHINES, SERVERS, LIMITERS, VOTERS = 12, 5, 200, 5
 # s: of work, of filling, until the plan is given, to start within
@@ -338,4 +201,4 @@
     right.set_xticks(range(len(keys)), [f"{how}\nK {most}" for how, most in keys], fontsize=7)
     right.set_title("served share")
     right.legend(fontsize=7)
-    return saved(figure, png)
+    return save_figure(figure, png)
--- a/brookhub/experiments/membership.py
+++ b/brookhub/experiments/membership.py
@@ -14,7 +14,7 @@
 from typing import Callable
 
 from ..emulator.peers import Crew
-from .canvas import panels, saved
+from .canvas import panels, save_figure
 from .jobs import play_all
 
 RESULTS = "membership.jsonl"
@@ -239,9 +239,9 @@
         lab.wait_ready(victim)
         row["back_s"] = reached(lambda line: line["present"] == limiters, rest, began=started)
         sleep(2.0)
-        lab.split(lab.limiters[: limiters // 2], True)
+        lab.split(lab.limiters[: limiters // 2])
         sleep(split_s)
-        lab.split([], False)
+        lab.heal()
         row["agree_s"] = reached(lambda line: line["present"] == limiters, lab.limiters)
         sleep(2.0)
         lab.mesh.set_all(loss=0.1, duplicate=0.1, reorder=0.1)
@@ -356,4 +356,4 @@
     axes[2].tick_params(axis="x", labelsize=7)
     axes[2].set_yscale("symlog")
     axes[2].set_title("false deaths an hour, 200 members")
-    return saved(figure, png)
+    return save_figure(figure, png)
--- a/brookhub/experiments/plans.py
+++ b/brookhub/experiments/plans.py
@@ -1,8 +1,6 @@
-"""Plans of work on processes, long.
+"""Maintenance plans on processes: eight limiters, 12 servers under load, a fault at each step of a take-out.
 
-Eight limiters, 12 servers under load, one fault at each step of a take-out, all judged.
-
-`play(scenario, folder, seed)` -> a row: what broke, machines out at most, how long the plan took.
+`play(scenario, max_out, folder, seed)` -> a row: violations, machines out, duration of the plan. See
 docs/maintenance.md.
 """
 
@@ -10,23 +8,40 @@
 
 import signal
 import threading
+from collections.abc import Mapping, Sequence
 from pathlib import Path
 from time import monotonic, sleep
 
 from ..config import Experiment
-from .maintenance import Workers
+from .jobs import Row
+from .limiter_process import Limiter, LogLine
+from .maintenance_workers import Workers
 from .processes import ProcessFleet
 
-LIMITERS, SERVERS, GRACE, WORK = 8, 12, 1.0, 2.0  # s: from the drain's announcement to the end; of work
-LONGEST = 110.0  # s until a plan counts as one that does not end
-MACHINES = {f"m{n}": [2 * n, 2 * n + 1] for n in range(4)}
-STEPS = {
+LIMITERS = 8
+SERVERS = 12
+GRACE_S = 1.0  # from the announcement of a drain to its end
+WORK_S = 2.0
+LIMIT_S = 110.0  # duration of a run
+PLAN_LIMIT_S = 95.0  # after which a plan counts as one that does not end
+POLL_INTERVAL = 0.2  # s
+CONVERGED_AFTER = 3.0  # s until all members know each other
+FAULT_TIME = 8.0  # s that links are cut
+MACHINES: Mapping[str, Sequence[int]] = {f"m{number}": [2 * number, 2 * number + 1] for number in range(4)}
+
+# Scenarios that kill the limiter that logs an event, by the first word of the event
+KILLED_AT = {
     "killed, permitted": "permitted",
     "killed, open": "safe",
     "killed, back": "back",
     "killed, done": "done",
 }
-SCENARIOS = ("quiet", *STEPS, "stopped past its lease", "cut one way", "restart of all", "split", "two plans")
+STALLED = "stopped past its lease"
+CUT = "cut one way"
+RESTART = "restart of all"
+SPLIT = "split"
+TWO_PLANS = "two plans"
+SCENARIOS = ("quiet", *KILLED_AT, STALLED, CUT, RESTART, SPLIT, TWO_PLANS)
 
 
 def experiment(seconds: float) -> Experiment:
@@ -39,7 +54,7 @@
             "load": {"give_up_share": 0.0},
             "fleet": {
                 "limiters": LIMITERS,
-                "grace_s": GRACE,
+                "grace_s": GRACE_S,
                 "membership": {"on": True, "period_s": 0.2},
                 "servers": {"count": SERVERS, "places": 4, "service_s": 0.05, "warm_after_s": 3.0},
                 "counter": {"wait_s": 0.2},
@@ -53,113 +68,141 @@
     )
 
 
-def plan(most: int, version: int = 1, machines: dict = MACHINES) -> str:
+def plan(max_out: int, version: int = 1, machines: Mapping[str, Sequence[int]] = MACHINES) -> str:
     """A plan as an operator writes it."""
-    head = (
-        f'version = {version}\nvoters = ["n0", "n1", "n2"]\nmost_out = {most}\nmost_zone = 4\ncapacity_least = 0.3\n'
-        "work_most_s = 60.0\nstart_within_s = 3.0\nfill_s = 0.5\npause_s = 0.0\n"
-    )
-    return head + "".join(
-        f'[[machines]]\nname = "{name}"\nservers = {[f"s-{one}" for one in own]}\n'.replace("'", '"')
-        for name, own in machines.items()
-    )
-
-
-def play(scenario: str, most: int, folder: Path, seed: int = 1) -> dict:
-    """One plan with one fault; raises lab.processes.ExperimentError where it can't be played."""
-    with ProcessFleet(experiment(LONGEST), folder, seed) as lab:
-        found: dict = {}
-        start = lab.start
-
-        def started() -> None:
-            start()
-            threading.Thread(target=script, daemon=True).start()
-
-        def script() -> None:
-            try:
-                found.update(run(lab, scenario, most))
-            finally:
-                lab.load.stop.set()
-
-        lab.start = started
-        outcome = lab.play()
+    lines = [
+        f"version = {version}",
+        'voters = ["n0", "n1", "n2"]',
+        f"most_out = {max_out}",
+        "most_zone = 4",
+        "capacity_least = 0.3",
+        "work_most_s = 60.0",
+        "start_within_s = 3.0",
+        "fill_s = 0.5",
+        "pause_s = 0.0",
+    ]
+    for name, servers in machines.items():
+        listed = ", ".join(f'"s-{server}"' for server in servers)
+        lines += ["[[machines]]", f'name = "{name}"', f"servers = [{listed}]"]
+    return "\n".join(lines) + "\n"
+
+
+def play(scenario: str, max_out: int, folder: Path, seed: int = 1) -> Row:
+    """Run one plan with the fault of a scenario; raises ExperimentError if it can't be run."""
+    with ProcessFleet(experiment(LIMIT_S), folder, seed) as fleet:
+        run = PlanRun(fleet, scenario, max_out)
+        outcome = fleet.play(script=run.play)
         result = outcome.result
         return {
             "scenario": scenario,
-            "most": most,
+            "most": max_out,
             "seed": seed,
             "broken": result.broken,
             "first": result.first_break,
-            "served": round(result.proxied / max(1, result.calls - outcome.verdict.excused), 4),
-            "excused": outcome.verdict.excused,
-            "noise": outcome.noise,
-            **found,
+            "served": round(result.proxied / max(1, result.calls - outcome.checks.excused), 4),
+            "excused": outcome.checks.excused,
+            "noise": outcome.noise.metrics(),
+            **run.figures,
         }
 
 
-def run(lab: ProcessFleet, scenario: str, most: int) -> dict:
-    """Play a plan with its fault; the figures."""
-    sleep(3.0)  # until they know each other
-    workers, once, began = Workers(lab, MACHINES, WORK, GRACE), threading.Event(), monotonic()
+class PlanRun:
+    """One plan with one fault on a fleet; `figures` are there when `play` has returned."""
+
+    def __init__(self, fleet: ProcessFleet, scenario: str, max_out: int) -> None:
+        self.fleet = fleet
+        self.scenario = scenario
+        self.max_out = max_out
+        self.figures: Row = {}
+        self.fault_began = threading.Event()
+
+    def play(self) -> None:
+        """Give the plan, wait for its end, and measure. Runs beside the load."""
+        sleep(CONVERGED_AFTER)
+        workers = Workers(self.fleet, MACHINES, WORK_S, GRACE_S)
+        began = monotonic()
+        workers.hooks[KILLED_AT.get(self.scenario, "safe")] = self.begin_fault
+        self.give_plans()
+        while monotonic() - began < PLAN_LIMIT_S and not self.is_done():
+            sleep(POLL_INTERVAL)
+        duration = monotonic() - began
+        workers.stop()
+        self.figures = {
+            "ended": self.is_done(),
+            "took_s": round(duration, 1),
+            "most_out": workers.max_out(),
+            "kept": workers.max_out() <= self.max_out,
+            "stewards": len(self.lines("steward")) - len(self.lines("steward no")),
+            "refused": len(self.lines("plan refused")),
+            "faults": len(self.lines("fault")),
+        }
 
-    def fault(limiter, line: dict) -> None:
-        if once.is_set():
+    def give_plans(self) -> None:
+        """Put the plan on all limiters; one of them is told, or two of different plans."""
+        limiters = self.fleet.limiters
+        for limiter in limiters:
+            self.fleet.plan_path(limiter).write_text(plan(self.max_out))
+        if self.scenario not in (SPLIT, TWO_PLANS):
+            limiters[3].send_signal(signal.SIGHUP)
             return
-        once.set()
-        lab.after(0.0, lambda: act(limiter))
-
-    def act(limiter) -> None:
-        if scenario in STEPS:
-            lab.kill(limiter, 1.0)
-        elif scenario == "stopped past its lease":
-            lab.stall(limiter, 6.0)
-        elif scenario == "cut one way":
-            ways = [way for way in lab.mesh.directions if way[0] == f"n{limiter.index}"]
-            for way in ways:
-                lab.mesh.set(*way, cut=True)
-            sleep(8.0)
-            lab.mesh.clear()
-        elif scenario == "restart of all":
-            ends = [threading.Thread(target=lab.kill, args=(one, 0.5)) for one in lab.limiters]
-            for one in ends:
-                one.start()
-            for one in ends:
-                one.join()
-        elif scenario == "split":
-            lab.split([*lab.limiters[:1], *lab.limiters[5:]], True)
-            sleep(8.0)
-            lab.split([], False)
-
-    for one in lab.limiters:
-        lab.plan_path(one).write_text(plan(most))
-    workers.hooks[STEPS.get(scenario, "safe")] = fault
-    if scenario in ("split", "two plans"):
-        lab.limiters[0].hit(signal.SIGHUP)
-        if scenario == "two plans":
-            lab.give_plan(lab.limiters[5], plan(most, machines=dict(list(MACHINES.items())[:2])))
+        limiters[0].send_signal(signal.SIGHUP)
+        if self.scenario == TWO_PLANS:
+            fewer = dict(list(MACHINES.items())[:2])
+            self.fleet.give_plan(limiters[5], plan(self.max_out, machines=fewer))
             sleep(3.0)
-            for one in lab.limiters:  # the operators settle it
-                lab.give_plan(one, plan(most, version=2))
-    else:
-        lab.limiters[3].hit(signal.SIGHUP)
+            for limiter in limiters:  # the operators resolve the conflict
+                self.fleet.give_plan(limiter, plan(self.max_out, version=2))
 
-    def lines(event: str) -> list[dict]:
+    def lines(self, prefix: str) -> list[LogLine]:
+        """All limiters' log lines whose event begins so."""
         return [
-            line for one in lab.limiters for line in one.lines() if line.get("event", "").startswith(event)
+            line
+            for limiter in self.fleet.limiters
+            for line in limiter.lines()
+            if line.get("event", "").startswith(prefix)
         ]
 
-    while monotonic() - began < LONGEST - 15.0:
-        if {line["machine"] for line in lines("done with")} == set(MACHINES):
-            break
-        sleep(0.2)
-    took = monotonic() - began
-    workers.stop()
-    return {
-        "ended": {line["machine"] for line in lines("done with")} == set(MACHINES),
-        "took_s": round(took, 1),
-        "most_out": workers.most_out(),
-        "kept": workers.most_out() <= most,
-        "stewards": len(lines("steward")) - len(lines("steward no")),
-        "refused": len(lines("plan refused")),
-        "faults": len(lines("fault")),
-    }
+    def is_done(self) -> bool:
+        """Whether the plan is done with all machines."""
+        return {line["machine"] for line in self.lines("done with")} == set(MACHINES)
+
+    def begin_fault(self, limiter: Limiter, line: LogLine) -> None:
+        """Begin the scenario's fault, once, at the limiter that logged its event."""
+        if not self.fault_began.is_set():
+            self.fault_began.set()
+            self.fleet.after(0.0, lambda: self.inject_fault(limiter))
+
+    def inject_fault(self, limiter: Limiter) -> None:
+        """Inject the scenario's fault. Returns when it is cleared."""
+        if self.scenario in KILLED_AT:
+            self.fleet.kill(limiter, 1.0)
+        elif self.scenario == STALLED:
+            self.fleet.stall(limiter, 6.0)
+        elif self.scenario == CUT:
+            self.cut_sender(limiter)
+        elif self.scenario == RESTART:
+            self.restart_all()
+        elif self.scenario == SPLIT:
+            limiters = self.fleet.limiters
+            self.fleet.split([*limiters[:1], *limiters[5:]])
+            sleep(FAULT_TIME)
+            self.fleet.heal()
+
+    def cut_sender(self, limiter: Limiter) -> None:
+        """Drop all that a limiter sends to its peers, for a while."""
+        mesh = self.fleet.mesh
+        for path in mesh.directions:
+            if path.sender == limiter.name:
+                mesh.set(path.sender, path.receiver, cut=True)
+        sleep(FAULT_TIME)
+        mesh.clear()
+
+    def restart_all(self) -> None:
+        """Kill all limiters at once and start them again."""
+        threads = [
+            threading.Thread(target=self.fleet.kill, args=(limiter, 0.5)) for limiter in self.fleet.limiters
+        ]
+        for thread in threads:
+            thread.start()
+        for thread in threads:
+            thread.join()
--- a/brookhub/experiments/plot.py
+++ b/brookhub/experiments/plot.py
@@ -1,11 +1,14 @@
-"""Plots of a sweep's results (matplotlib, PNG): served and rate-limited share, p50/p99 latency, overshoot."""
+"""Plots of a sweep's results (PNG): shares of answers, latency percentiles, overshoot."""
 
 from __future__ import annotations
 
 from collections import defaultdict
+from collections.abc import Sequence
 from pathlib import Path
+from typing import Any
 
-from .canvas import panels, saved
+from .canvas import panels, save_figure
+from .jobs import Row
 from .sweep import read
 
 PANELS = [
@@ -16,42 +19,53 @@
     ("quota_overshoot", "mean quota overshoot"),
     ("ceiling_overshoot", "worst ceiling overshoot"),
 ]
+LOGARITHMIC = ("limiters", "count")  # last names of swept parameters that have a logarithmic axis
 
+Metrics = dict[str, float]
+Line = list[tuple[Any, Metrics]]  # value of the first axis, metrics
 
-def series(rows: list[dict]) -> tuple[str, dict]:
-    """The first axis's name and {second-axis value: [(x, {metric: mean over seeds})]}."""
-    ok = [row for row in rows if "metrics" in row]
-    if not ok:
+
+def series(rows: list[Row]) -> tuple[str, dict[str, Line]]:
+    """The first axis's name, and a line per value of the second axis, with means over the seeds.
+
+    Raises ValueError if no row has metrics.
+    """
+    finished = [row for row in rows if "metrics" in row]
+    if not finished:
         raise ValueError("no finished points to plot")
-    names = list(ok[0]["params"])
+    names = list(finished[0]["params"])
     first = names[0] if names else "point"
-    groups: dict = defaultdict(lambda: defaultdict(list))
-    for row in ok:
-        x = row["params"].get(first, 0)
+    groups: dict[tuple[tuple[str, Any], ...], dict[Any, list[Metrics]]] = defaultdict(
+        lambda: defaultdict(list)
+    )
+    for row in finished:
         second = tuple((name, row["params"][name]) for name in names[1:])
-        groups[second][x].append(row["metrics"])
+        groups[second][row["params"].get(first, 0)].append(row["metrics"])
     lines = {}
-    for second, by_x in sorted(groups.items(), key=lambda item: str(item[0])):
+    for second, metrics_by_value in sorted(groups.items(), key=lambda item: str(item[0])):
         label = ", ".join(f"{name}={value}" for name, value in second) or "all"
-        lines[label] = [
-            (x, {key: sum(m[key] for m in ms) / len(ms) for key, _ in PANELS})
-            for x, ms in sorted(by_x.items())
-        ]
+        lines[label] = [(value, mean_metrics(metrics)) for value, metrics in sorted(metrics_by_value.items())]
     return first, lines
 
 
-def plot(out: Path, title: str, png: Path | None = None) -> Path:
-    """Draw a results folder; the picture's path."""
-    first, lines = series(read(out))
+def mean_metrics(metrics: Sequence[Metrics]) -> Metrics:
+    """The means of the plotted metrics."""
+    return {key: sum(each[key] for each in metrics) / len(metrics) for key, _ in PANELS}
+
+
+def plot(folder: Path, title: str, png: Path | None = None) -> Path:
+    """Draw the plots of a results folder; returns the picture's path."""
+    first, lines = series(read(folder))
     figure, axes = panels(3, (13, 7), rows=2)
-    for (key, label), axis in zip(PANELS, axes.flat, strict=False):
-        for name, points in lines.items():
-            axis.plot([x for x, _ in points], [values[key] for _, values in points], marker="o", label=name)
+    for (key, label), axis in zip(PANELS, axes.flat, strict=True):
+        for name, line in lines.items():
+            values = [value for value, _ in line]
+            axis.plot(values, [metrics[key] for _, metrics in line], marker="o", label=name)
         axis.set_title(label)
         axis.set_xlabel(first)
-        if first.endswith("limiters") or first.endswith("count"):
+        if first.endswith(LOGARITHMIC):
             axis.set_xscale("log")
         axis.grid(alpha=0.3)
     axes.flat[0].legend(fontsize=8)
     figure.suptitle(title)
-    return saved(figure, png or out / "plot.png")
+    return save_figure(figure, png or folder / "plot.png")
--- a/brookhub/experiments/process_faults.py
+++ b/brookhub/experiments/process_faults.py
@@ -1,47 +1,77 @@
-"""Faults of an experiment, played on a process lab. Each clears itself after its time."""
+"""The faults of an experiment on processes. Each one is cleared after its time."""
 
 from __future__ import annotations
 
+import random
 import signal
-from typing import Any, Callable, Sequence
+from collections.abc import Callable, Iterable, Sequence
+from functools import partial
+from typing import Protocol, TypeVar
 
 from ..config.models import FaultSpec
 from ..emulator.faults import pick_share
-from ..model import ServerState
+from ..fakes import CounterMode, FakeCounter, ModelServer
+from ..fault_injection import DirectionName, TcpLink, UdpMesh
 from .errors import ExperimentError
+from .fleet_files import FleetLinks
 from .limiter_process import Limiter
+from .upstreams import Upstreams
 
-RESTART_AFTER = 1.0  # s a restarted limiter is away, as in the emulator
+RESTART_DELAY = 1.0  # s that a restarted limiter is away, as in the emulator
 
+Item = TypeVar("Item")
 
-class ProcessFaults:
-    """Plays faults on a `processes.ProcessFleet`, whose chance it uses.
 
-    What takes a while runs in threads of the lab's.
-    """
+class FaultyFleet(Protocol):
+    """The fleet that faults are played on; see `processes.ProcessFleet`."""
+
+    rng: random.Random
+    limiters: list[Limiter]
+    upstreams: Upstreams
+    counter: FakeCounter
+    fleet_links: FleetLinks
+
+    def note(self, text: str) -> None:
+        """Record an event of the run."""
+
+    def after(self, seconds: float, action: Callable[[], object]) -> None:
+        """Run an action later, in a thread of its own."""
+
+    def kill(self, limiter: Limiter, restart_after: float | None = None, number: int = ...) -> None:
+        """End a limiter by a signal, and start it again."""
 
-    def __init__(self, lab: Any) -> None:
-        self.lab = lab
+    def stall(self, limiter: Limiter, seconds: float) -> None:
+        """Stop a limiter for so long."""
+
+    def cut(self, limiter: Limiter, servers: Sequence[int], direction: DirectionName, seconds: float) -> None:
+        """Cut a limiter's links to servers for so long."""
+
+
+class ProcessFaults:
+    """Plays faults on a fleet, by the fleet's random choices. What takes time runs in the fleet's threads."""
+
+    def __init__(self, fleet: FaultyFleet) -> None:
+        self.fleet = fleet
         self.actions: dict[str, Callable[[FaultSpec], None]] = {
-            "kill_limiters": self.end_limiters,
-            "restart_limiters": self.end_limiters,
-            "term_limiters": self.end_limiters,
+            "kill_limiters": self.kill_limiters,
+            "restart_limiters": self.restart_limiters,
+            "term_limiters": self.shut_down_limiters,
             "stall_limiters": self.stall_limiters,
             "split_limiters": self.cut_peers,
             "cut_peers": self.cut_peers,
             "lose_packets": self.lose_packets,
             "cut_links": self.cut_links,
-            "reset_links": self.change_links,
-            "delay_links": self.change_links,
+            "reset_links": self.reset_links,
+            "delay_links": self.delay_links,
             "drain_servers": self.drain_servers,
-            "replace_servers": self.drain_servers,
+            "replace_servers": self.replace_servers,
             "zone_lost": self.lose_zone,
-            "slow_servers": self.spoil_servers,
-            "failing_servers": self.spoil_servers,
-            "silent_servers": self.spoil_servers,
-            "counter_down": self.stop_counter,
-            "counter_wipe": lambda fault: self.lab.counter.wipe(),
-            "counter_lose": lambda fault: self.lab.counter.lose(fault.share),
+            "slow_servers": self.degrade_servers,
+            "failing_servers": self.degrade_servers,
+            "silent_servers": self.degrade_servers,
+            "counter_down": self.silence_counter,
+            "counter_wipe": self.wipe_counter,
+            "counter_lose": self.lose_counts,
             "counter_swap": self.swap_counter,
             "counter_late": self.delay_counter,
             "counter_split": self.split_counter,
@@ -49,132 +79,201 @@
         }
 
     def play(self, fault: FaultSpec) -> None:
-        """Play a fault now; what ends after `for_s` is cleared then. Raises ExperimentError."""
-        self.lab.note(f"fault {fault.action} {fault.share} for {fault.for_s} s")
+        """Inject a fault now, and clear it after `for_s` if it has a duration. Raises ExperimentError."""
+        self.fleet.note(f"fault {fault.action} {fault.share} for {fault.for_s} s")
         action = self.actions.get(fault.action)
         if action is None:
             raise ExperimentError(f"{fault.action}: not played on processes, only in the emulator")
         action(fault)
 
-    def pick(self, items: Sequence[Any], share: float) -> list[Any]:
-        """A share of the items by the lab's chance."""
-        return pick_share(self.lab.rng, items, share)
+    def pick(self, items: Sequence[Item], share: float) -> list[Item]:
+        """A random share of the items."""
+        return pick_share(self.fleet.rng, items, share)
+
+    # limiters
 
-    def living(self) -> list[Limiter]:
-        """The limiters that run."""
-        return [one for one in self.lab.limiters if one.alive()]
+    def pick_running(self, share: float) -> list[Limiter]:
+        """A random share of the limiters that run."""
+        return self.pick([limiter for limiter in self.fleet.limiters if limiter.alive()], share)
 
-    def ready_servers(self) -> list[int]:
-        """The servers that neither drain nor are gone."""
-        return [ident for ident, one in self.lab.servers.items() if one.model.state is ServerState.READY]
+    def kill_limiters(self, fault: FaultSpec) -> None:
+        """Kill limiters for good."""
+        self.end_limiters(fault, None, signal.SIGKILL)
 
-    # limiters
+    def restart_limiters(self, fault: FaultSpec) -> None:
+        """Kill limiters and start them again."""
+        self.end_limiters(fault, RESTART_DELAY, signal.SIGKILL)
 
-    def end_limiters(self, fault: FaultSpec) -> None:
-        """By SIGKILL or SIGTERM, and started again where the action says so."""
-        number = signal.SIGTERM if fault.action == "term_limiters" else signal.SIGKILL
-        back = None if fault.action == "kill_limiters" else RESTART_AFTER
-        for one in self.pick(self.living(), fault.share):
-            self.lab.after(0.0, lambda one=one: self.lab.kill(one, back, number))
+    def shut_down_limiters(self, fault: FaultSpec) -> None:
+        """Shut limiters down gracefully and start them again."""
+        self.end_limiters(fault, RESTART_DELAY, signal.SIGTERM)
+
+    def end_limiters(self, fault: FaultSpec, restart_after: float | None, number: int) -> None:
+        """End limiters by a signal."""
+        for limiter in self.pick_running(fault.share):
+            self.fleet.after(0.0, partial(self.fleet.kill, limiter, restart_after, number))
 
     def stall_limiters(self, fault: FaultSpec) -> None:
-        """They are stopped for a while."""
-        for one in self.pick(self.living(), fault.share):
-            self.lab.after(0.0, lambda one=one: self.lab.stall(one, fault.for_s))
+        """Stop limiters for a while."""
+        for limiter in self.pick_running(fault.share):
+            self.fleet.after(0.0, partial(self.fleet.stall, limiter, fault.for_s))
 
     # links
 
-    def mesh(self, fault: FaultSpec) -> Any:
-        """The relays of the peers' datagrams. Raises ExperimentError where there are none."""
-        if not self.lab.mesh:
+    def mesh(self, fault: FaultSpec) -> UdpMesh:
+        """The links among the members; raises ExperimentError if membership is off."""
+        mesh = self.fleet.fleet_links.mesh
+        if mesh is None:
             raise ExperimentError(
                 f"{fault.action}: the experiment's fleet has no membership, so no peer links"
             )
-        return self.lab.mesh
+        return mesh
 
     def lose_packets(self, fault: FaultSpec) -> None:
-        """Datagrams between limiters are lost, doubled and reordered."""
+        """Lose, duplicate and reorder datagrams among the members."""
         mesh = self.mesh(fault)
         mesh.set_all(loss=fault.share, duplicate=fault.share, reorder=fault.share)
-        self.lab.after(fault.for_s, mesh.clear)
+        self.fleet.after(fault.for_s, mesh.clear)
 
     def cut_peers(self, fault: FaultSpec) -> None:
-        """Datagrams do not pass between two sides, or one way only."""
+        """Cut the peer links between two sides of the fleet, in both directions or in one."""
         mesh = self.mesh(fault)
-        side = {f"n{one.index}" for one in self.pick(self.lab.limiters, fault.share)}
-        for (a, b), way in mesh.directions.items():
-            out, into = a in side and b not in side, b in side and a not in side
-            if (out and fault.way != "back") or (into and fault.way != "forward"):
-                way.set(cut=True)
-        self.lab.after(fault.for_s, mesh.clear)
+        side = {limiter.name for limiter in self.pick(self.fleet.limiters, fault.share)}
+        for path, direction in mesh.directions.items():
+            leaves_side = path.sender in side and path.receiver not in side
+            enters_side = path.receiver in side and path.sender not in side
+            if (leaves_side and fault.way != "back") or (enters_side and fault.way != "forward"):
+                direction.set(cut=True)
+        self.fleet.after(fault.for_s, mesh.clear)
 
     def cut_links(self, fault: FaultSpec) -> None:
-        """Links from limiters to servers carry nothing."""
+        """Cut links from limiters to servers."""
         servers: dict[str, list[int]] = {}
-        for address, ident in self.pick(sorted(self.lab.links), fault.share):
-            servers.setdefault(address, []).append(ident)
-        for one in self.lab.limiters:
-            if one.address in servers:
-                cut = servers[one.address]
-                self.lab.after(0.0, lambda one=one, cut=cut: self.lab.cut(one, cut, fault.way, fault.for_s))
-
-    def change_links(self, fault: FaultSpec) -> None:
-        """Links from limiters to servers are reset, or delay what they carry."""
-        changed = [self.lab.links[key] for key in self.pick(sorted(self.lab.links), fault.share)]
-        what = {"reset": 1.0} if fault.action == "reset_links" else {"delay": fault.delay_s}
-        for link in changed:
-            link.set(fault.way, **what)
-        self.lab.after(fault.for_s, lambda: [link.clear() for link in changed])
+        for address, server in self.pick(sorted(self.fleet.upstreams.links), fault.share):
+            servers.setdefault(address, []).append(server)
+        for limiter in self.fleet.limiters:
+            if limiter.address in servers:
+                cut = partial(self.fleet.cut, limiter, servers[limiter.address], fault.way, fault.for_s)
+                self.fleet.after(0.0, cut)
+
+    def pick_links(self, share: float) -> list[TcpLink]:
+        """A random share of the links from limiters to servers."""
+        links = self.fleet.upstreams.links
+        return [links[key] for key in self.pick(sorted(links), share)]
+
+    def clear_links(self, links: Iterable[TcpLink], seconds: float) -> None:
+        """Clear links after a while."""
+
+        def clear() -> None:
+            for link in links:
+                link.clear()
+
+        self.fleet.after(seconds, clear)
+
+    def reset_links(self, fault: FaultSpec) -> None:
+        """Reset connections from limiters to servers."""
+        links = self.pick_links(fault.share)
+        for link in links:
+            link.set(fault.way, reset=1.0)
+        self.clear_links(links, fault.for_s)
+
+    def delay_links(self, fault: FaultSpec) -> None:
+        """Delay what links from limiters to servers carry."""
+        links = self.pick_links(fault.share)
+        for link in links:
+            link.set(fault.way, delay=fault.delay_s)
+        self.clear_links(links, fault.for_s)
 
     # servers
 
     def drain_servers(self, fault: FaultSpec) -> None:
-        """They drain and are gone after a while, replaced by cold ones where the action says so."""
-        drained = self.pick(self.ready_servers(), fault.share)
-        self.lab.drain(drained)
-        self.lab.after(fault.for_s, lambda: self.lab.gone(drained, fault.action == "replace_servers"))
+        """Drain servers, which are gone after a while."""
+        self.remove_servers(fault, replace=False)
+
+    def replace_servers(self, fault: FaultSpec) -> None:
+        """Drain servers, and replace them by new ones after a while."""
+        self.remove_servers(fault, replace=True)
+
+    def remove_servers(self, fault: FaultSpec, replace: bool) -> None:
+        """Drain servers, and remove them after a while."""
+        upstreams = self.fleet.upstreams
+        servers = self.pick(upstreams.ready(), fault.share)
+        upstreams.drain(servers)
+        self.fleet.after(fault.for_s, lambda: upstreams.remove(servers, replace))
 
     def lose_zone(self, fault: FaultSpec) -> None:
-        """All servers of a zone refuse for a while and come back cold."""
-        lost = [ident for ident in self.ready_servers() if self.lab.servers[ident].model.zone == fault.zone]
-        for ident in lost:
-            self.lab.dead(ident)
-        self.lab.after(fault.for_s, lambda: self.lab.returned(lost))
-
-    def spoil_servers(self, fault: FaultSpec) -> None:
-        """They are slow, fail or stay silent for a while."""
-        hit = [self.lab.servers[ident].model for ident in self.pick(self.ready_servers(), fault.share)]
-        for model in hit:
-            model.mode, model.slow_factor = fault.action.removesuffix("_servers"), fault.factor
-        self.lab.after(fault.for_s, lambda: [setattr(model, "mode", "ok") for model in hit])
+        """Crash all servers of a zone; they return after a while with a slow start."""
+        upstreams = self.fleet.upstreams
+        lost = [server for server in upstreams.ready() if upstreams.servers[server].model.zone == fault.zone]
+        for server in lost:
+            upstreams.crash(server)
+        self.fleet.after(fault.for_s, lambda: upstreams.revive(lost))
+
+    def degrade_servers(self, fault: FaultSpec) -> None:
+        """Make servers slow, failing or silent for a while."""
+        upstreams = self.fleet.upstreams
+        models = [upstreams.servers[server].model for server in self.pick(upstreams.ready(), fault.share)]
+        for model in models:
+            model.mode = fault.action.removesuffix("_servers")
+            model.slow_factor = fault.factor
+
+        def recover() -> None:
+            for model in models:
+                model.mode = "ok"
+
+        self.fleet.after(fault.for_s, recover)
 
     # the counter
 
-    def stop_counter(self, fault: FaultSpec) -> None:
-        """It answers nothing for a while."""
-        self.lab.counter.mode = "silent"
-        self.lab.after(fault.for_s, lambda: setattr(self.lab.counter, "mode", "ok"))
+    def silence_counter(self, fault: FaultSpec) -> None:
+        """Have the counter answer nothing for a while."""
+        counter = self.fleet.counter
+        counter.mode = CounterMode.SILENT
+
+        def recover() -> None:
+            counter.mode = CounterMode.OK
+
+        self.fleet.after(fault.for_s, recover)
+
+    def wipe_counter(self, fault: FaultSpec) -> None:
+        """Have the counter forget all counts."""
+        self.fleet.counter.wipe()
+
+    def lose_counts(self, fault: FaultSpec) -> None:
+        """Have the counter forget a share of its counts."""
+        self.fleet.counter.lose(fault.share)
 
     def swap_counter(self, fault: FaultSpec) -> None:
-        """An empty one takes its place for a while."""
-        self.lab.counter.swap()
-        self.lab.after(fault.for_s, self.lab.counter.restore)
+        """Put an empty counter in its place for a while."""
+        self.fleet.counter.swap()
+        self.fleet.after(fault.for_s, self.fleet.counter.restore)
 
     def delay_counter(self, fault: FaultSpec) -> None:
-        """It answers later for a while."""
-        counter = self.lab.counter
+        """Have the counter answer later for a while."""
+        counter = self.fleet.counter
         counter.delay += fault.delay_s
-        self.lab.after(fault.for_s, lambda: setattr(counter, "delay", counter.delay - fault.delay_s))
+
+        def recover() -> None:
+            counter.delay -= fault.delay_s
+
+        self.fleet.after(fault.for_s, recover)
 
     def split_counter(self, fault: FaultSpec) -> None:
-        """Half of the limiters reach another one for a while."""
-        odd = {one.address for one in self.lab.limiters if one.index % 2}
-        self.lab.counter.split(lambda limiter: int(limiter in odd))
-        self.lab.after(fault.for_s, self.lab.counter.heal)
+        """Have every second limiter reach another counter for a while."""
+        other_side = {limiter.address for limiter in self.fleet.limiters if limiter.index % 2}
+        self.fleet.counter.split(lambda limiter: int(limiter in other_side))
+        self.fleet.after(fault.for_s, self.fleet.counter.heal)
+
+    # answers
 
     def lose_answers(self, fault: FaultSpec) -> None:
-        """Answers of servers and counter get lost for a while."""
-        hit = [self.lab.counter, *self.lab.servers.values()]
-        for one in hit:
-            one.answer_loss = fault.share
-        self.lab.after(fault.for_s, lambda: [setattr(one, "answer_loss", 0.0) for one in hit])
+        """Lose a share of the answers of servers and counter for a while."""
+        fakes: list[FakeCounter | ModelServer] = [self.fleet.counter, *self.fleet.upstreams.servers.values()]
+        for fake in fakes:
+            fake.answer_loss = fault.share
+
+        def recover() -> None:
+            for fake in fakes:
+                fake.answer_loss = 0.0
+
+        self.fleet.after(fault.for_s, recover)
--- a/brookhub/experiments/processes.py
+++ b/brookhub/experiments/processes.py
@@ -1,69 +1,82 @@
-"""The process lab.
+"""A fleet on processes: 1 to 32 limiters on loopback, every link relayed, with scripted faults, checked.
 
-1 to 32 processes of `brookhub run` on loopback, each link relayed, faults by script, judged.
-
-`ProcessFleet(experiment, folder).play()` -> Outcome. Each limiter has an address of its own (lanes.py), dials
-every server, the counter and discovery over its own relays and, with membership on, its peers over a UDP
-mesh. Ends only the processes it started, by their ids. Docs: docs/process-lab.md. Times in s (monotonic).
+`ProcessFleet(experiment, folder).play()` -> Outcome. Each limiter has an IP address of its own
+(address_pool.py) and reaches every server, the counter, discovery and, with membership on, its peers over
+relays of its own. Only processes that it started are ended, by their ids. Docs: docs/process-lab.md. Times in
+s (monotonic).
 """
 
 from __future__ import annotations
 
-import json
 import random
 import resource
 import signal
 import threading
-import time
+from collections.abc import Callable, Sequence
 from dataclasses import dataclass
 from pathlib import Path
 from time import monotonic, sleep
-from typing import Callable, Sequence
+from types import TracebackType
 
 from ..config.models import Experiment
 from ..emulator import Result
-from ..emulator.world import ServerModel
-from ..fakes import FakeCounter, FakeDiscovery, ModelServer, Timers, host
-from ..fault_injection import Relays
-from ..model import ServerState
-from .address_pool import Lane
+from ..fakes import FakeCounter, FakeDiscovery, ModelServer, ServerAttempt
+from ..fault_injection import DirectionName, Relays, TcpLink, UdpMesh
+from .address_pool import AddressRange
 from .errors import ExperimentError
-from .invariant_checker import Outage, Verdict, judge
+from .fleet_files import FleetFiles, FleetLinks
+from .invariant_checker import Outage, RunRecords, ServerPlace, check_invariants
 from .limiter_process import Limiter
 from .load import Load
+from .outcome import Noise, Outcome, count_requests, measure_overshoot
 from .process_faults import ProcessFaults
-from .start_files import CELLS, start_file, zone
+from .upstreams import Upstreams
 
-MOST, LEAST = 32, 1  # processes: what 8 cores start and carry beside a light load; 16 beside a heavy one
-READY_IN = 20.0  # s for a limiter to answer PING
+MIN_LIMITERS = 1
+MAX_LIMITERS = 32  # what 8 cores carry with a light load; 16 with a heavy one
+READY_TIMEOUT = 20.0  # s for a limiter to answer PING
+MIN_OPEN_FILES = 8192
+FAULT_POLL_INTERVAL = 0.05  # s
+UNREACHABLE_AFTERMATH = 1.0  # s after a cut or stall until a server learns what it missed
 
+Progress = Callable[[float], None]  # takes the share that is done, 0 to 1
 
-@dataclass
-class Outcome:
-    """A run on processes.
 
-    The emulator's result row, the judge's verdict, this machine's noise (s), the most tries that the whole
-    fleet sent one cold server in a second.
-    """
+def no_progress(done: float) -> None:
+    """Ignore the progress."""
+
+
+@dataclass(frozen=True)
+class LinkCut:
+    """A link from a limiter (IP address) to a server that carried nothing from `since` to `until` (s)."""
+
+    limiter: str
+    server: int
+    since: float
+    until: float
+
 
-    result: Result
-    verdict: Verdict
-    noise: dict
+@dataclass(frozen=True)
+class FleetEvent:
+    """An event of the run, for people to read."""
 
-    def metrics(self) -> dict:
-        """All figures under their names, for JSON."""
-        return self.result.metrics() | {
-            "excused": self.verdict.excused,
-            "noise": self.noise,
-            "cold_sends_most": max(self.verdict.cold.values(), default=0),
-        }
+    time: float
+    text: str
+
+
+def raise_open_files_limit() -> None:
+    """Allow this process, and those it starts, as many open files as the system lets it."""
+    soft, hard = resource.getrlimit(resource.RLIMIT_NOFILE)
+    wanted = max(soft, MIN_OPEN_FILES) if hard == resource.RLIM_INFINITY else hard
+    resource.setrlimit(resource.RLIMIT_NOFILE, (wanted, hard))
 
 
 class ProcessFleet:
-    """Everything one run needs; a context manager that ends all it started.
+    """Everything that one run needs; a context manager that ends all it started.
 
-    `source_folders`: where each limiter's process finds the package, in the order of their numbers (None: as
-    this process does); all as this process does where it is empty.
+    `source_folders`: where each limiter's process finds the package, in the order of their indices (None: as
+    this process does); all as this process does if it is empty. Raises ExperimentError if the experiment
+    can't be run.
     """
 
     def __init__(
@@ -72,369 +85,300 @@
         folder: Path,
         seed: int | None = None,
         source_folders: Sequence[Path | None] = (),
-    ):
-        fleet = experiment.fleet
-        if not LEAST <= fleet.limiters <= MOST:
-            raise ExperimentError(f"{fleet.limiters} limiters: the process lab plays {LEAST} to {MOST}")
-        source_folders = source_folders or [None] * fleet.limiters
-        if len(source_folders) != fleet.limiters:
-            raise ExperimentError(f"{len(source_folders)} source folders for {fleet.limiters} limiters")
-        soft, hard = resource.getrlimit(resource.RLIMIT_NOFILE)
-        resource.setrlimit(
-            resource.RLIMIT_NOFILE, (hard if hard != resource.RLIM_INFINITY else max(soft, 8192), hard)
-        )
-        self.experiment, self.folder = experiment, Path(folder)
-        self.folder.mkdir(parents=True, exist_ok=True)
+    ) -> None:
+        spec = experiment.fleet
+        if not MIN_LIMITERS <= spec.limiters <= MAX_LIMITERS:
+            raise ExperimentError(
+                f"{spec.limiters} limiters: the process lab plays {MIN_LIMITERS} to {MAX_LIMITERS}"
+            )
+        source_folders = source_folders or [None] * spec.limiters
+        if len(source_folders) != spec.limiters:
+            raise ExperimentError(f"{len(source_folders)} source folders for {spec.limiters} limiters")
+        raise_open_files_limit()
+        folder = Path(folder)
+        folder.mkdir(parents=True, exist_ok=True)
+        self.experiment = experiment
         self.seed = experiment.seed if seed is None else seed
         self.rng = random.Random(f"lab/{self.seed}")
-        self.lane = Lane()
-        self.timers, self.relays, self.seen = Timers(), Relays(self.seed), []
         self.outages: list[Outage] = []
-        self.cuts: list[tuple[str, int, float, float]] = []  # (limiter's address, server, since, until)
-        self.events: list[tuple[float, str]] = []
-        self.threads: list[threading.Thread] = []
-        self.errors: list[BaseException] = []
+        self.cuts: list[LinkCut] = []
+        self.events: list[FleetEvent] = []
+        self.threads: list[threading.Thread] = []  # of faults
+        self.errors: list[BaseException] = []  # raised in those threads
         self.load: Load | None = None
         self.faults = ProcessFaults(self)
-        now = monotonic()
-        self.servers: dict[int, ModelServer] = {}
-        self.next_server = 0
-        for _ in range(fleet.servers.count):
-            self.add_server(now - fleet.servers.warm_after_s - 1.0)
-        self.counter = FakeCounter(delay=fleet.counter.delay_s)
-        self.discovery = FakeDiscovery([], dial=self.dial_of)
+        self.files = FleetFiles(experiment, folder, self.seed)
+        self.addresses = AddressRange()
+        self.relays = Relays(self.seed)
+        self.upstreams = Upstreams(spec, self.seed, self.relays)
+        self.counter = FakeCounter(delay=spec.counter.delay_s)
         self.limiters = [
-            Limiter(index, self.lane.address(index), self.folder, self.write_config, source_folder)
+            Limiter(index, self.addresses.address(index), folder, self.write_files, source_folder)
             for index, source_folder in enumerate(source_folders)
         ]
-        self.links: dict[tuple[str, int], object] = {}  # (limiter's address, server) -> TcpLink
-        self.counter_links = {
-            one.address: self.relays.tcp(f"counter/{one.index}", self.counter.endpoint, one.address)
-            for one in self.limiters
-        }
-        self.discovery_links = {
-            one.address: self.relays.tcp(f"discovery/{one.index}", self.discovery.endpoint, one.address)
-            for one in self.limiters
-        }
-        for ident in self.servers:
-            self.link_server(ident)
-        self.discovery.hosts = [self.entry(one) for one in self.servers.values()]
-        self.mesh = (
-            self.relays.udp_mesh({f"n{one.index}": one.udp for one in self.limiters})
-            if fleet.membership.on
-            else None
+        self.fleet_links = self.connect_limiters()
+
+    def connect_limiters(self) -> FleetLinks:
+        """Create all links of the limiters."""
+        self.upstreams.connect(self.limiters)
+        counter = self.counter.endpoint
+        discovery = self.upstreams.discovery.endpoint
+        members = {limiter.name: limiter.udp_endpoint for limiter in self.limiters}
+        return FleetLinks(
+            counter={
+                limiter.address: self.relays.tcp(f"counter/{limiter.index}", counter, limiter.address)
+                for limiter in self.limiters
+            },
+            discovery={
+                limiter.address: self.relays.tcp(f"discovery/{limiter.index}", discovery, limiter.address)
+                for limiter in self.limiters
+            },
+            mesh=self.relays.udp_mesh(members) if self.experiment.fleet.membership.on else None,
         )
 
-    def __enter__(self) -> "ProcessFleet":
+    def __enter__(self) -> ProcessFleet:
         return self
 
-    def __exit__(self, *_) -> None:
+    def __exit__(
+        self,
+        error_type: type[BaseException] | None,
+        error: BaseException | None,
+        traceback: TracebackType | None,
+    ) -> None:
         self.close()
 
-    # building
-
-    def add_server(self, started_at: float, place: int | None = None) -> ModelServer:
-        """A server in a place of its own, or in that of another one."""
-        spec, ident = self.experiment.fleet.servers, self.next_server
-        zones, place = self.experiment.fleet.zones, self.next_server if place is None else place
-        model = ServerModel.of(spec, ident, place % zones, (place // zones) % CELLS, started_at)
-        self.next_server += 1
-        server = ModelServer(model, self.timers, random.Random(f"server/{self.seed}/{ident}"), self.seen)
-        self.servers[ident] = server
-        return server
-
-    def link_server(self, ident: int) -> None:
-        """A relay from each limiter to a server."""
-        for one in self.limiters:
-            self.links[one.address, ident] = self.relays.tcp(
-                f"n{one.index}/s{ident}", self.servers[ident].endpoint, one.address
-            )
+    def close(self) -> None:
+        """End everything that was started."""
+        for limiter in self.limiters:
+            limiter.end()
+        self.relays.close()
+        self.counter.close()
+        self.upstreams.close()
+        self.addresses.close()
 
-    def dial_of(self, limiter: str, name: str) -> str:
-        """Where a limiter reaches a server."""
-        return self.links[limiter, int(name[2:])].address
-
-    def entry(self, server: ModelServer, health: str = "Ready") -> dict:
-        """A server as discovery tells it."""
-        model = server.model
-        cold = monotonic() - model.started_at < model.warm_after
-        born = int((time.time() - (monotonic() - model.started_at)) * 1000) if cold else 0
-        return host(f"s-{model.id}", "", health, born, zone(model.zone), model.cell)
-
-    def write_config(self, one: Limiter) -> None:
-        """Write the start file of a limiter, and the operator's files that it names."""
-        membership = None
-        if self.mesh:
-            path = self.folder / f"n{one.index}.membership.toml"
-            path.write_text(self.peers_file(one))
-            membership = str(path)
-        told = start_file(
-            self.experiment,
-            one.index,
-            random.Random(f"{self.seed}/{one.index}/{one.starts}").getrandbits(62),
-            "%s:%d" % one.at,
-            self.discovery_links[one.address].address,
-            self.counter_links[one.address].address,
-            membership,
-            str(self.plan_path(one)) if membership else None,
-            self.recovery_file(one),
-        )
-        one.config.write_text(json.dumps(told))
-
-    def recovery_file(self, one: Limiter) -> str | None:
-        """The operator's file on the counter's recovery; a ledger on disk outlives the limiter's restarts."""
-        spec = self.experiment.fleet.counter
-        if not spec.recovery:
-            return None
-        path, ledger = self.folder / f"n{one.index}.recovery.toml", self.folder / f"n{one.index}.ledger"
-        path.write_text(f"beat_s = {spec.beat_s}\n" + f'ledger = "{ledger}"\n' * spec.ledgers_last)
-        return str(path)
-
-    def plan_path(self, one: Limiter) -> Path:
-        """Where a limiter looks for a plan of work; nothing is there until somebody gives it one."""
-        return self.folder / f"n{one.index}.plan.toml"
-
-    def give_plan(self, one: Limiter, text: str) -> None:
-        """As an operator does: the file, then SIGHUP."""
-        self.plan_path(one).write_text(text)
-        one.hit(signal.SIGHUP)
-
-    def peers_file(self, one: Limiter) -> str:
-        """The operator's membership file of a limiter.
-
-        Its own address, and each peer's as this one reaches it.
-        """
-        spec = self.experiment.fleet.membership
-        lines = [
-            'fleet = "lab"',
-            f'name = "n{one.index}"',
-            'listen = "%s:%d"' % one.udp,
-            f"period_s = {spec.period_s}",
-            f"signals = {str(spec.signals).lower()}",
-            f"subsets = {str(spec.subsets).lower()}",
-        ]
-        for other in self.limiters:
-            if other is not one:
-                lines += [
-                    "[[peers]]",
-                    f'name = "n{other.index}"',
-                    f'address = "{self.mesh.address(f"n{one.index}", f"n{other.index}")}"',
-                ]
-        return "\n".join(lines) + "\n"
+    # parts
 
-    def start(self) -> None:
-        """Start every limiter and wait until all answer PING.
+    @property
+    def servers(self) -> dict[int, ModelServer]:
+        """The upstream servers by id."""
+        return self.upstreams.servers
 
-        Raises ExperimentError with the log of one that does not.
-        """
-        for one in self.limiters:
-            one.start()
-        for one in self.limiters:
-            self.wait_ready(one)
-
-    def wait_ready(self, one: Limiter) -> None:
-        """Wait until a limiter answers; raises ExperimentError."""
-        end = monotonic() + READY_IN
-        while not one.ready():
-            if monotonic() > end or not one.alive():
-                raise ExperimentError(f"n{one.index} did not start: {one.log_path.read_text()[-800:]}")
+    @property
+    def links(self) -> dict[tuple[str, int], TcpLink]:
+        """The links to servers, by the limiter's IP address and the server's id."""
+        return self.upstreams.links
+
+    @property
+    def discovery(self) -> FakeDiscovery:
+        """Discovery."""
+        return self.upstreams.discovery
+
+    @property
+    def attempts(self) -> list[ServerAttempt]:
+        """Every attempt that arrived at a server, in order."""
+        return self.upstreams.attempts
+
+    @property
+    def mesh(self) -> UdpMesh:
+        """The links among the members; raises ExperimentError if membership is off."""
+        if self.fleet_links.mesh is None:
+            raise ExperimentError("the experiment's fleet has no membership, so no peer links")
+        return self.fleet_links.mesh
+
+    # limiters
+
+    def write_files(self, limiter: Limiter) -> None:
+        """Write the files that a limiter reads at its start."""
+        self.files.write(limiter, self.limiters, self.fleet_links)
+
+    def plan_path(self, limiter: Limiter) -> Path:
+        """Where a limiter looks for a maintenance plan; the file may be missing."""
+        return self.files.plan_path(limiter)
+
+    def give_plan(self, limiter: Limiter, text: str) -> None:
+        """Give a limiter a plan as an operator does: write the file, then SIGHUP."""
+        self.files.give_plan(limiter, text)
+
+    def start(self) -> None:
+        """Start every limiter and wait until all answer PING; raises ExperimentError if one does not."""
+        for limiter in self.limiters:
+            limiter.start()
+        for limiter in self.limiters:
+            self.wait_ready(limiter)
+
+    def wait_ready(self, limiter: Limiter) -> None:
+        """Wait until a limiter answers PING; raises ExperimentError with its log if it does not."""
+        deadline = monotonic() + READY_TIMEOUT
+        while not limiter.ready():
+            if monotonic() > deadline or not limiter.alive():
+                log = limiter.log_path.read_text()[-800:]
+                raise ExperimentError(f"{limiter.name} did not start: {log}")
             sleep(0.05)
 
     # faults
 
     def note(self, text: str) -> None:
-        """Note an event of the run."""
-        self.events.append((monotonic(), text))
+        """Record an event of the run."""
+        self.events.append(FleetEvent(monotonic(), text))
+
+    def after(self, seconds: float, action: Callable[[], object]) -> None:
+        """Run an action later in a thread of its own, as it may wait for a process to end.
 
-    def after(self, seconds: float, callback: Callable[[], None]) -> None:
-        """Do something later in a thread of its own (it may wait for a process to end)."""
+        An exception from it is raised at the end of the run: a fault that was not cleared voids the run.
+        """
 
-        def job() -> None:
+        def run() -> None:
             sleep(seconds)
             try:
-                callback()
-            except BaseException as met:  # told at the end of the run: a fault that was not cleared voids it
-                self.errors.append(met)
+                action()
+            except BaseException as error:
+                self.errors.append(error)
 
-        thread = threading.Thread(target=job, daemon=True)
+        thread = threading.Thread(target=run, daemon=True)
         self.threads.append(thread)
         thread.start()
 
-    def kill(self, one: Limiter, back_after: float | None = None, number: int = signal.SIGKILL) -> None:
-        """End a limiter's process; start it anew at its address `back_after` s after it is gone."""
-        outage = Outage(one.index, monotonic(), float("inf"))
-        if (
-            number == signal.SIGKILL
-        ):  # after SIGTERM all that was taken has to be answered: no outage excuses it
+    def kill(
+        self, limiter: Limiter, restart_after: float | None = None, number: int = signal.SIGKILL
+    ) -> None:
+        """End a limiter's process by a signal; start it again `restart_after` s later (None: never)."""
+        outage = Outage(limiter.index, monotonic(), float("inf"))
+        if number == signal.SIGKILL:  # a graceful shutdown has to answer everything: it excuses nothing
             self.outages.append(outage)
-        one.end(number)
-        self.note(f"n{one.index} ended by signal {int(number)}")
-        if back_after is not None:
-            sleep(back_after)
-            one.start()
-            self.wait_ready(one)
-            outage.until = monotonic()
-            self.note(f"n{one.index} started again")
-
-    def stall(self, one: Limiter, seconds: float) -> None:
-        """SIGSTOP for so long, then SIGCONT."""
-        outage = Outage(one.index, monotonic(), monotonic() + seconds, stalled=True)
+        limiter.end(number)
+        self.note(f"{limiter.name} ended by signal {int(number)}")
+        if restart_after is None:
+            return
+        sleep(restart_after)
+        limiter.start()
+        self.wait_ready(limiter)
+        outage.until = monotonic()
+        self.note(f"{limiter.name} started again")
+
+    def stall(self, limiter: Limiter, seconds: float) -> None:
+        """Stop a limiter for so long (SIGSTOP, then SIGCONT)."""
+        outage = Outage(limiter.index, monotonic(), monotonic() + seconds, stalled=True)
         self.outages.append(outage)
-        one.hit(signal.SIGSTOP)
-        self.note(f"n{one.index} stopped")
+        limiter.send_signal(signal.SIGSTOP)
+        self.note(f"{limiter.name} stopped")
         sleep(seconds)
-        one.hit(signal.SIGCONT)
+        limiter.send_signal(signal.SIGCONT)
         outage.until = monotonic()
-        self.note(f"n{one.index} woken")
-
-    def split(self, side: list[Limiter], on: bool) -> None:
-        """Two sides of limiters hear nothing of each other, or all again."""
-        names = {f"n{one.index}" for one in side}
-        self.mesh.split(names) if on else self.mesh.clear()
-        self.note(f"split {'made' if on else 'healed'}: {sorted(names)}")
-
-    def cut(self, one: Limiter, servers: list[int], way: str, seconds: float) -> None:
-        """Links of a limiter to servers carry nothing for so long (s)."""
-        for ident in servers:
-            self.links[one.address, ident].set(way, cut=True)
-            self.cuts.append((one.address, ident, monotonic(), monotonic() + seconds))
+        self.note(f"{limiter.name} continued")
+
+    def split(self, side: Sequence[Limiter]) -> None:
+        """Cut the peer links between the limiters of a side and all others."""
+        names = {limiter.name for limiter in side}
+        self.mesh.split(names)
+        self.note(f"split: {sorted(names)}")
+
+    def heal(self) -> None:
+        """Remove all faults of the peer links."""
+        self.mesh.clear()
+        self.note("split healed")
+
+    def cut(self, limiter: Limiter, servers: Sequence[int], direction: DirectionName, seconds: float) -> None:
+        """Cut a limiter's links to servers for so long."""
+        links = [self.links[limiter.address, server] for server in servers]
+        for server, link in zip(servers, links, strict=True):
+            link.set(direction, cut=True)
+            self.cuts.append(LinkCut(limiter.address, server, monotonic(), monotonic() + seconds))
         sleep(seconds)
-        for ident in servers:
-            self.links[one.address, ident].clear()
-
-    def dead(self, ident: int) -> None:
-        """A server's machine refuses from now on, also through the relays."""
-        self.servers[ident].die()
-        for one in self.limiters:
-            self.links[one.address, ident].set(refuse=True)
-
-    def returned(self, idents: list[int]) -> None:
-        """Servers are back, and cold."""
-        now = monotonic()
-        for ident in idents:
-            self.servers[ident].revive(now)
-            self.servers[ident].model.state, self.servers[ident].model.drained_at = ServerState.READY, None
-            for one in self.limiters:
-                self.links[one.address, ident].clear()
-        self.discovery.hosts = [
-            self.entry(one) for one in self.servers.values() if one.model.state is ServerState.READY
-        ]
-        self.discovery.push(*[self.entry(self.servers[ident]) for ident in idents])
-
-    def drain(self, idents: list[int]) -> None:
-        """Servers begin to drain."""
-        for ident in idents:
-            model = self.servers[ident].model
-            model.state, model.drained_at = ServerState.DRAINING, monotonic()
-        self.discovery.hosts = [
-            self.entry(one) for one in self.servers.values() if one.model.state is ServerState.READY
-        ]
-        self.discovery.push(*[self.entry(self.servers[ident], "Terminating") for ident in idents])
-
-    def gone(self, idents: list[int], replace: bool) -> None:
-        """Servers are gone, and others take their places where that is asked."""
-        fresh = []
-        for ident in idents:
-            self.servers[ident].model.state = ServerState.GONE
-            self.dead(ident)
-            if replace:
-                fresh.append(self.add_server(monotonic(), place=ident).model.id)
-                self.link_server(fresh[-1])
-        self.discovery.hosts = [
-            self.entry(one) for one in self.servers.values() if one.model.state is ServerState.READY
-        ]
-        self.discovery.push(
-            *[self.entry(self.servers[ident], "Gone") for ident in idents],
-            *[self.entry(self.servers[ident]) for ident in fresh],
-        )
+        for link in links:
+            link.clear()
 
     # the run
 
-    def play(self, progress: Callable[[float], None] = lambda done: None) -> Outcome:
-        """Start all, play the arrivals and the faults, judge.
+    def play(self, progress: Progress = no_progress, script: Callable[[], None] | None = None) -> Outcome:
+        """Start all, play the arrivals and the faults, check the invariants.
 
-        `progress` hears the share that is done (0 to 1).
+        `script` runs in a thread beside the load, which ends when the script does. Raises ExperimentError if
+        a fault can't be played or cleared, and what the script raises.
         """
         self.start()
-        load = self.load = Load(self.experiment, [one.at for one in self.limiters], self.seed)
-        began, seconds = monotonic(), self.experiment.duration_s
-        player = threading.Thread(target=load.run, args=(seconds,), daemon=True)
-        player.start()
-        todo = sorted(self.experiment.faults, key=lambda one: one.at_s)
-        while player.is_alive():
-            now = monotonic() - began
-            while todo and todo[0].at_s <= now:
-                self.faults.play(todo.pop(0))
-            progress(min(1.0, now / seconds))
-            player.join(0.05 if not todo else max(0.0, min(0.05, todo[0].at_s - now)))
+        load = Load(self.experiment, [limiter.endpoint for limiter in self.limiters], self.seed)
+        self.load = load
+        script_errors: list[BaseException] = []
+        if script is not None:
+            self.run_script(script, load, script_errors)
+        began = monotonic()
+        self.play_load(load, began, progress)
         for thread in self.threads:
-            thread.join(READY_IN)
+            thread.join(READY_TIMEOUT)
+        if script_errors:
+            raise script_errors[0]
         if self.errors:
             raise ExperimentError(f"a fault could not be played or cleared: {self.errors[0]}")
         return self.outcome(load, began)
 
-    def hurt(self, limiter: str, ident: int, at: float) -> bool:
-        """Whether a limiter's way to a server was cut, or it stood still, then."""
-        return any(
-            who == limiter and server == ident and since <= at <= until + 1.0
-            for who, server, since, until in self.cuts
-        ) or any(
+    @staticmethod
+    def run_script(script: Callable[[], None], load: Load, errors: list[BaseException]) -> None:
+        """Run a script in a thread of its own, then stop the load."""
+
+        def run() -> None:
+            try:
+                script()
+            except BaseException as error:  # raised by `play`, when the load has ended
+                errors.append(error)
+            finally:
+                load.stop.set()
+
+        threading.Thread(target=run, daemon=True).start()
+
+    def play_load(self, load: Load, began: float, progress: Progress) -> None:
+        """Play the arrivals, and the faults at their times; returns when every request has ended."""
+        duration = self.experiment.duration_s
+        load_thread = threading.Thread(target=load.run, args=(duration,), daemon=True)
+        load_thread.start()
+        faults = sorted(self.experiment.faults, key=lambda fault: fault.at_s)
+        while load_thread.is_alive():
+            elapsed = monotonic() - began
+            while faults and faults[0].at_s <= elapsed:
+                self.faults.play(faults.pop(0))
+            progress(min(1.0, elapsed / duration))
+            wait = FAULT_POLL_INTERVAL
+            if faults:
+                wait = max(0.0, min(wait, faults[0].at_s - elapsed))
+            load_thread.join(wait)
+
+    def is_unreachable(self, limiter: str, server: int, time: float) -> bool:
+        """Whether a limiter's link to a server was cut then, or the limiter was stopped."""
+        was_cut = any(
+            cut.limiter == limiter
+            and cut.server == server
+            and cut.since <= time <= cut.until + UNREACHABLE_AFTERMATH
+            for cut in self.cuts
+        )
+        return was_cut or any(
             outage.stalled
             and self.limiters[outage.limiter].address == limiter
-            and outage.since <= at <= outage.until + 1.0
+            and outage.since <= time <= outage.until + UNREACHABLE_AFTERMATH
             for outage in self.outages
         )
 
     def outcome(self, load: Load, began: float) -> Outcome:
-        """Sum up and judge a run."""
-        zones = {ident: (one.model.zone, one.model.cell) for ident, one in self.servers.items()}
-        falls = sum(one.model.falls for one in self.servers.values())
-        verdict = judge(self.experiment, load.asked, self.seen, self.outages, falls, zones, began, self.hurt)
-        result, counted = Result(), began + self.experiment.settle_s
-        for one in load.asked:
-            if one.sent < counted:
-                continue
-            result.calls += 1
-            how = one.answers[0][1] if one.answers else ""
-            if how == "proxied":
-                result.proxied += 1
-                result.latency.record_value(max(1, int((one.answers[0][0] - one.sent) * 1e6)))
-            elif how == "rate-limited":
-                result.rate_limited += 1
-            elif how == "errored":
-                result.errored += 1
-            elif one.end == "left":
-                result.left += 1
-            else:
-                result.lost += 1
-        result.tries, result.counter_calls, result.cold_falls = (
-            len(self.seen),
-            self.counter.request_count,
-            falls,
+        """Check a run that began at `began` and sum it up."""
+        models = [server.model for server in self.servers.values()]
+        collapses = sum(model.falls for model in models)
+        records = RunRecords(
+            requests=load.requests,
+            attempts=self.attempts,
+            outages=self.outages,
+            collapses=collapses,
+            places={model.id: ServerPlace(model.zone, model.cell) for model in models},
+            began=began,
+            is_unreachable=self.is_unreachable,
         )
-        result.broken, result.first_break = verdict.counts(), verdict.first()
+        checks = check_invariants(self.experiment, records)
+        result = Result()
+        counted_from = began + self.experiment.settle_s
+        count_requests(result, [request for request in load.requests if request.sent_at >= counted_from])
+        result.tries = len(self.attempts)
+        result.counter_calls = self.counter.request_count
+        result.cold_falls = collapses
+        result.broken = checks.counts()
+        result.first_break = checks.first()
         result.wall_s = monotonic() - began
-        overs = []
-        for customer, (plan_number, _) in enumerate(load.customers):
-            plan = self.experiment.fleet.plans[plan_number]
-            if plan.rate:
-                allowed = plan.burst + plan.rate * self.experiment.duration_s
-                overs.append(max(0.0, verdict.use.get(customer, 0.0) / allowed - 1.0))
-            if plan.ceiling_rate:
-                allowed = plan.ceiling_burst + plan.ceiling_rate * self.experiment.duration_s
-                over = max(0.0, verdict.use.get(customer, 0.0) / allowed - 1.0)
-                result.ceiling_overshoot = max(result.ceiling_overshoot, over)
-        result.quota_overshoot = sum(overs) / len(overs) if overs else 0.0
-        result.worst_overshoot = max(overs, default=0.0)
-        noise = {"arrivals_late_s": round(load.late, 4), "timers_late_s": round(self.timers.max_delay, 4)}
-        return Outcome(result, verdict, noise)
-
-    def close(self) -> None:
-        """End all that was started."""
-        for one in self.limiters:
-            one.end()
-        self.relays.close()
-        for one in (self.counter, self.discovery, *self.servers.values()):
-            one.close()
-        self.timers.close()
-        self.lane.close()
+        measure_overshoot(result, self.experiment, load, checks)
+        noise = Noise(load.max_arrival_delay, self.upstreams.timers.max_delay)
+        return Outcome(result, checks, noise)
--- a/brookhub/experiments/recovery.py
+++ b/brookhub/experiments/recovery.py
@@ -16,7 +16,7 @@
 from ..config import Experiment, loads
 from ..emulator import Fleet
 from ..emulator.result import Population
-from .canvas import panels, saved
+from .canvas import panels, save_figure
 from .jobs import keyed, play_all
 
 RESULTS = "recovery.jsonl"
@@ -354,7 +354,7 @@
         "s until counts agree again, worst",
     )
     set_titles(axes, titles)
-    return saved(figure, png)
+    return save_figure(figure, png)
 
 
 def plot_ceiling(rows: list[dict], png: Path) -> Path:
@@ -383,4 +383,4 @@
         "used of the ceiling's rate, mean",
     )
     set_titles(axes, titles)
-    return saved(figure, png)
+    return save_figure(figure, png)
--- a/brookhub/experiments/start_files.py
+++ b/brookhub/experiments/start_files.py
@@ -1,68 +1,84 @@
-"""An experiment's fleet in the words of the program's start file (README, "The start file")."""
+"""The program's start file (README, "The start file") for a limiter of an experiment's fleet."""
 
 from __future__ import annotations
 
-from ..config.models import Experiment
+from dataclasses import dataclass
+from pathlib import Path
+from typing import Any
+
+from ..config.models import Experiment, FleetSpec, PlanSpec, RouteSpec
 
 SEMANTICS = {"idempotent": "read_like", "tokened": "idempotency_key", "non_idempotent": "non_idempotent"}
 CELLS = 4  # cells in each zone, as in the emulator
-IDLE_S, CONNECT_S = 15.0, 0.25  # s: servers close idle connections; a dial must be up
+IDLE_TIMEOUT_S = 15.0  # after which servers close idle connections
+CONNECT_TIMEOUT_S = 0.25
+MAX_OPEN_REQUESTS = 20000
+MEMORY_MB = 192
+SOCKETS = 1024
 
 
-def zone(number: int) -> str:
+def zone_name(number: int) -> str:
     """A zone's name."""
     return f"z{number}"
 
 
-def settings(experiment: Experiment, index: int, peer_messages: bool = True) -> dict:
-    """The `settings` of limiter `index` of the fleet."""
-    fleet = experiment.fleet
+def route_settings(route: RouteSpec) -> dict[str, Any]:
+    """A route, as an entry of `classes`."""
+    return {
+        "name": route.name,
+        "slo_s": route.target_s,
+        "hard_limit_s": route.client_timeout_s,
+        "semantics": SEMANTICS[route.repeat],
+        "key_scope": route.group,
+        "window_s": route.window_s,
+    }
+
+
+def plan_settings(plan: PlanSpec) -> dict[str, Any]:
+    """A plan, as an entry of `tariffs`."""
+    return {
+        "name": plan.name,
+        "refill": plan.rate,
+        "store_size": plan.burst,
+        "concurrency": plan.open_cap,
+        "ceiling_rate": plan.ceiling_rate,
+        "cap_depth": plan.ceiling_burst,
+        "tolerance": plan.ceiling_slack,
+        "pays": plan.value,
+        "excess_worth": plan.beyond_value,
+        "overrun_cost": plan.beyond_cost,
+    }
+
+
+def limit_settings(fleet: FleetSpec, peer_messages: bool) -> dict[str, Any]:
+    """The table `limits`."""
+    return {
+        "max_attempts": fleet.max_tries,
+        "second_copies": fleet.second_copies,
+        "cancel": fleet.may_cancel,
+        "retry_after": fleet.longest_retry_after_s > 0,
+        "max_retry_after_s": fleet.longest_retry_after_s,
+        "open_cap": MAX_OPEN_REQUESTS,
+        "conn_idle_s": IDLE_TIMEOUT_S,
+        "connect_timeout_s": CONNECT_TIMEOUT_S,
+        "peer_messages": peer_messages,
+    }
+
+
+def settings(fleet: FleetSpec, index: int, peer_messages: bool = True) -> dict[str, Any]:
+    """The table `settings` of limiter `index`."""
     servers = fleet.servers
     return {
-        "areas": [zone(n) for n in range(fleet.zones)],
+        "areas": [zone_name(number) for number in range(fleet.zones)],
         "kinds": ["m"],
         "balancers": fleet.limiters,
         "slot_no": index,
         "zone": index % fleet.zones,
         "membership_mode": "pushed",
-        "classes": [
-            {
-                "name": one.name,
-                "slo_s": one.target_s,
-                "hard_limit_s": one.client_timeout_s,
-                "semantics": SEMANTICS[one.repeat],
-                "key_scope": one.group,
-                "window_s": one.window_s,
-            }
-            for one in fleet.routes
-        ],
-        "tariffs": [
-            {
-                "name": one.name,
-                "refill": one.rate,
-                "store_size": one.burst,
-                "concurrency": one.open_cap,
-                "ceiling_rate": one.ceiling_rate,
-                "cap_depth": one.ceiling_burst,
-                "tolerance": one.ceiling_slack,
-                "pays": one.value,
-                "excess_worth": one.beyond_value,
-                "overrun_cost": one.beyond_cost,
-            }
-            for one in fleet.plans
-        ],
+        "classes": [route_settings(route) for route in fleet.routes],
+        "tariffs": [plan_settings(plan) for plan in fleet.plans],
         "extra": {"counter": fleet.counter.on, "count_limit_s": fleet.counter.wait_s, "largest": 1},
-        "limits": {
-            "max_attempts": fleet.max_tries,
-            "second_copies": fleet.second_copies,
-            "cancel": fleet.may_cancel,
-            "retry_after": fleet.longest_retry_after_s > 0,
-            "max_retry_after_s": fleet.longest_retry_after_s,
-            "open_cap": 20000,
-            "conn_idle_s": IDLE_S,
-            "connect_timeout_s": CONNECT_S,
-            "peer_messages": peer_messages,
-        },
+        "limits": limit_settings(fleet, peer_messages),
         "invariants": {
             "cold_from": servers.cold_from,
             "ramp_time_s": servers.warm_after_s,
@@ -72,30 +88,45 @@
     }
 
 
-def start_file(
-    experiment: Experiment,
-    index: int,
-    seed: int,
-    listen: str,
-    discovery: str,
-    counter: str,
-    membership: str | None = None,
-    maintenance: str | None = None,
-    recovery: str | None = None,
-) -> dict:
-    """The whole JSON start file of limiter `index`.
-
-    `membership` names its file of peers, `maintenance` its plan (which may come later), `recovery` its file
-    on the counter's.
+@dataclass(frozen=True)
+class StartAddresses:
+    """Where a limiter listens and what it connects to, each "host:port"."""
+
+    listen: str
+    discovery: str
+    counter: str
+
+
+@dataclass(frozen=True)
+class OperatorFiles:
+    """The operator's files that a start file names, None where a function is disabled.
+
+    `membership` is the file of peers, `maintenance` the plan (which may be written later), `recovery` the
+    file on the counter's recovery.
     """
-    told = {
+
+    membership: Path | None = None
+    maintenance: Path | None = None
+    recovery: Path | None = None
+
+    def keys(self) -> dict[str, str]:
+        """The keys of the start file that name these files."""
+        files = {"membership": self.membership, "maintenance": self.maintenance, "recovery": self.recovery}
+        return {key: str(path) for key, path in files.items() if path is not None}
+
+
+def start_file(
+    experiment: Experiment, index: int, seed: int, addresses: StartAddresses, files: OperatorFiles
+) -> dict[str, Any]:
+    """The JSON start file of limiter `index`."""
+    has_peers = files.membership is not None
+    return {
         "name": f"n{index}",
-        "listen": listen,
-        "discovery": discovery,
-        "counter": counter,
+        "listen": addresses.listen,
+        "discovery": addresses.discovery,
+        "counter": addresses.counter,
         "seed": f"{seed:x}",
-        "limits": {"memory_mb": 192, "sockets": 1024},
-        "settings": settings(experiment, index, peer_messages=membership is not None),
+        "limits": {"memory_mb": MEMORY_MB, "sockets": SOCKETS},
+        "settings": settings(experiment.fleet, index, peer_messages=has_peers),
+        **files.keys(),
     }
-    files = {"membership": membership, "maintenance": maintenance, "recovery": recovery}
-    return told | {key: path for key, path in files.items() if path}
--- a/brookhub/experiments/together.py
+++ b/brookhub/experiments/together.py
@@ -15,7 +15,7 @@
 
 from ..config import Experiment, loads
 from ..emulator import Fleet
-from .canvas import panels, saved
+from .canvas import panels, save_figure
 from .jobs import keyed, play_all
 
 RESULTS = "together.jsonl"
@@ -393,4 +393,4 @@
     right.set_xlabel("limiters")
     right.set_title("most sends to a cold server, as a share of rule 4's bound")
     right.legend(fontsize=7)
-    return saved(figure, png)
+    return save_figure(figure, png)
--- a/tests/test_choices_processes.py
+++ b/tests/test_choices_processes.py
@@ -13,6 +13,7 @@
 from brookhub.coordination import Parts, Turns
 from brookhub.coordination.ejections import EJECTED_MOST, PROBE_AT, REPORT_TTL
 from brookhub.coordination.epoch_leases import GRACE
+from brookhub.experiments.client_request import AnswerKind
 from brookhub.experiments.processes import ProcessFleet
 from brookhub.membership.core import SHRINK
 from brookhub.protocol import hosts
@@ -26,7 +27,7 @@
 
 
 def sends(lab, since, server=BAD):
-    return [one for one in list(lab.seen) if one.server == server and one.arrived_at >= since]
+    return [one for one in list(lab.attempts) if one.server == server and one.arrived_at >= since]
 
 
 IDENT = int.from_bytes(sha256(f"s-{BAD}".encode()).digest()[:6], "big")
@@ -78,7 +79,7 @@
     def script(lab):
         assert until(all_hold(lab, 8), 8)
         sleep(6.0)
-        assert sum(one.end == "abandoned" for one in list(lab.seen)) > 10  # so there were some
+        assert sum(one.end == "abandoned" for one in list(lab.attempts)) > 10  # so there were some
         told = [
             line
             for one in lab.limiters
@@ -112,12 +113,12 @@
         lab.cut(lab.limiters[0], sorted(lab.servers), "back", 6.0)  # it sends, and hears no answer
         others = {
             one.server
-            for one in lab.seen
+            for one in lab.attempts
             if began + 1 < one.arrived_at and one.limiter != lab.limiters[0].address
         }
         assert len(others) >= 20, others
-        mine = [one for one in lab.load.asked if one.limiter != 0 and began < one.sent < began + 5]
-        served = [one for one in mine if one.answers and one.answers[0][1] == "proxied"]
+        mine = [one for one in lab.load.requests if one.limiter != 0 and began < one.sent_at < began + 5]
+        served = [one for one in mine if one.outcome == AnswerKind.SERVED]
         assert len(mine) > 300 and len(served) > 0.97 * len(mine)
 
     lab(script, 60.0, **LARGE)
@@ -178,13 +179,13 @@
 def test_views_that_differ_for_ten_seconds_have_one_holder_a_side_and_one_again_after_it(lab):
     def script(lab):
         began = begin_bad(lab)
-        lab.split(lab.limiters[:3], True)
+        lab.split(lab.limiters[:3])
         split = monotonic()
         sleep(10.0)
         tries = sends(lab, split)
         # Each side finds two witnesses of its own, and tries by turn
         assert 1 <= len(tries) <= 10, len(tries)
-        lab.split([], False)
+        lab.heal()
         lab.servers[BAD].model.mode = "ok"
         assert used_by(lab, monotonic(), USERS, EJECTED_MOST + REPORT_TTL)
         assert began < split
@@ -237,7 +238,7 @@
     assert len(push) >= 11 and max(push.values()) < 1.0, push
     # A restart of all takes some 2 s of the 11, longer on a loaded machine; calls that find no limiter then
     # are nobody's fault.
-    assert outcome.result.proxied > 0.5 * (outcome.result.calls - outcome.verdict.excused)
+    assert outcome.result.proxied > 0.5 * (outcome.result.calls - outcome.checks.excused)
 
 
 def test_each_limiter_uses_its_part_by_the_matching_also_after_a_kill_and_on_both_sides_of_a_split(lab):
@@ -265,7 +266,7 @@
         since, own = monotonic(), parts(lab, here)
         sleep(seconds)
         used = {
-            at: {one.server for one in list(lab.seen) if one.arrived_at >= since and one.limiter == at}
+            at: {one.server for one in list(lab.attempts) if one.arrived_at >= since and one.limiter == at}
             for at in own
         }
         beyond = {at: them - own[at] for at, them in used.items() if them - own[at]}
@@ -283,11 +284,11 @@
         sleep(SHRINK + 1.5)  # one that was away for a moment keeps its part
         keeps(lab, rest, 3.0)
         side = rest[:1]
-        lab.split([lab.limiters[int(name[1:])] for name in side], True)
+        lab.split([lab.limiters[int(name[1:])] for name in side])
         assert until(lambda: present_of(lab, rest[1:]) == {12}, 8)
         sleep(SHRINK + 1.5)
         keeps(lab, rest[1:], 2.0)
-        lab.split([], False)
+        lab.heal()
         assert until(lambda: present_of(lab, rest) == {13}, 8)
         sleep(1.5)
         keeps(lab, rest, 2.0)
--- a/tests/test_fleet_processes.py
+++ b/tests/test_fleet_processes.py
@@ -49,9 +49,9 @@
 def test_a_split_in_halves_under_load_heals_and_the_sure_number_never_falls(lab):
     def script(lab):
         assert until(all_hold(lab, 5), 5)
-        lab.split(lab.limiters[:2], True)
+        lab.split(lab.limiters[:2])
         assert until(lambda: present(lab) == {0: 2, 1: 2, 2: 3, 3: 3, 4: 3}, 8), present(lab)
-        lab.split([], False)
+        lab.heal()
         assert until(all_hold(lab, 5), 6), present(lab)
         assert {line["sure"] for one in lab.limiters for line in one.lines() if line["event"] == "fleet"} == {
             5
@@ -77,7 +77,7 @@
 
     outcome = lab(script, 30.0)
     # Its calls were lost while it stood still; the judge excuses no late answer
-    assert outcome.verdict.excused > 0
+    assert outcome.checks.excused > 0
 
 
 def test_half_killed_at_once_and_then_all_restarted_together(lab):
--- a/tests/test_maintenance_processes.py
+++ b/tests/test_maintenance_processes.py
@@ -13,7 +13,8 @@
 
 import pytest
 
-from brookhub.experiments.maintenance import Workers, read_status
+from brookhub.experiments.maintenance_status import read_status
+from brookhub.experiments.maintenance_workers import Workers
 from helpers import Program, until
 from test_fleet_processes import PEERS, all_hold
 
@@ -81,22 +82,25 @@
         lab.kill(killed, 0.5)
         assert until(lambda: done(lab) == set(MACHINES), 40), (done(lab), said(lab, ""))
         workers.stop()
-        assert workers.most_out() == 2  # at once, and never more
+        assert workers.max_out() == 2  # at once, and never more
         # Used again
         assert until(
-            lambda: [one for one in lab.seen if one.server == 0 and one.arrived_at > workers.outs[0][2]], 5
+            lambda: [
+                one for one in lab.attempts if one.server == 0 and one.arrived_at > workers.outs[0].ended
+            ],
+            5,
         )
         assert "m3  done" in read_status([one.log_path for one in lab.limiters])
 
     outcome = lab(script, 90.0, limiters=5, **LARGE)
-    assert outcome.result.proxied > 0.9 * (outcome.result.calls - outcome.verdict.excused)
+    assert outcome.result.proxied > 0.9 * (outcome.result.calls - outcome.checks.excused)
 
 
 def test_a_minority_starts_nothing_and_two_plans_of_one_version_are_refused_with_both_digests(lab):
     def script(lab):
         assert until(all_hold(lab, 5), 6)
         workers = Workers(lab, MACHINES, 0.5, 1.0)
-        lab.split([lab.limiters[0], lab.limiters[4]], True)
+        lab.split([lab.limiters[0], lab.limiters[4]])
         lab.give_plan(lab.limiters[0], plan())  # one voter of three is on this side
         assert until(lambda: len(said(lab, "plan taken")) == 2, 8), said(lab, "plan")
         time.sleep(6.0)
@@ -104,7 +108,7 @@
         # Another operator, the same version
         lab.give_plan(lab.limiters[1], plan(machines={"m0": [0], "m1": [2]}))
         time.sleep(1.0)
-        lab.split([], False)
+        lab.heal()
         # And now drop what one voter sends, one way. None of the three remembers anything yet: they need each
         # other's answers, and get them by a third. (Cut some moments after the heal this test once failed and
         # mostly passed.)
@@ -120,7 +124,7 @@
         lab.mesh.clear()
         assert until(lambda: done(lab) == set(MACHINES), 45), (done(lab), said(lab, "")[-6:])
         workers.stop()
-        assert workers.most_out() == 1
+        assert workers.max_out() == 1
 
     lab(script, 110.0, limiters=5, **LARGE)
 
@@ -135,12 +139,12 @@
         assert until(lambda: done(lab) == set(machines), 50), said(lab, "")[-6:]
         workers.stop()
         # limiters' machines last
-        assert workers.most_out() == 1 and [one[0] for one in workers.outs][0] == "m0"
+        assert workers.max_out() == 1 and [out.machine for out in workers.outs][0] == "m0"
         assert lab.limiters[3].starts == lab.limiters[4].starts == 2
 
     outcome = lab(script, 80.0, limiters=5, **LARGE)
     # Its clients' connections ended between calls
-    assert outcome.result.lost == 0 and outcome.verdict.excused == 0
+    assert outcome.result.lost == 0 and outcome.checks.excused == 0
 
 
 def test_all_limiters_restarted_in_mid_plan_remember_nothing_and_take_no_second_machine(lab):
@@ -149,7 +153,7 @@
         workers = Workers(lab, MACHINES, 8.0, 1.0)
         for one in lab.limiters:
             lab.plan_path(one).write_text(plan())  # also for their next life
-        lab.limiters[2].hit(signal.SIGHUP)
+        lab.limiters[2].send_signal(signal.SIGHUP)
         assert until(lambda: workers.outs, 15), said(lab, "")
         time.sleep(1.5)  # it is down by now, and being worked on
         gone = [threading.Thread(target=lab.kill, args=(one, 0.2)) for one in lab.limiters]
@@ -159,9 +163,9 @@
             one.join()
         assert until(lambda: len(workers.outs) > 1, 25), said(lab, "")
         first, second = workers.outs[0], workers.outs[1]
-        assert first[2] and second[1] >= first[2]  # the next went out only once the first was back
+        assert first.ended and second.began >= first.ended  # the next went out only once the first was back
         workers.stop()
-        assert workers.most_out() == 1
+        assert workers.max_out() == 1
 
     lab(script, 80.0, limiters=5, **LARGE)
 
--- a/tests/test_processes.py
+++ b/tests/test_processes.py
@@ -15,10 +15,11 @@
 import pytest
 
 from brookhub.emulator.world import ServerModel
-from brookhub.experiments.address_pool import LANES, Lane
+from brookhub.experiments.address_pool import RANGE_COUNT, AddressRange
+from brookhub.experiments.client_request import Answer, AnswerKind, ClientRequest, RequestEnd
 from brookhub.experiments.errors import ExperimentError
-from brookhub.experiments.invariant_checker import Outage, judge
-from brookhub.experiments.load import Asked, Load
+from brookhub.experiments.invariant_checker import Outage, RunRecords, ServerPlace, check_invariants
+from brookhub.experiments.load import Load
 from brookhub.experiments.processes import ProcessFleet
 from brookhub.fakes import AttemptEnd, FakeListener, ModelServer, ServerAttempt, Timers, read_value
 from brookhub.model import ServerState
@@ -87,9 +88,11 @@
     load = Load(spec, [rogue.endpoint], seed=1)
     began = time.monotonic()
     load.run(1.0)
-    verdict = judge(spec, load.asked, seen, [], 0, {0: (0, 0), 1: (1, 0)}, began)
-    assert load.asked and set(verdict.counts()) == ({rule} if rule else set())
-    assert text in (verdict.first() or "")
+    found = check_invariants(
+        spec, RunRecords(load.requests, seen, [], 0, {0: ServerPlace(0, 0), 1: ServerPlace(1, 0)}, began)
+    )
+    assert load.requests and set(found.counts()) == ({rule} if rule else set())
+    assert text in (found.first() or "")
     for one in (rogue, *servers):
         one.close()
     timers.close()
@@ -102,7 +105,18 @@
     The client's own repeat was held against the limiters as a second effect.
     """
     spec = experiment()
-    call = Asked(1, 0, 1, 2, 10.0, 11.0, answers=[(10.5, "proxied")], end="answered", again=10.3, before=0)
+    call = ClientRequest(
+        1,
+        0,
+        1,
+        2,
+        10.0,
+        11.0,
+        answers=[Answer(10.5, AnswerKind.SERVED)],
+        end=RequestEnd.ANSWERED,
+        resent_at=10.3,
+        previous_limiter=0,
+    )
     seen = [
         ServerAttempt(
             at,
@@ -121,8 +135,10 @@
         for at, server in ((10.1, 3), (10.4, 4))
     ]
     outages = [Outage(0, 10.2, 11.5)] if killed else []
-    verdict = judge(spec, [call], seen, outages, 0, {3: (0, 0), 4: (1, 0)}, 0.0)
-    assert bool(verdict.counts()) == breaks, verdict.first()
+    found = check_invariants(
+        spec, RunRecords([call], seen, outages, 0, {3: ServerPlace(0, 0), 4: ServerPlace(1, 0)}, 0.0)
+    )
+    assert bool(found.counts()) == breaks, found.first()
 
 
 # processes of the program
@@ -131,7 +147,7 @@
 def play(tmp_path, spec, seed=1):
     with ProcessFleet(spec, tmp_path, seed) as lab:
         outcome = lab.play()
-        outcome.seen = lab.seen
+        outcome.attempts = lab.attempts
         pids = [one.process.pid for one in lab.limiters]
         faults = [line for one in lab.limiters for line in one.lines() if line["event"] == "fault"]
     assert not faults, faults[0]
@@ -157,8 +173,10 @@
     )
     result = outcome.result
     assert not result.broken, result.first_break
-    assert result.calls > 150 and result.proxied > 0.8 * (result.calls - outcome.verdict.excused)
-    assert any(one.end == "lost" for one in outcome.seen)  # answers that never came, for work that was done
+    assert result.calls > 150 and result.proxied > 0.8 * (result.calls - outcome.checks.excused)
+    assert any(
+        one.end == "lost" for one in outcome.attempts
+    )  # answers that never came, for work that was done
 
 
 def test_a_planned_end_of_every_limiter_in_turn_loses_no_call(tmp_path):
@@ -174,7 +192,7 @@
         ),
     )
     assert not outcome.result.broken, outcome.result.first_break
-    assert outcome.result.lost == 0 and outcome.verdict.excused == 0
+    assert outcome.result.lost == 0 and outcome.checks.excused == 0
 
 
 def test_what_the_lab_cannot_play_is_told_in_one_line(tmp_path):
@@ -232,13 +250,13 @@
 
 
 def test_two_labs_at_a_time_have_no_address_in_common_and_a_lane_is_free_again_after_its_lab():
-    first, second = Lane(), Lane()
+    first, second = AddressRange(), AddressRange()
     numbers = first.number, second.number
     assert numbers[0] != numbers[1] and first.address(0) != second.address(0)
     assert first.address(0) != first.address(1)
     second.close()
-    for _ in range(LANES + 1):  # each is given back, or none would be left
-        lane = Lane()
-        assert lane.number != first.number
-        lane.close()
+    for _ in range(RANGE_COUNT + 1):  # each is given back, or none would be left
+        addresses = AddressRange()
+        assert addresses.number != first.number
+        addresses.close()
     first.close()
--- a/tests/test_recovery_processes.py
+++ b/tests/test_recovery_processes.py
@@ -9,6 +9,7 @@
 import pytest
 
 from brookhub.config import ConfigError, Experiment, RecoveryFile, loads
+from brookhub.experiments.client_request import AnswerKind
 from brookhub.experiments.processes import ProcessFleet
 from brookhub.experiments.recovery import Debt, bound
 from brookhub.recovery import scan
@@ -90,9 +91,9 @@
         outcome = play_script(lab, script)
         debts, plan = {}, experiment.fleet.plans[0]
         for at, customer in sorted(
-            (one.answers[0][0], one.customer)
-            for one in lab.load.asked
-            if one.answers and one.answers[0][1] == "proxied"
+            (one.answers[0].arrived_at, one.customer)
+            for one in lab.load.requests
+            if one.outcome == AnswerKind.SERVED
         ):
             debts.setdefault(customer, Debt(plan.rate, plan.burst)).take(at, 1.0)
         return lab, outcome, {customer: debt.worst for customer, debt in debts.items()}
@@ -163,13 +164,13 @@
     lab, outcome, over = play(experiment, script)
     within(over, experiment, "split")
     asked: dict[int, list] = {}  # by token: refused calls come again with it, through any limiter
-    for one in lab.load.asked:
+    for one in lab.load.requests:
         if one.route == 2:
-            asked.setdefault(one.token, []).append(one)
+            asked.setdefault(one.original, []).append(one)
     # On both sides of the split
     assert sum(len({one.limiter < 2 for one in them}) == 2 for them in asked.values()) > 5
     ran: dict[bytes, set] = {}
-    for one in lab.seen:
+    for one in lab.attempts:
         if one.idempotency_key and one.executed:
             ran.setdefault(one.idempotency_key, set()).add(one.request)
     # A refused call had no effect, whichever side refused it
