--- a/brookhub/commands/maintenance.py
+++ b/brookhub/commands/maintenance.py
@@ -33,7 +33,7 @@
     plan = load_plan(path)
     click.echo(
         f"{path}: a good plan, version {plan.version}, digest {plan.digest()}, {len(plan.machines)} "
-        f"machines, {plan.most_out} out at once, a majority of {len(plan.voters)} voters permits"
+        f"machines, {plan.max_out} out at once, a majority of {len(plan.voters)} voters permits"
     )
 
 
@@ -48,10 +48,10 @@
 )
 def show_order(path: str, work: float) -> None:
     """Print the order in which a plan takes its machines out, without failures, and its minimum duration."""
-    from ..maintenance import order
+    from ..maintenance import maintenance_order
 
     plan = load_plan(path)
-    for number, machine in enumerate(order(plan, {}, frozenset()), 1):
+    for number, machine in enumerate(maintenance_order(plan, {}, frozenset()), 1):
         components = list(machine.servers)
         if machine.limiter:
             components.append(f"limiter {machine.limiter}")
@@ -59,8 +59,8 @@
             f"{number:3} {machine.name}  zone {machine.zone or '-'}  capacity {machine.capacity:g}  "
             f"{', '.join(components)}"
         )
-    rounds = ceil(len(plan.machines) / plan.most_out)
-    click.echo(f"at least {rounds * (work + plan.fill_s):.0f} s with {work:.0f} s of work on each")
+    rounds = ceil(len(plan.machines) / plan.max_out)
+    click.echo(f"at least {rounds * (work + plan.warm_up_s):.0f} s with {work:.0f} s of work on each")
 
 
 @maintenance.command()
--- a/brookhub/commands/model_check.py
+++ b/brookhub/commands/model_check.py
@@ -3,7 +3,6 @@
 from __future__ import annotations
 
 import sys
-from collections.abc import Iterable
 
 import click
 
@@ -39,27 +38,29 @@
     planted: str,
 ) -> None:
     """Check the maintenance core over its states with faults at every step; exit 1 with a broken trail."""
-    from ..model_checker import PLANTED, Model, Register, search
+    from ..model_checker import PLANTED, Model, ModelSettings, SearchLimits, search, sound_roles
 
-    register = PLANTED.get(planted, Register)
-    model = Model(voters, max_out, machines=1 + max_out, joins=joins, rounds=not messages, register=register)
-    found = search(model, deviations, depth, seconds=seconds, states=MAX_STATES)
+    settings = ModelSettings(
+        voters,
+        max_out,
+        machines=1 + max_out,
+        last_voter_joins=joins,
+        rounds=not messages,
+        roles=PLANTED.get(planted, sound_roles),
+    )
+    model = Model(settings)
+    found = search(model, SearchLimits(deviations, depth, states=MAX_STATES, seconds=seconds))
     coverage = "all within the bounds" if found.complete else "cut off by the time"
     click.echo(
         f"{found.states} states, {found.deviations} deviations, depth {found.depth}, {found.seconds:.0f} s, "
         f"{coverage}"
     )
-    if found.broken:
-        print_trail(found.broken, found.trail)
+    if found.violation is not None:
+        click.echo(f"broken: {found.violation}")
+        for number, action in enumerate(found.trail):
+            click.echo(f"{number:4} {action}")
         sys.exit(EXIT_FAILED)
-    faults = [model.ends(state) for state in found.ends[:MAX_CHECKED_ENDS]]  # empty where the plan completed
-    completed = faults.count("")
-    click.echo(f"from {completed} of {len(faults)} states, faults over, the plan came to its end")
-    sys.exit(0 if completed == len(faults) else EXIT_FAILED)
-
-
-def print_trail(broken: str, trail: Iterable[tuple[object, ...]]) -> None:
-    """Print a broken invariant and the numbered actions that lead to it."""
-    click.echo(f"broken: {broken}")
-    for number, action in enumerate(trail):
-        click.echo(f"{number:4} {' '.join(map(str, action))}")
+    obstacles = [model.obstacle_to_end(state) for state in found.samples[:MAX_CHECKED_ENDS]]
+    completed = obstacles.count(None)
+    click.echo(f"from {completed} of {len(obstacles)} states, faults over, the plan came to its end")
+    sys.exit(0 if completed == len(obstacles) else EXIT_FAILED)
--- a/brookhub/experiments/bounds.py
+++ b/brookhub/experiments/bounds.py
@@ -9,11 +9,12 @@
 
 
 def quota_bound(plan: PlanSpec, seconds: float, silent: float, limiters: int, excess: float = 0.0) -> float:
-    """The maximum of units that a fleet serves a customer in `seconds`, with the counter silent for `silent` s.
+    """The maximum of units that a customer gets in `seconds`, of which the counter is silent for `silent`.
 
-    r T + 2 b + N u with the counter's answers; while it is silent 1.5 (1 + e) r instead of r, and 1.5 (1 + e) b
-    and 2 N u once more. `excess` e: by how much the shares of all running limiters exceed one (0 unless members
-    left and returned unnoticed; 1 in the baseline that divides by the members seen, in a split of halves).
+    r T + 2 b + N u with the counter's answers; while it is silent 1.5 (1 + e) r instead of r, and 1.5 (1 + e)
+    b and 2 N u once more. `excess` e: by how much the shares of all running limiters exceed one. It is 0
+    unless members left and returned unnoticed, and 1 in the baseline that divides by the members seen, in a
+    split of halves.
     """
     answering = plan.rate * (seconds - silent) + 2 * plan.burst + limiters * MAX_UNITS
     if not silent:
--- a/brookhub/experiments/maintenance.py
+++ b/brookhub/experiments/maintenance.py
@@ -32,10 +32,10 @@
         1,
         made,
         tuple(f"n{n}" for n in range(VOTERS)),
-        most_out=most,
-        most_zone=max(1, most - 1),
-        capacity_least=0.5,
-        **{"start_within_s": START, "fill_s": FILL, "pause_s": 0.0, **more},
+        max_out=most,
+        max_out_per_zone=max(1, most - 1),
+        min_capacity_share=0.5,
+        **{"start_within_s": START, "warm_up_s": FILL, "pause_s": 0.0, **more},
     )
 
 
@@ -91,7 +91,7 @@
     raw["duration_s"], raw["load"]["scale"] = 90.0, 1.0
     fleet = Fleet(Experiment.model_validate(raw), seed=job["seed"], keep_trail=False)
     if job["how"] != "none":
-        one = plan(job["most"], machines=8, servers=3, start_within_s=4.0, fill_s=5.0)
+        one = plan(job["most"], machines=8, servers=3, start_within_s=4.0, warm_up_s=5.0)
         site = Site(one, 40, job["seed"], job["how"], 6.0, fleet=fleet)
         site.faults(job["rate"], 60.0)
     metrics = fleet.run().metrics()
--- a/brookhub/experiments/maintenance_status.py
+++ b/brookhub/experiments/maintenance_status.py
@@ -10,31 +10,53 @@
 
 from .limiter_process import LogLine
 
-# Events on a machine, by their beginning, and the step that they lead to
-STEPS = {
-    "permitted": "leaving",
-    "back": "filling",
-    "brought back": "waits",
-    "withdrawn": "waits",
-    "safe to": "safe to work on",
-    "done": "done",
+# What `brookhub maintenance status` prints for the last event of a machine
+EVENT_STEPS = {
+    "machine drain started": "leaving",
+    "machine safe to work on": "safe to work on",
+    "machine back in service": "filling",
+    "machine work completed": "done",
+    "machine drain cancelled": "waits",
+    "machine release expired": "waits",
 }
-PREFIXES = ("safe to", "done")  # of events that go on with the machine's name
+# Events of version 0.11 and before: logs outlive an upgrade, and a fleet may run both versions
+EVENTS_OF_0_11 = {
+    "plan taken": "plan adopted",
+    "plan refused": "plan rejected",
+    "plan goes on": "plan resumed",
+    "steward": "leadership acquired",
+    "steward no more": "leadership lost",
+    "permitted": "machine drain started",
+    "back": "machine back in service",
+    "brought back": "machine drain cancelled",
+    "withdrawn": "machine release expired",
+    "work takes long": "machine work overdue",
+}
+# Those that ended in the machine's name
+EVENT_PREFIXES_OF_0_11 = {
+    "safe to work on ": "machine safe to work on",
+    "done with ": "machine work completed",
+}
+FACTS_OF_0_11 = {"steward": "leader", "why": "reason", "held": "current_digest"}
+
+
+def with_current_names(line: LogLine) -> LogLine:
+    """A maintenance log line with the names of this version, whichever version wrote it."""
+    event = line.get("event", "")
+    for prefix, current in EVENT_PREFIXES_OF_0_11.items():
+        if event.startswith(prefix):
+            event = current
+    renamed = {FACTS_OF_0_11.get(name, name): value for name, value in line.items()}
+    return renamed | {"event": EVENTS_OF_0_11.get(event, event)}
 
 
 def maintenance_lines(path: Path) -> Iterator[LogLine]:
-    """The lines of a log that are about maintenance."""
+    """The lines of a log that are about maintenance, with the names of this version."""
     for text in path.read_text(errors="replace").splitlines():
         with suppress(ValueError):
             line = json.loads(text)
             if isinstance(line, dict) and line.get("what") == "maintenance":
-                yield line
-
-
-def step_of(event: str) -> str | None:
-    """The step of a machine that an event leads to; None for events that change none."""
-    prefix = next((prefix for prefix in PREFIXES if event.startswith(prefix)), event)
-    return STEPS.get(prefix)
+                yield with_current_names(line)
 
 
 def plan_name(line: LogLine) -> str:
@@ -63,22 +85,22 @@
     def add(self, line: LogLine) -> None:
         """Apply a log line."""
         event = line.get("event", "")
-        if event == "steward":
-            self.leader = line.get("steward", "")
-        elif event == "plan taken":
+        if event == "leadership acquired":
+            self.leader = line.get("leader", "")
+        elif event == "plan adopted":
             self.plan = plan_name(line)
-        elif event == "plan refused":
-            self.refused.append(f"{plan_name(line)} (held: {line.get('held')})")
+        elif event == "plan rejected":
+            self.refused.append(f"{plan_name(line)} (held: {line.get('current_digest')})")
         elif event == "plan halted":
-            self.halt_reason = line.get("why", "")
-        elif event == "plan goes on":
+            self.halt_reason = line.get("reason", "")
+        elif event == "plan resumed":
             self.halt_reason = ""
         else:
             self.add_step(line.get("machine", ""), event, line.get("timestamp", ""))
 
     def add_step(self, machine: str, event: str, timestamp: str) -> None:
         """Apply an event on a machine (empty: on none)."""
-        step = step_of(event)
+        step = EVENT_STEPS.get(event)
         if machine and step:
             self.machines[machine] = MachineStep(step, timestamp)
 
--- a/brookhub/experiments/maintenance_workers.py
+++ b/brookhub/experiments/maintenance_workers.py
@@ -11,7 +11,7 @@
 from .limiter_process import Limiter, LogLine
 from .processes import ProcessFleet
 
-SAFE_TO_WORK = "safe to work on "  # an event's beginning; the machine's name follows
+SAFE_TO_WORK = "machine safe to work on"  # event in the limiters' logs
 POLL_INTERVAL = 0.05  # s
 
 Machines = Mapping[str, Sequence[int | str]]  # by name: servers by id, limiters by name (n4)
@@ -32,7 +32,7 @@
 
     Its servers drain, stop after `grace_s` and return `work_s` later, cold; its limiters are shut down and
     started again. `outs` holds every take-out, from "safe to work" to the return. `hooks` may be set: by an
-    event's first word, a function that is called with each limiter's log line of such an event. The owner
+    event, a function that is called with each limiter's log line of such an event. The owner
     ends the threads by `stop`, which raises what went wrong in them.
     """
 
@@ -62,12 +62,12 @@
     def on_line(self, limiter: Limiter, line: LogLine) -> None:
         """Call the hook of a log line, and begin to work on a machine that is safe to work on."""
         event = line.get("event", "")
-        hook = self.hooks.get(event.split(" ")[0])
+        hook = self.hooks.get(event)
         if hook:
             hook(limiter, line)
         machine = line.get("machine", "")
         is_out = any(out.machine == machine and not out.ended for out in self.outs)
-        if event.startswith(SAFE_TO_WORK) and not is_out:
+        if event == SAFE_TO_WORK and not is_out:
             out = TakeOut(machine, monotonic())
             self.outs.append(out)
             threading.Thread(target=self.work, args=(out,), daemon=True).start()
--- a/brookhub/experiments/plans.py
+++ b/brookhub/experiments/plans.py
@@ -15,7 +15,7 @@
 from ..config import Experiment
 from .jobs import Row
 from .limiter_process import Limiter, LogLine
-from .maintenance_workers import Workers
+from .maintenance_workers import SAFE_TO_WORK, Workers
 from .processes import ProcessFleet
 
 LIMITERS = 8
@@ -29,12 +29,14 @@
 FAULT_TIME = 8.0  # s that links are cut
 MACHINES: Mapping[str, Sequence[int]] = {f"m{number}": [2 * number, 2 * number + 1] for number in range(4)}
 
-# Scenarios that kill the limiter that logs an event, by the first word of the event
+WORK_COMPLETED = "machine work completed"
+
+# Scenarios that kill the limiter that logs an event, by the event
 KILLED_AT = {
-    "killed, permitted": "permitted",
-    "killed, open": "safe",
-    "killed, back": "back",
-    "killed, done": "done",
+    "killed, permitted": "machine drain started",
+    "killed, open": SAFE_TO_WORK,
+    "killed, back": "machine back in service",
+    "killed, done": WORK_COMPLETED,
 }
 STALLED = "stopped past its lease"
 CUT = "cut one way"
@@ -121,7 +123,7 @@
         sleep(CONVERGED_AFTER)
         workers = Workers(self.fleet, MACHINES, WORK_S, GRACE_S)
         began = monotonic()
-        workers.hooks[KILLED_AT.get(self.scenario, "safe")] = self.begin_fault
+        workers.hooks[KILLED_AT.get(self.scenario, SAFE_TO_WORK)] = self.begin_fault
         self.give_plans()
         while monotonic() - began < PLAN_LIMIT_S and not self.is_done():
             sleep(POLL_INTERVAL)
@@ -132,8 +134,8 @@
             "took_s": round(duration, 1),
             "most_out": workers.max_out(),
             "kept": workers.max_out() <= self.max_out,
-            "stewards": len(self.lines("steward")) - len(self.lines("steward no")),
-            "refused": len(self.lines("plan refused")),
+            "stewards": len(self.lines("leadership acquired")),
+            "refused": len(self.lines("plan rejected")),
             "faults": len(self.lines("fault")),
         }
 
@@ -164,7 +166,7 @@
 
     def is_done(self) -> bool:
         """Whether the plan is done with all machines."""
-        return {line["machine"] for line in self.lines("done with")} == set(MACHINES)
+        return {line["machine"] for line in self.lines(WORK_COMPLETED)} == set(MACHINES)
 
     def begin_fault(self, limiter: Limiter, line: LogLine) -> None:
         """Begin the scenario's fault, once, at the limiter that logged its event."""
--- a/brookhub/routing/peers.py
+++ b/brookhub/routing/peers.py
@@ -1,7 +1,7 @@
 """Membership's driver: one UDP socket, a thread that reads it, timers and sends by the port.
 
-What is unreadable, foreign, oversized or from an unlisted address is dropped and counted before the lock is
-taken.
+What is malformed, of another fleet, oversized or from an unlisted address is dropped and counted before the
+lock is taken.
 """
 
 from __future__ import annotations
@@ -12,8 +12,25 @@
 
 from xxhash import xxh3_64_intdigest
 
-from ..coordination import TOPIC, ByPeers, Parts, Shared, SharedEjections, Turns, UnusableError, unpack
-from ..membership import LARGEST, WORDS, Membership, UnreadableError, decode
+from ..coordination import (
+    REPORT_TOPIC,
+    EpochLeases,
+    FleetCoordinator,
+    GossipReportTransport,
+    InvalidReportsError,
+    OutlierDetector,
+    SubsetAssignment,
+    decode_reports,
+)
+from ..membership import (
+    MAX_DATAGRAM_BYTES,
+    DropReason,
+    MalformedMessageError,
+    Membership,
+    MembershipSettings,
+    MemberState,
+    decode,
+)
 from ..transport.threads import spawn
 
 BUFFER = 256 * 1024  # bytes that the system holds of datagrams not yet read: a burst after a split heals
@@ -47,23 +64,29 @@
         self.by_name: dict[str, tuple[str, int]] = {}
         self.by_address: dict[tuple[str, int], str] = {}
         self.list(spec)
-        self.core = Membership(self, spec.fleet, spec.name, self.by_name, seed, spec.period_s)
+        self.core = Membership(
+            self, MembershipSettings(spec.fleet, spec.name, seed, spec.period_s), self.by_name
+        )
         self.dropped: dict[str, int] = {}
         self.dropped_told: dict[str, int] = {}
         self.saying, self.said_at = False, -SAYS
         self.numbers = (0, 0, 0)
-        self.ahead = time() - monotonic()  # of the calendar; looked at again with each log line
-        self.turns = Turns(xxh3_64_intdigest(spec.fleet), spec.name)  # one key for a fleet, the same at all
+        self.ahead = (
+            time() - monotonic()
+        )  # s by which wall time is ahead of `now`; measured again with each log line
+        self.leases = EpochLeases(xxh3_64_intdigest(spec.fleet), spec.name)  # one key for the whole fleet
         self.on_topic: dict[int, object] = {}  # what other parts take of the peers' words
-        self.ejections = SharedEjections(ByPeers(self, self.core), self.turns) if spec.signals else None
-        self.parts = (
-            Parts(self.turns.key, spec.name, self.by_name, self.core.counted) if spec.subsets else None
-        )
-        if self.ejections or self.parts:
-            port.gateway.use_coordination(Shared(self.ejections, self.parts))
-        if self.ejections:
-            self.shunned: list[int] = []
-            self.look()
+        self.detector: OutlierDetector | None = None
+        if spec.signals:
+            self.detector = OutlierDetector(self, GossipReportTransport(self.core), self.leases)
+        self.assignment: SubsetAssignment | None = None
+        if spec.subsets:
+            self.assignment = SubsetAssignment(self.leases.key, spec.name, self.by_name, self.core.live_names)
+        if self.detector or self.assignment:
+            port.gateway.use_coordination(FleetCoordinator(self.detector, self.assignment))
+        if self.detector:
+            self.ejected_servers: list[int] = []
+            self.log_ejections()
 
     def list(self, spec) -> None:
         """Take in the peers of the operator's file."""
@@ -82,15 +105,15 @@
         Its own name and address hold until the next start.
         """
         self.list(spec)
-        self.core.relist(self.by_name)
-        if self.parts:
-            self.parts.relist(self.by_name)
+        self.core.update_peers(self.by_name)
+        if self.assignment:
+            self.assignment.set_peers(self.by_name)
 
     def read(self) -> None:
         """The thread: whatever arrives, to the end of the program."""
         while True:
             try:
-                data, source = self.sock.recvfrom(LARGEST + 1)
+                data, source = self.sock.recvfrom(MAX_DATAGRAM_BYTES + 1)
             except OSError:
                 return
             peer = self.by_address.get(source)
@@ -99,10 +122,10 @@
                 continue
             try:
                 message = decode(data, self.fleet)
-            except UnreadableError as bad:
+            except MalformedMessageError as bad:
                 self.drop(bad.reason)
                 continue
-            self.port.run(monotonic(), self.core.received, peer, message)
+            self.port.run(monotonic(), self.core.on_message, peer, message)
 
     def drop(self, reason: str) -> None:
         """Count a datagram that is not taken."""
@@ -116,8 +139,8 @@
         return self.port.now
 
     @property
-    def calendar(self) -> float:
-        """Seconds on the clock that all limiters share, to within a small part of a turn."""
+    def wall_time(self) -> float:
+        """Seconds on the clock that all limiters share, to within a small part of a lease's epoch."""
         return self.port.now + self.ahead
 
     def later(self, seconds: float, callback) -> None:
@@ -135,49 +158,49 @@
         with suppress(OSError):  # nobody there, or no room: the network loses datagrams, and this is one
             self.sock.sendto(data, socket.MSG_DONTWAIT, at)
 
-    def told(self, live: int, rank: int, sure: int) -> None:
-        """Membership tells how many are there."""
-        self.numbers = (live, rank, sure)
-        self.port.gateway.on_membership_changed(live, rank, sure)
+    def on_membership_changed(self, live: int, rank: int, possible: int) -> None:
+        """Pass the fleet's counts on to the decisions and to recovery."""
+        self.numbers = (live, rank, possible)
+        self.port.gateway.on_membership_changed(live, rank, possible)
         if self.port.recovery:
-            self.port.recovery.fleet(sure)
+            self.port.recovery.set_fleet_size(possible)
         self.soon()
 
-    def changed(self, member: str, state: int) -> None:
-        """A member came or went."""
-        self.turns.told(self.core.present)
+    def on_member_state_changed(self, member: str, state: MemberState) -> None:
+        """Handle a member that came or went."""
+        self.leases.set_present(self.core.present)
         self.soon()
 
-    def said(self, peer: str, topic: int, data: bytes) -> None:
-        """Another part's word. What can't be read is counted; a topic that is off here is nobody's."""
+    def on_payload_received(self, peer: str, topic: int, data: bytes) -> None:
+        """Pass a payload to its component; drop what is malformed or has a topic that is off here."""
         if topic in self.on_topic:
             return self.on_topic[topic](peer, data)
-        if topic != TOPIC or not self.ejections:
+        if topic != REPORT_TOPIC or not self.detector:
             return
         try:
-            self.ejections.received(peer, unpack(data))
-        except UnusableError:
-            self.drop("unreadable")
-
-    def look(self) -> None:
-        """Log which servers the fleet leaves alone, where that changed."""
-        ejections, self.ahead = self.ejections, time() - monotonic()
-        shunned = [server for server in ejections.ejections if ejections.is_ejected(server)]
-        if shunned != self.shunned:
-            self.shunned = shunned
-            sent, disbelieved = ejections.sent, ejections.disbelieved
+            self.detector.on_reports(peer, decode_reports(data))
+        except InvalidReportsError:
+            self.drop(DropReason.MALFORMED)
+
+    def log_ejections(self) -> None:
+        """Log which servers the fleet has ejected, where that changed."""
+        self.ahead = time() - monotonic()
+        ejected = self.detector.ejected_servers()
+        if ejected != self.ejected_servers:
+            self.ejected_servers = ejected
+            sent, distrusted = self.detector.sent_count, self.detector.distrusted_count
             self.port.todo.append(
                 (
                     lambda: self.log.info(
-                        "servers left alone",
-                        servers=shunned[:NAMED],
-                        more=max(0, len(shunned) - NAMED),
-                        words=sent,
-                        refused=disbelieved,
+                        "upstreams ejected",
+                        servers=ejected[:NAMED],
+                        more=max(0, len(ejected) - NAMED),
+                        reports_sent=sent,
+                        reports_distrusted=distrusted,
                     ),
                 )
             )
-        self.later(SAYS, self.look)
+        self.later(SAYS, self.log_ejections)
 
     # the log
 
@@ -191,7 +214,7 @@
         """Log the state of the fleet."""
         self.saying, self.said_at = False, self.now
         absent = [
-            f"{name} {WORDS[one.state]}"
+            f"{name} {one.state.name.lower()}"
             for name, one in sorted(self.core.members.items())
             if name not in self.core.present
         ]
@@ -215,9 +238,9 @@
         counts = {
             **self.dropped,
             **{
-                name: self.core.counts[name]
-                for name in ("foreign", "unlisted-member")
-                if self.core.counts[name]
+                reason: count
+                for reason in (DropReason.WRONG_SOURCE, DropReason.UNLISTED_MEMBER)
+                if (count := self.core.statistics.dropped[reason])
             },
         }
         if counts != self.dropped_told:
--- a/tests/test_golden_bytes.py
+++ b/tests/test_golden_bytes.py
@@ -10,9 +10,8 @@
 import msgspec
 import pytest
 
-from brookhub.coordination import TOPIC as EJECTIONS_TOPIC
-from brookhub.coordination import report_transport as ejection_reports
-from brookhub.coordination.ejections import Health, Report
+from brookhub.coordination import REPORT_TOPIC as EJECTIONS_TOPIC
+from brookhub.coordination import CounterReportTransport, Health, Report, decode_reports, encode_reports
 from brookhub.emulator.peers import Crew
 from brookhub.maintenance import TOPIC as MAINTENANCE_TOPIC
 from brookhub.maintenance import messages as maintenance
@@ -131,14 +130,14 @@
 
 
 def test_commands_to_the_counter_have_the_golden_bytes() -> None:
-    epochs = Epochs(slot=1, limiters=3, beat=1.0)
+    epochs = Epochs(slot=1, limiters=3, heartbeat_interval=1.0)
     epochs.epoch = 4711
     names = {
-        "register": epochs.register(1000.0, 1),
-        "roll": epochs.roll(1000.0, 1),
-        "claim": epochs.claim(1000.0, 99_999.0, 1),
-        "name in an epoch": epochs.name(7 << 31 | 5),
-        "ejection report": ejection_reports.ByCounter(FixedClock(), 99).name(12),
+        "register": epochs.register_name(1000.0, 1),
+        "roll": epochs.membership_name(1000.0, 1),
+        "claim": epochs.claim_name(1000.0, 99_999.0, 1),
+        "name in an epoch": epochs.count_name(7 << 31 | 5),
+        "ejection report": CounterReportTransport(FixedClock(), 99).count_name(12),
     }
     commands = {name: counts.add(number, 1.0, 10.0) for name, number in names.items()}
     commands["fraction"] = counts.add(7 << 31, 0.1234567, 0.0001)
@@ -218,7 +217,7 @@
 
     fleet.net.send, fleet.net.loss = record, 0.3
     fleet.run(2.0)
-    fleet.seats["n0"].core.say(MAINTENANCE_TOPIC, b"word")
+    fleet.seats["n0"].core.send_payload(MAINTENANCE_TOPIC, b"word")
     fleet.seats["n4"].core.leave()
     fleet.run(2.0)
     fleet.seats["n3"].kill()
@@ -233,24 +232,24 @@
 
 
 READ, STATE = (
-    maintenance.Read(7),
-    maintenance.State(7, True, PROMISED, MARK, maintenance.Table(*TABLE), False),
+    maintenance.FetchRequest(7),
+    maintenance.FetchReply(7, True, PROMISED, MARK, maintenance.PlanProgress(*TABLE), False),
 )
 MAINTENANCE_MESSAGES = {
-    "ask": maintenance.Ask(BALLOT),
-    "grant": maintenance.Grant(BALLOT, MARK, maintenance.Table(*TABLE)),
-    "deny": maintenance.Deny(BALLOT, PROMISED),
-    "write": maintenance.Write(MARK, maintenance.Table()),
-    "wrote": maintenance.Wrote(MARK, maintenance.Report(*REPORT)),
+    "ask": maintenance.Prepare(BALLOT),
+    "grant": maintenance.Promise(BALLOT, MARK, maintenance.PlanProgress(*TABLE)),
+    "deny": maintenance.Reject(BALLOT, PROMISED),
+    "write": maintenance.Accept(MARK, maintenance.PlanProgress()),
+    "wrote": maintenance.Accepted(MARK, maintenance.Report(*REPORT)),
     "read": READ,
     "state": STATE,
-    "pass read": maintenance.Pass("n0", "n2", READ),
-    "pass state": maintenance.Pass("n0", "n2", STATE),
-    "told": maintenance.Told(MARK, maintenance.Table(*TABLE)),
-    "heard": maintenance.Heard(MARK, maintenance.Report()),
-    "offer": maintenance.Offer(4, "0123456789ab"),
-    "want": maintenance.Want("0123456789ab", 1),
-    "piece": maintenance.Piece("0123456789ab", 1, 2, b"\x00plan\xff"),
+    "pass read": maintenance.Relay("n0", "n2", READ),
+    "pass state": maintenance.Relay("n0", "n2", STATE),
+    "told": maintenance.Commit(MARK, maintenance.PlanProgress(*TABLE)),
+    "heard": maintenance.CommitAck(MARK, maintenance.Report()),
+    "offer": maintenance.PlanAnnouncement(4, "0123456789ab"),
+    "want": maintenance.ChunkRequest("0123456789ab", 1),
+    "piece": maintenance.PlanChunk("0123456789ab", 1, 2, b"\x00plan\xff"),
 }
 MAINTENANCE_FIELDS = {
     "ask": ["Ask", BALLOT],
@@ -294,6 +293,6 @@
 
 def test_ejection_reports_have_the_golden_bytes_and_are_read_back() -> None:
     reports = [Report(12, Health.FAILING), Report(2**48 - 1, Health.HEALTHY), Report(0, Health.STILL_FAILING)]
-    (data,) = ejection_reports.pack(reports)
+    (data,) = encode_reports(reports)
     assert_golden("ejection_reports.jsonl", {"reports": data})
-    assert [list(report) for report in ejection_reports.unpack(data)] == [[12, 1], [2**48 - 1, 2], [0, 3]]
+    assert [list(report) for report in decode_reports(data)] == [[12, 1], [2**48 - 1, 2], [0, 3]]
