--- a/tests/test_processes.py
+++ b/tests/test_processes.py
@@ -2,7 +2,7 @@
 
 Several processes of the program on loopback, faults between them, and a judge that catches.
 
-Each run here takes a few seconds; long ones are `brookhub lab processes` (docs/process-lab.md).
+Each run here takes a few seconds; long ones are `brookhub experiments processes` (docs/process-lab.md).
 """
 
 import contextlib
