--- a/brookhub/experiments/choices.py
+++ b/brookhub/experiments/choices.py
@@ -1,9 +1,8 @@
-"""Measures subsets.
+"""Measures algorithms that assign each limiter a subset of the servers, by computation alone.
 
-Balance, load, churn and connections of several ways to choose them, by computation alone.
-
-Ways: `stretch` (today's: a stretch of the servers sorted by id, from a golden-ratio place on), `random` (a
-hash's first few), `matching` (coordination.SubsetMatching). docs/choices.md reads the tables and the plot.
+Algorithms: `stretch` (a run of the servers sorted by id, from a golden-ratio place on), `random` (the first
+few by a hash), `matching` (coordination.SubsetMatching). Measured: balance, load, churn, connections. Rows are
+JSON objects; the tables in docs/choices.md are made of their keys.
 """
 
 from __future__ import annotations
@@ -12,17 +11,20 @@
 import multiprocessing
 import os
 import random
+from collections.abc import Callable, Mapping, Sequence
+from dataclasses import dataclass
 from math import ceil, floor
 from pathlib import Path
-from typing import Callable
+from typing import Any
 
 from ..coordination import SubsetMatching, subset_size
 from ..coordination.hashing import uniform_hash
 from .canvas import panels, save_figure
+from .jobs import Job, Progress, Row, no_progress
 
 RESULTS = "choices.jsonl"
-GOLDEN = 0.6180339887  # of a circle, between numbers in turn (policy.GOLDEN)
-SIZES = [
+GOLDEN_RATIO = 0.6180339887  # of a circle, between the places of two consecutive limiters
+SIZES = [  # limiters, servers
     (4, 10),
     (10, 60),
     (40, 60),
@@ -35,118 +37,195 @@
     (40, 500),
 ]
 WAYS = ("stretch", "random", "matching")
-# Times as many more, of the matching: the smaller each part, the more even their sum (that many more
-# connections)
-SPREAD = 2.0
-HOT, TIMES = 0.1, 4.0  # share of limiters that see more than the others, how many times the mean of those
-
-
-def subsets(
-    way: str, limiters: list[int], servers: list[str], weights: list[float], each: int, key: int
-) -> dict[int, list]:
-    """Limiter -> its servers, chosen in that way."""
-    if way == "matching":
-        fleet = SubsetMatching(limiters, key)
-        fleet.set_servers(dict(zip(servers, weights, strict=False)))
-        return fleet.subsets(each)
-    if way == "random":
-        fleet = SubsetMatching(
-            [f"n{one}" for one in limiters], key
-        )  # by names: nothing is dealt, all is chance
-        fleet.set_servers(dict(zip(servers, weights, strict=False)))
-        return {one: [server for _, server in fleet.rankings[f"n{one}"][:each]] for one in limiters}
-    ring = sorted(servers, key=lambda server: uniform_hash(0, server))  # ids are hashes of names
+# Factor on a widened subset of the matching: the smaller each part of the load, the more even their sum, at
+# the price of that many more connections
+WIDENING_FACTOR = 2.0
+HOT_SHARE = 0.1  # of the limiters
+HOT_LOAD = 4.0  # times the load of the others
+SPARE_NUMBERS = 1.1  # limiters' numbers are drawn from so many times their count: some are missing
+WEIGHTS = (0.5, 1.0, 2.0)  # of servers, where they differ
+
+PANELS = [
+    ("limiters_a_server", "limiters a server, largest / mean"),
+    ("load_a_server", "load a server, largest / mean"),
+    ("churn_limiter", "changed pairs / least, a limiter goes"),
+    ("churn_server", "changed pairs / least, a server goes"),
+]
+
+Subsets = dict[int, list[str]]  # by limiter
+Pair = tuple[int, str]  # a limiter and a server of its subset
+
+
+@dataclass(frozen=True)
+class Fleet:
+    """Limiters by number, servers with their weights, and the key of the hashes."""
+
+    limiters: Sequence[int]
+    weights: Mapping[str, float]
+    key: int
+
+    def without_limiter(self, limiter: int) -> Fleet:
+        """The fleet without a limiter."""
+        return Fleet([other for other in self.limiters if other != limiter], self.weights, self.key)
+
+    def without_server(self, server: str) -> Fleet:
+        """The fleet without a server."""
+        rest = {other: weight for other, weight in self.weights.items() if other != server}
+        return Fleet(self.limiters, rest, self.key)
+
+    def matching(self) -> SubsetMatching[int, str]:
+        """The matching of this fleet."""
+        matching: SubsetMatching[int, str] = SubsetMatching(self.limiters, self.key)
+        matching.set_servers(self.weights)
+        return matching
+
+
+def stretch_subsets(fleet: Fleet, size: int) -> Subsets:
+    """A run of the servers sorted by id for each limiter."""
+    ring = sorted(fleet.weights, key=lambda server: uniform_hash(0, server))  # ids are hashes of names
+    subsets = {}
+    for limiter in fleet.limiters:
+        first = floor(limiter * GOLDEN_RATIO % 1.0 * len(ring))
+        subsets[limiter] = [ring[(first + step) % len(ring)] for step in range(size)]
+    return subsets
+
+
+def random_subsets(fleet: Fleet, size: int) -> Subsets:
+    """The first servers of each limiter by a hash of both names."""
+    names = {limiter: f"n{limiter}" for limiter in fleet.limiters}
+    ranking: SubsetMatching[str, str] = SubsetMatching(list(names.values()), fleet.key)
+    ranking.set_servers(fleet.weights)
     return {
-        one: [ring[(floor(one * GOLDEN % 1.0 * len(ring)) + step) % len(ring)] for step in range(each)]
-        for one in limiters
+        limiter: [server for _, server in ranking.rankings[name][:size]] for limiter, name in names.items()
     }
 
 
-def pairs(chosen: dict[int, list]) -> set[tuple]:
-    """Who uses which server."""
-    return {(one, server) for one, own in chosen.items() for server in own}
-
-
-def balance(
-    chosen: dict[int, list], servers: list[str], weights: list[float], load: dict[int, float]
-) -> tuple[float, float]:
-    """(limiters a server by weight, largest over mean; load a server by weight, largest over mean)."""
-    count, carried = dict.fromkeys(servers, 0), dict.fromkeys(servers, 0.0)
-    weight = dict(zip(servers, weights, strict=False))
-    for one, own in chosen.items():
-        whole = sum(weight[server] for server in own)
-        for server in own:
-            count[server] += 1
-            carried[server] += load[one] * weight[server] / whole
-    total = sum(weights)
-    mean, mean_load = sum(count.values()) / total, sum(load.values()) / total
-    return (
-        max(count[one] / weight[one] for one in servers) / mean,
-        max(carried[one] / weight[one] for one in servers) / mean_load,
+def matching_subsets(fleet: Fleet, size: int) -> Subsets:
+    """The subsets of the matching."""
+    return fleet.matching().subsets(size)
+
+
+ALGORITHMS: dict[str, Callable[[Fleet, int], Subsets]] = {
+    "stretch": stretch_subsets,
+    "random": random_subsets,
+    "matching": matching_subsets,
+}
+
+
+def pairs_of(subsets: Subsets) -> set[Pair]:
+    """All pairs of a limiter and a server of its subset."""
+    return {(limiter, server) for limiter, servers in subsets.items() for server in servers}
+
+
+@dataclass(frozen=True)
+class Balance:
+    """Limiters and load of a server by its weight, each the largest over the mean."""
+
+    limiters: float
+    load: float
+
+
+def balance(subsets: Subsets, weights: Mapping[str, float], load: Mapping[int, float]) -> Balance:
+    """The balance of subsets, where each limiter spreads its load over its servers by their weights."""
+    limiter_counts = dict.fromkeys(weights, 0)
+    loads = dict.fromkeys(weights, 0.0)
+    for limiter, servers in subsets.items():
+        total_weight = sum(weights[server] for server in servers)
+        for server in servers:
+            limiter_counts[server] += 1
+            loads[server] += load[limiter] * weights[server] / total_weight
+    total = sum(weights.values())
+    mean_limiters = sum(limiter_counts.values()) / total
+    mean_load = sum(load.values()) / total
+    return Balance(
+        max(limiter_counts[server] / weight for server, weight in weights.items()) / mean_limiters,
+        max(loads[server] / weight for server, weight in weights.items()) / mean_load,
     )
 
 
-def play(job: dict) -> dict:
-    """One row.
+def widened(fleet: Fleet, way: str, subsets: Subsets, hot: set[int], size: int) -> Subsets:
+    """The subsets with larger ones for hot limiters.
 
-    Balance with even and with hot limiters, changed pairs over the least possible for one that comes or goes
-    (mean over `moves` of each), connections; some limiters are away, so numbers are not dense.
+    The others can't know of their load, so the others' subsets stay.
     """
-    rng = random.Random(job["seed"])
-    count, many, way = job["limiters"], job["servers"], job["way"]
-    limiters = sorted(rng.sample(range(ceil(count * 1.1)), count))
-    servers = [f"s{job['seed']}-{number}" for number in range(many)]
-    weights = [1.0] * many if not job["weighted"] else [rng.choice([0.5, 1.0, 2.0]) for _ in servers]
-    key, each = job["seed"], subset_size(count, many)
-    chosen = subsets(way, limiters, servers, weights, each, key)
-    hot = set(rng.sample(limiters, max(1, round(HOT * count))))
-    even, loaded = balance(chosen, servers, weights, dict.fromkeys(limiters, 1.0))
-    fleet = SubsetMatching(limiters, key)
-    fleet.set_servers(dict(zip(servers, weights, strict=False)))
-    # Hot ones use as many more servers as they see more; the others can't know, so their own lists stay.
-    for one in hot:
-        more = min(many, ceil(each * TIMES))
+    count = len(fleet.weights)
+    hot_size = min(count, ceil(size * HOT_LOAD))
+    matching = fleet.matching()
+    larger = {}
+    for limiter in hot:
         if way == "matching":
-            chosen_hot = fleet.widened_subset(one, each, min(many, ceil(more * SPREAD)))
+            widened_size = min(count, ceil(hot_size * WIDENING_FACTOR))
+            larger[limiter] = matching.widened_subset(limiter, size, widened_size)
         else:
-            chosen_hot = subsets(way, [one], servers, weights, more, key)[one]
-        chosen[one] = chosen_hot
-    uneven = balance(chosen, servers, weights, {one: TIMES if one in hot else 1.0 for one in limiters})[1]
-    base = pairs(subsets(way, limiters, servers, weights, each, key))
-    churn = {"limiter": [], "server": []}
-    for _move in range(job["moves"]):
-        gone = rng.choice(limiters)
-        rest = [one for one in limiters if one != gone]
-        after = pairs(subsets(way, rest, servers, weights, min(each, many), key))
-        churn["limiter"].append(len(base ^ after) / each)
-        if each < many:
-            gone = rng.randrange(many)
-            fewer, lighter = servers[:gone] + servers[gone + 1 :], weights[:gone] + weights[gone + 1 :]
-            after = pairs(subsets(way, limiters, fewer, lighter, each, key))
-            lost = sum(server == servers[gone] for _, server in base)
-            churn["server"].append(len(base ^ after) / max(1, 2 * lost))
+            alone = Fleet([limiter], fleet.weights, fleet.key)
+            larger[limiter] = ALGORITHMS[way](alone, hot_size)[limiter]
+    return subsets | larger
+
+
+@dataclass(frozen=True)
+class Churn:
+    """Changed pairs over the minimum, when a limiter or a server goes; a value per move."""
+
+    limiter: list[float]
+    server: list[float]
+
+
+def churn(fleet: Fleet, way: str, size: int, moves: int, rng: random.Random) -> Churn:
+    """Remove a random limiter and a random server, `moves` times, each from the complete fleet."""
+    algorithm = ALGORITHMS[way]
+    before = pairs_of(algorithm(fleet, size))
+    servers = list(fleet.weights)
+    result = Churn([], [])
+    for _ in range(moves):
+        fewer_limiters = fleet.without_limiter(rng.choice(fleet.limiters))
+        after = pairs_of(algorithm(fewer_limiters, min(size, len(servers))))
+        result.limiter.append(len(before ^ after) / size)
+        if size < len(servers):
+            removed = servers[rng.randrange(len(servers))]
+            after = pairs_of(algorithm(fleet.without_server(removed), size))
+            lost = sum(server == removed for _, server in before)
+            result.server.append(len(before ^ after) / max(1, 2 * lost))
+    return result
+
+
+def play(job: Job) -> Row:
+    """One row: balance with even and with hot limiters, churn (mean over `moves`), connections."""
+    rng = random.Random(job["seed"])
+    limiter_count = job["limiters"]
+    way = job["way"]
+    limiters = sorted(rng.sample(range(ceil(limiter_count * SPARE_NUMBERS)), limiter_count))
+    servers = [f"s{job['seed']}-{number}" for number in range(job["servers"])]
+    weights = {server: rng.choice(WEIGHTS) if job["weighted"] else 1.0 for server in servers}
+    fleet = Fleet(limiters, weights, job["seed"])
+    size = subset_size(limiter_count, len(servers))
+    subsets = ALGORITHMS[way](fleet, size)
+    hot = set(rng.sample(limiters, max(1, round(HOT_SHARE * limiter_count))))
+    even = balance(subsets, weights, dict.fromkeys(limiters, 1.0))
+    uneven_load = {limiter: HOT_LOAD if limiter in hot else 1.0 for limiter in limiters}
+    uneven = balance(widened(fleet, way, subsets, hot, size), weights, uneven_load)
+    changes = churn(fleet, way, size, job["moves"], rng)
     return job | {
-        "each": each,
-        "limiters_a_server": even,
-        "load_a_server": uneven,
-        "load_even": loaded,
-        "churn_limiter": sum(churn["limiter"]) / len(churn["limiter"]),
-        "churn_server": sum(churn["server"]) / len(churn["server"]) if churn["server"] else None,
-        "connections": len(base),
+        "each": size,
+        "limiters_a_server": even.limiters,
+        "load_a_server": uneven.load,
+        "load_even": even.load,
+        "churn_limiter": sum(changes.limiter) / len(changes.limiter),
+        "churn_server": sum(changes.server) / len(changes.server) if changes.server else None,
+        "connections": len(pairs_of(subsets)),
     }
 
 
 def measure(
     out: Path,
-    seeds: list[int],
+    seeds: Sequence[int],
     moves: int = 6,
     processes: int | None = None,
-    sizes=SIZES,
-    progress: Callable[[float], None] = lambda done: None,
-) -> list[dict]:
-    """Play what is not yet in `out`; returns all rows."""
+    sizes: Sequence[tuple[int, int]] = tuple(SIZES),
+    progress: Progress = no_progress,
+) -> list[Row]:
+    """Run all jobs anew and write their rows into the folder; returns the rows."""
     out.mkdir(parents=True, exist_ok=True)
-    jobs = [
+    jobs: list[Job] = [
         {
             "limiters": limiters,
             "servers": servers,
@@ -160,68 +239,80 @@
         for weighted in (False, True)
         for seed in seeds
     ]
-    jobs.sort(key=lambda job: -job["limiters"] * job["servers"])
+    jobs.sort(key=lambda job: -job["limiters"] * job["servers"])  # the longest first
     rows = []
     context = multiprocessing.get_context("spawn")
     with open(out / RESULTS, "w") as sink, context.Pool(processes or os.cpu_count() or 1) as pool:
-        for number, row in enumerate(pool.imap_unordered(play, jobs)):
+        for number, row in enumerate(pool.imap_unordered(play, jobs), 1):
             sink.write(json.dumps(row, sort_keys=True) + "\n")
             rows.append(row)
-            progress((number + 1) / len(jobs))
+            progress(number / len(jobs))
     return rows
 
 
-def table(rows: list[dict]) -> str:
-    """Markdown: a line for each size and way, means over the seeds, the largest of the seeds in brackets."""
+def mean_and_largest(rows: Sequence[Row], key: str) -> str:
+    """A figure's mean over rows, in brackets its largest value."""
+    values = [row[key] for row in rows if row[key] is not None]
+    return f"{sum(values) / len(values):.2f} ({max(values):.2f})" if values else "-"
+
+
+def table(rows: Sequence[Row]) -> str:
+    """Markdown: a line per size and algorithm, means over the seeds, the largest of the seeds in brackets."""
     lines = [
-        "| limiters, servers | each | way | limiters a server, largest over mean | the same, servers of weight 0.5 to 2 | "
-        "load, a tenth see 4 times | changed pairs, a limiter goes | a server goes | connections |",
+        "| limiters, servers | each | way | limiters a server, largest over mean | "
+        "the same, servers of weight 0.5 to 2 | load, a tenth see 4 times | changed pairs, a limiter goes | "
+        "a server goes | connections |",
         "| --- | --- | --- | --- | --- | --- | --- | --- | --- |",
     ]
-    groups: dict[tuple, list[dict]] = {}
+    groups: dict[tuple[int, int, str], list[Row]] = {}
     for row in rows:
         groups.setdefault((row["limiters"], row["servers"], row["way"]), []).append(row)
-
-    def show(values: list) -> str:
-        values = [value for value in values if value is not None]
-        return f"{sum(values) / len(values):.2f} ({max(values):.2f})" if values else "-"
-
-    for (limiters, servers, way), own in sorted(groups.items()):
-        plain, heavy = [row for row in own if not row["weighted"]], [row for row in own if row["weighted"]]
-        lines.append(
-            f"| {limiters}, {servers} | {plain[0]['each']} | {way} | {show([row['limiters_a_server'] for row in plain])} | "
-            f"{show([row['limiters_a_server'] for row in heavy])} | {show([row['load_a_server'] for row in plain])} | "
-            f"{show([row['churn_limiter'] for row in plain])} | {show([row['churn_server'] for row in plain])} | "
-            f"{plain[0]['connections']} |"
-        )
+    for (limiters, servers, way), group in sorted(groups.items()):
+        plain = [row for row in group if not row["weighted"]]
+        weighted = [row for row in group if row["weighted"]]
+        cells = [
+            f"{limiters}, {servers}",
+            str(plain[0]["each"]),
+            way,
+            mean_and_largest(plain, "limiters_a_server"),
+            mean_and_largest(weighted, "limiters_a_server"),
+            mean_and_largest(plain, "load_a_server"),
+            mean_and_largest(plain, "churn_limiter"),
+            mean_and_largest(plain, "churn_server"),
+            str(plain[0]["connections"]),
+        ]
+        lines.append(f"| {' | '.join(cells)} |")
     return "\n".join(lines)
 
 
-def plot(rows: list[dict], png: Path) -> Path:
-    """Balance, load and churn against the number of limiters."""
-    figure, axes = panels(4, (17, 4))
-    shown = [
-        ("limiters_a_server", "limiters a server, largest / mean"),
-        ("load_a_server", "load a server, largest / mean"),
-        ("churn_limiter", "changed pairs / least, a limiter goes"),
-        ("churn_server", "changed pairs / least, a server goes"),
-    ]
+def plot_line(axis: Any, rows: Sequence[Row], sizes: Sequence[tuple[int, int]], way: str, key: str) -> None:
+    """Draw the means of a figure by size, for one algorithm."""
+    places = []
+    means = []
+    for place, size in enumerate(sizes):
+        values = [
+            row[key]
+            for row in rows
+            if (row["limiters"], row["servers"]) == size
+            and row["way"] == way
+            and not row["weighted"]
+            and row[key] is not None
+        ]
+        if values:
+            places.append(place)
+            means.append(sum(values) / len(values))
+    axis.plot(places, means, marker="o", label=way)
+
+
+def plot(rows: Sequence[Row], png: Path) -> Path:
+    """Draw balance, load and churn against the size; returns the picture's path."""
+    figure, axes = panels(len(PANELS), (17, 4))
     sizes = sorted({(row["limiters"], row["servers"]) for row in rows})
-    for axis, (key, title) in zip(axes, shown, strict=False):
+    labels = [f"{limiters}/{servers}" for limiters, servers in sizes]
+    for axis, (key, title) in zip(axes, PANELS, strict=True):
         for way in WAYS:
-            points = []
-            for number, (limiters, servers) in enumerate(sizes):
-                values = [
-                    row[key]
-                    for row in rows
-                    if (row["limiters"], row["servers"], row["way"]) == (limiters, servers, way)
-                    and not row["weighted"]
-                    and row[key] is not None
-                ]
-                if values:
-                    points.append((number, sum(values) / len(values)))
-            axis.plot([x for x, _ in points], [y for _, y in points], marker="o", label=way)
-        axis.set_xticks(range(len(sizes)), [f"{a}/{b}" for a, b in sizes], rotation=60, fontsize=7)
+            plot_line(axis, rows, sizes, way, key)
+        axis.set_xticks(range(len(sizes)), labels, rotation=60, fontsize=7)
         axis.set_title(title)
         axis.grid(alpha=0.3)
     axes[0].legend()
