--- a/brookhub/commands/measure.py
+++ b/brookhub/commands/measure.py
@@ -32,10 +32,11 @@
 ) -> None:
     """Measure membership against its baselines in the emulator; prints a table and writes a plot."""
     from ..experiments import membership as measuring
+    from ..experiments.membership_processes import on_processes
 
     if sockets:
         for seed in seeds or (1,):
-            click.echo(json.dumps(measuring.on_processes(out / f"seed-{seed}", seed), sort_keys=True))
+            click.echo(json.dumps(on_processes(out / f"seed-{seed}", seed), sort_keys=True))
         return
     with progress("membership") as report:
         rows = measuring.measure(
--- a/brookhub/experiments/choices.py
+++ b/brookhub/experiments/choices.py
@@ -1,8 +1,8 @@
 """Measures algorithms that assign each limiter a subset of the servers, by computation alone.
 
 Algorithms: `stretch` (a run of the servers sorted by id, from a golden-ratio place on), `random` (the first
-few by a hash), `matching` (coordination.SubsetMatching). Measured: balance, load, churn, connections. Rows are
-JSON objects; the tables in docs/choices.md are made of their keys.
+few by a hash), `matching` (coordination.SubsetMatching). Measured: balance, load, churn, connections. Rows
+are JSON objects; the tables in docs/choices.md are made of their keys.
 """
 
 from __future__ import annotations
--- a/brookhub/experiments/limiter_process.py
+++ b/brookhub/experiments/limiter_process.py
@@ -110,6 +110,10 @@
             self.process.kill()
             self.process.wait()
 
+    def kill(self) -> None:
+        """Kill the process without waiting for its end, which `end` does afterwards."""
+        self.send_signal(signal.SIGKILL)
+
     def lines(self) -> list[LogLine]:
         """The structured log so far, of all starts. Reads only what was added since the last call."""
         with self.log_lock:
