--- a/tests/test_maintenance.py
+++ b/tests/test_maintenance.py
@@ -7,7 +7,7 @@
 import msgspec
 import pytest
 
-from brookhub.experiments.maintenance import read_status
+from brookhub.experiments.maintenance_status import read_status
 from brookhub.maintenance import (
     Machine,
     Maintenance,
