--- a/brookhub/experiments/maintenance.py
+++ b/brookhub/experiments/maintenance.py
@@ -1,8 +1,8 @@
 """Measures maintenance plans on a fleet in the emulator, against a timetable and no agreement.
 
 One row a job (JSON lines), a folder can be resumed. `how` says who decides that a machine goes out: "agreed"
-(the voters), "timetable" (fixed times), "alone" (each limiter for itself), "none" (no plan). docs/maintenance.md
-reads the tables and the plot.
+(the voters), "timetable" (fixed times), "alone" (each limiter for itself), "none" (no plan). See
+docs/maintenance.md for tables and plot.
 """
 
 from __future__ import annotations
