--- a/brookhub/commands/maintenance.py
+++ b/brookhub/commands/maintenance.py
@@ -15,10 +15,10 @@
 
 def load_plan(path: str) -> Plan:
     """The plan of a file; exits with EXIT_UNUSABLE if it can't be used."""
-    from ..program.start_file import plan_from_file
+    from ..program.start_file import read_plan
 
     load_or_exit(path, PlanFile)
-    return plan_from_file(Path(path))
+    return read_plan(Path(path))
 
 
 @click.group()
--- a/brookhub/experiments/load.py
+++ b/brookhub/experiments/load.py
@@ -169,7 +169,7 @@
         fields += ["units=1", f"spread={len(self.pools.endpoints)}", f"first={request.limiter}"]
         is_read = route.repeat == "idempotent"
         body = () if is_read else (b"",)
-        return resp.command(
+        return resp.encode_command(
             b"CALL.GET" if is_read else b"CALL.POST",
             b"%016x" % request.customer,
             b"%016x" % request.id,
--- a/brookhub/experiments/plans.py
+++ b/brookhub/experiments/plans.py
@@ -136,7 +136,7 @@
             "kept": workers.max_out() <= self.max_out,
             "stewards": len(self.lines("leadership acquired")),
             "refused": len(self.lines("plan rejected")),
-            "faults": len(self.lines("fault")),
+            "faults": len(self.lines("internal error")),
         }
 
     def give_plans(self) -> None:
--- a/brookhub/routing/recovery.py
+++ b/brookhub/routing/recovery.py
@@ -8,7 +8,7 @@
 from dataclasses import dataclass
 from pathlib import Path
 from time import monotonic, time
-from typing import Any, Callable, Protocol
+from typing import Callable
 
 from ..ports import CounterCallback
 from ..recovery import (
@@ -20,38 +20,14 @@
     encode_record,
     encode_snapshot,
 )
-from .ledger_file import LedgerFile, Logger
+from .ledger_file import LedgerFile
+from .log import EventLogger
+from .port import SocketGatewayPort
 
 APPEND_INTERVAL_S = 0.1  # between two appends to the file: the most that a crash loses
 SNAPSHOT_INTERVAL_S = 20.0  # between two snapshots: entries expire within 60 s, so the file stays small
 
 
-class CounterClient(Protocol):
-    """The connection to the counter."""
-
-    def count(self, name: int, amount: float, lifetime: float, callback: CounterCallback, /) -> None:
-        """Add to a name at the counter."""
-
-
-class ShareListener(Protocol):
-    """The decisions, as far as recovery acts on them."""
-
-    def on_granted_share_changed(self, share: float, /) -> None:
-        """Grant a share (0 to 1) of each quota."""
-
-
-class SocketPort(Protocol):
-    """What recovery uses of `routing.port.SocketPort`, whose lock guards all of it."""
-
-    now: float
-    counter: CounterClient
-    gateway: ShareListener
-    todo: list[tuple[Any, ...]]  # functions with their arguments, called when the lock is free
-
-    def later(self, seconds: float, callback: Callable[[], None], /) -> None:
-        """Call back after so many seconds, under the lock."""
-
-
 @dataclass(frozen=True)
 class RecoveryDriverSettings:
     """Settings of a limiter's recovery.
@@ -75,8 +51,8 @@
 
     def __init__(
         self,
-        port: SocketPort,
-        logger: Logger,
+        port: SocketGatewayPort,
+        logger: EventLogger,
         settings: RecoveryDriverSettings,
         random: Callable[[], float],
     ):
@@ -127,7 +103,7 @@
 
     def log(self, event: str, **fields: object) -> None:
         """Write a log event when the lock is free."""
-        self._port.todo.append((lambda: self._logger.info(event, **{"what": "recovery", **fields}),))
+        self._port.defer(lambda: self._logger.info(event, **{"what": "recovery", **fields}))
 
     # the ledger's file
 
@@ -146,11 +122,11 @@
             return
         data = b"".join(self._unwritten)
         self._unwritten = []
-        self._port.todo.append((file.append, data))
+        self._port.defer(file.append, data)
 
     def _write_snapshot(self, file: LedgerFile) -> None:
         """Replace the file by a snapshot, which has all records that were kept; schedule the next one."""
         self._port.later(SNAPSHOT_INTERVAL_S, lambda: self._write_snapshot(file))
         self._unwritten = []
         snapshot = encode_snapshot(self.recovery.ledger, self.now(), time())
-        self._port.todo.append((file.replace, snapshot))
+        self._port.defer(file.replace, snapshot)
--- a/tests/test_coordination_processes.py
+++ b/tests/test_coordination_processes.py
@@ -18,7 +18,7 @@
 from brookhub.experiments.client_request import AnswerKind
 from brookhub.experiments.processes import ProcessFleet
 from brookhub.membership import SHRINK_DELAY
-from brookhub.protocol import hosts
+from brookhub.protocol import server_list
 from helpers import experiment, until
 from test_fleet_processes import all_hold, fleet
 
@@ -267,7 +267,7 @@
     def __init__(self, lab):
         self.lab = lab
         self.names = names(self.LIMITERS)
-        self.servers = {hosts.ident(f"s-{number}"): number for number in lab.servers}
+        self.servers = {server_list.server_id(f"s-{number}"): number for number in lab.servers}
 
     def subset(self, name, present):
         """The numbers of the servers of one limiter, where these are present."""
