--- a/tests/test_fleet_processes.py
+++ b/tests/test_fleet_processes.py
@@ -145,10 +145,10 @@
         before = memory()
         while time.monotonic() - began < 3.0:
             for _ in range(100):
-                stranger.sendto(false, target.udp)
-                stranger.sendto(chance.randbytes(1400), target.udp)
-                listed.sendto(whole[: chance.randrange(len(whole))], target.udp)
-                listed.sendto(chance.randbytes(200), target.udp)
+                stranger.sendto(false, target.udp_endpoint)
+                stranger.sendto(chance.randbytes(1400), target.udp_endpoint)
+                listed.sendto(whole[: chance.randrange(len(whole))], target.udp_endpoint)
+                listed.sendto(chance.randbytes(200), target.udp_endpoint)
             sent += 400
             time.sleep(max(0.0, began + sent / 10_000 - time.monotonic()))
         assert sent > 25_000
