--- a/tests/test_entry.py
+++ b/tests/test_entry.py
@@ -9,7 +9,7 @@
 
 
 @pytest.mark.parametrize("arguments", [["--help"], ["run", "--help"], ["check-config", "--help"]])
-def test_the_module_and_the_command_have_one_help_text(arguments):
+def test_module_and_command_have_the_same_help_text(arguments):
     command = [sys.executable, "-c", "from brookhub.cli import main; main(prog_name='brookhub')", *arguments]
     told = subprocess.run(command, capture_output=True, text=True)
     ran = subprocess.run([sys.executable, "-m", "brookhub", *arguments], capture_output=True, text=True)
@@ -20,17 +20,17 @@
     )
 
 
-def test_an_unknown_command_is_one_error_and_exit_2():
+def test_unknown_command_is_one_error_and_exit_2():
     ran = subprocess.run([sys.executable, "-m", "brookhub", "serve"], capture_output=True, text=True)
     assert ran.returncode == 2 and "No such command 'serve'" in ran.stderr and "Traceback" not in ran.stderr
 
 
-def test_serving_loads_nothing_of_the_command_line():
+def test_serving_imports_nothing_of_the_command_line():
     probe = "import sys; import brookhub.__main__, brookhub.program.run; sys.exit('click' in sys.modules)"
     assert subprocess.run([sys.executable, "-c", probe]).returncode == 0
 
 
-def test_the_former_name_of_the_simulator_adapter_works_with_one_warning_line():
+def test_former_name_of_the_simulator_adapter_works_with_one_warning_line():
     command = [sys.executable, "-m", "brookhub.drill"]
     completed = subprocess.run(command, stdin=subprocess.DEVNULL, capture_output=True, text=True)
     assert completed.returncode == 0 and completed.stdout == ""
@@ -51,7 +51,7 @@
         (["check", "--help"], 0),
     ],
 )
-def test_the_former_group_name_lab_works_with_one_warning_line(arguments, exit_code):
+def test_former_group_name_lab_works_with_one_warning_line(arguments, exit_code):
     current = run_cli("experiments", *arguments)
     former = run_cli("lab", *arguments)
     assert former.returncode == current.returncode == exit_code
@@ -61,5 +61,5 @@
     assert former.stderr.splitlines() == [warning, *current.stderr.splitlines()]
 
 
-def test_the_former_group_name_has_every_command_of_the_current_one():
+def test_former_group_name_has_every_command_of_the_current_one():
     assert lab.commands == experiments.commands and len(experiments.commands) == 11
--- a/tests/test_experiments.py
+++ b/tests/test_experiments.py
@@ -25,7 +25,7 @@
         ),
     ],
 )
-def test_a_bad_experiment_gives_one_error_naming_key_and_line_and_exit_2(tmp_path, change, key, line, why):
+def test_invalid_experiment_gives_one_error_with_key_and_line_and_exit_2(tmp_path, change, key, line, why):
     path = tmp_path / "bad.toml"
     path.write_text(SMALL.replace(*change))
     with pytest.raises(ConfigError) as caught:
@@ -35,7 +35,7 @@
     assert ran.exit_code == 2 and f"{path}:{line}: {key}" in ran.output
 
 
-def test_the_toml_start_file_reads_as_the_json_one_and_refuses_unknown_keys(tmp_path):
+def test_toml_start_file_is_read_like_the_json_one_and_rejects_unknown_keys(tmp_path):
     good = 'listen = "127.0.0.1:7000"\ndiscovery = "127.0.0.1:7001"\n[settings]\nbalancers = 2\n'
     path = tmp_path / "gateway.toml"
     path.write_text(good)
@@ -47,7 +47,7 @@
     assert GatewayFile.model_validate({"listen": "a:1", "discovery": "b:2", "settings": {}}).name == "limiter"
 
 
-def test_emulate_prints_metrics_and_version_answers():
+def test_emulate_prints_metrics_and_version_exits_0():
     runner = CliRunner()
     ran = runner.invoke(main, ["emulate", "--duration", "2", "--limiters", "3"])
     assert ran.exit_code == 0, ran.output
@@ -55,7 +55,7 @@
     assert runner.invoke(main, ["version"]).exit_code == 0
 
 
-def test_a_sweep_cut_off_half_way_resumes_without_redoing_finished_points(tmp_path):
+def test_interrupted_sweep_resumes_without_repeating_finished_points(tmp_path):
     text = (
         SMALL.replace("duration_s = 8.0", "duration_s = 2.0")
         + '[sweep]\nseeds = [1, 2]\n[[sweep.axes]]\nparameter = "fleet.limiters"\nvalues = [2, 4]\n'
@@ -74,7 +74,7 @@
     assert ran.exit_code == 0 and (tmp_path / "plot.png").stat().st_size > 10_000
 
 
-def test_the_figures_of_subsets_and_of_ceilings_are_drawn_from_rows(tmp_path):
+def test_plots_of_subsets_and_of_ceilings_are_drawn_from_rows(tmp_path):
     from brookhub.experiments import choices, recovery
 
     subsets = [
--- a/tests/test_fault_injection.py
+++ b/tests/test_fault_injection.py
@@ -45,7 +45,7 @@
     return got
 
 
-def test_bytes_pass_both_ways_whole_and_the_target_sees_the_link_s_source(relays):
+def test_bytes_pass_unchanged_in_both_directions_and_the_target_sees_the_link_s_source(relays):
     server = FakeServer()
     link = relays.tcp("server", server.endpoint, source="127.0.9.7")
     with dial(link) as sock, sock.makefile("rb") as lines:
@@ -70,7 +70,7 @@
 
 
 @pytest.mark.parametrize("direction", ["forward", "back"])
-def test_a_cut_is_silent_holds_what_came_and_lets_no_dial_through_until_it_is_cleared(link, direction):
+def test_cut_is_silent_buffers_bytes_and_establishes_no_connection_until_cleared(link, direction):
     with dial(link) as sock:
         assert echoed(sock) == b"hello"
         link.set(direction, cut=True)
@@ -87,7 +87,7 @@
         assert echoed(sock) == b"hello"
 
 
-def test_refuse_and_reset(link):
+def test_refused_and_reset_connections_work_again_after_clear(link):
     link.set(refuse=True)
     with pytest.raises(ConnectionRefusedError):
         dial(link)
@@ -105,7 +105,7 @@
             one.recv(10)
 
 
-def test_delay_and_a_slow_link_take_their_time(link):
+def test_delay_and_rate_limit_take_their_time(link):
     with dial(link) as sock:
         link.set("both", delay=0.1, spread=0.05)
         began = time.monotonic()
@@ -116,7 +116,7 @@
         assert echoed(sock, b"x" * 10_000) and 0.45 <= time.monotonic() - began < 2.0
 
 
-def test_a_wrong_word_is_told_to_who_said_it(link):
+def test_unknown_or_invalid_condition_raises_in_the_caller(link):
     with pytest.raises(ValueError, match="no condition 'lose'"):
         link.set("forward", lose=1.0)
     with pytest.raises(ValueError, match="loss is a share"):
@@ -139,7 +139,7 @@
         return got
 
 
-def test_the_mesh_shows_each_member_the_address_it_knows_the_other_by_and_loses_doubles_and_cuts(relays):
+def test_mesh_relays_from_the_peer_s_listed_address_and_drops_duplicates_reorders_and_cuts(relays):
     a, b, stranger = udp("a"), udp("b"), udp("s")
     mesh = relays.udp_mesh({"a": a.getsockname(), "b": b.getsockname()})
     to_b = mesh.sockets["a", "b"].getsockname()
@@ -165,7 +165,7 @@
         sock.close()
 
 
-def test_one_seed_makes_the_same_choices():
+def test_same_seed_makes_the_same_choices():
     def fates(seed):
         direction = Direction(seed)
         direction.set(loss=0.2, duplicate=0.1, reorder=0.1, delay=0.01, spread=0.02)
@@ -188,7 +188,7 @@
     return True
 
 
-def test_a_port_that_refuses_for_a_while_is_nobody_else_s(link):
+def test_port_of_a_refusing_link_stays_reserved(link):
     """It was free then: a server of another lab that was given it got requests of this one's limiters."""
     link.set(refuse=True)
     assert is_refused(link.endpoint) and not can_be_taken(link.endpoint)
@@ -196,7 +196,7 @@
     assert not is_refused(link.endpoint)
 
 
-def test_the_port_of_a_server_that_is_down_is_nobody_else_s():
+def test_port_of_a_crashed_server_stays_reserved():
     timers = Timers()
     model = ServerModel(0, 0, 0, 4, 4, 0.01, 0.2, 1.0, 2.0, 0.5)
     server = ModelServer(model, timers, random.Random(1), [])
--- a/tests/test_processes.py
+++ b/tests/test_processes.py
@@ -70,7 +70,7 @@
         ("two effects", 2, "may have run it"),
     ],
 )
-def test_the_judge_catches_what_a_limiter_does_wrong_and_nothing_else(wrong, rule, text):
+def test_invariant_checker_reports_each_violation_of_a_limiter_and_nothing_else(wrong, rule, text):
     timers, seen = Timers(), []
     servers = [
         ModelServer(ServerModel(n, 0, 0, 50, 0, 0.002, 1.0, 0.0, 3.0, 1.0), timers, random.Random(n), seen)
@@ -99,7 +99,7 @@
 
 
 @pytest.mark.parametrize("killed, breaks", [(True, False), (False, True)])
-def test_a_call_that_its_client_repeats_after_its_limiter_was_killed_is_judged_by_each_asking(killed, breaks):
+def test_request_sent_again_after_its_limiter_was_killed_is_checked_for_each_sending(killed, breaks):
     """Seen once in a restart of all limiters.
 
     The client's own repeat was held against the limiters as a second effect.
@@ -155,7 +155,7 @@
     return outcome
 
 
-def test_four_processes_serve_with_no_rule_broken_through_kills_stalls_and_hurt_links(tmp_path):
+def test_four_processes_break_no_rule_with_kills_stalls_and_link_faults(tmp_path):
     outcome = play(
         tmp_path,
         experiment(
@@ -179,7 +179,7 @@
     )  # answers that never came, for work that was done
 
 
-def test_a_planned_end_of_every_limiter_in_turn_loses_no_call(tmp_path):
+def test_graceful_shutdown_of_limiters_in_turn_loses_no_request(tmp_path):
     outcome = play(
         tmp_path,
         experiment(
@@ -195,7 +195,7 @@
     assert outcome.result.lost == 0 and outcome.checks.excused == 0
 
 
-def test_what_the_lab_cannot_play_is_told_in_one_line(tmp_path):
+def test_experiment_that_cannot_run_raises_one_line(tmp_path):
     with pytest.raises(ExperimentError, match="33 limiters: the process lab plays 1 to 32"):
         ProcessFleet(experiment(limiters=33), tmp_path)
     with (
@@ -205,7 +205,7 @@
         lab.faults.play(experiment(faults=[{"at_s": 0, "action": "split_limiters"}]).faults[0])
 
 
-def test_a_model_server_keeps_its_places_its_queue_and_the_rule_of_cold_servers():
+def test_model_server_keeps_capacity_queue_and_the_rule_of_warming_servers():
     timers, seen = Timers(), []
     model = ServerModel(1, 0, 0, 2, 1, 0.2, 0.5, 5.0, 3.0, 0.3, started_at=-100.0)
     server = ModelServer(model, timers, random.Random(1), seen)
@@ -249,7 +249,7 @@
     timers.close()
 
 
-def test_two_labs_at_a_time_have_no_address_in_common_and_a_lane_is_free_again_after_its_lab():
+def test_address_ranges_are_disjoint_and_released_on_close():
     first, second = AddressRange(), AddressRange()
     numbers = first.number, second.number
     assert numbers[0] != numbers[1] and first.address(0) != second.address(0)
