--- a/benchmarks/cold_sum.py
+++ b/benchmarks/cold_sum.py
@@ -23,7 +23,7 @@
 from brookhub.config import Experiment
 from brookhub.emulator import Fleet
 from brookhub.emulator.server_model import ServerModel
-from brookhub.experiments.processes import ProcessLab
+from brookhub.experiments.processes import ProcessFleet
 
 MIN_LIST_DELAY, MAX_LIST_DELAY = 0.05, 0.9  # s after which a limiter hears of a start
 FAULTS = {
@@ -80,9 +80,9 @@
     """One run on real processes; the servers."""
     with tempfile.TemporaryDirectory() as folder:
         spec = experiment(limiters, fault, concurrency=2, scale=1 / 3)
-        with ProcessLab(spec, Path(folder), seed) as lab:
-            lab.play()
-            return [server.model for server in lab.servers.values()]
+        with ProcessFleet(spec, Path(folder), seed) as fleet:
+            fleet.play()
+            return [server.model for server in fleet.servers.values()]
 
 
 def spread(shares: list[float]) -> dict[str, float]:
--- a/benchmarks/rolling_upgrade.py
+++ b/benchmarks/rolling_upgrade.py
@@ -38,8 +38,9 @@
 from brookhub.coordination.subset_assignment import ServerPlacement
 from brookhub.emulator.server_model import ServerMode
 from brookhub.experiments.limiter_process import Limiter
-from brookhub.experiments.maintenance import Workers
-from brookhub.experiments.processes import Outcome, ProcessLab
+from brookhub.experiments.maintenance_workers import Workers
+from brookhub.experiments.outcome import Outcome
+from brookhub.experiments.processes import ProcessFleet
 from brookhub.protocol import server_list
 
 ROOT = Path(__file__).resolve().parent.parent
@@ -139,18 +140,18 @@
 class MixedWorkers(Workers):
     """The people who work on machines, following the logs of both versions."""
 
-    def heard(self, limiter: Limiter, line: dict[str, Any]) -> None:
+    def on_line(self, limiter: Limiter, line: dict[str, Any]) -> None:
         """Take a line under the name that this checkout gives its event."""
         event = line.get("event", "")
         if event.startswith(LOG_EVENTS.safe_to_work):
             line = line | {"event": FOLLOWED_EVENT}
-        super().heard(limiter, line)
+        super().on_line(limiter, line)
 
 
 class Trial:
     """One run on a mixed fleet; `checks` holds what was found so far."""
 
-    def __init__(self, lab: ProcessLab, this_folder: Path, other_folder: Path) -> None:
+    def __init__(self, lab: ProcessFleet, this_folder: Path, other_folder: Path) -> None:
         self.lab = lab
         self.this_folder = this_folder
         self.other_folder = other_folder
@@ -255,7 +256,7 @@
         """In one window: limiters that sent nothing or outside their subset; how many servers each used."""
         since = monotonic()
         sleep(STEADY_S)
-        seen = [attempt for attempt in list(self.lab.seen) if attempt.at >= since]
+        seen = [attempt for attempt in list(self.lab.attempts) if attempt.arrived_at >= since]
         wrong, sizes = [], []
         for limiter in self.lab.limiters:
             used = {attempt.server for attempt in seen if attempt.limiter == limiter.address}
@@ -276,14 +277,14 @@
         assert load is not None
         for limiter in self.lab.limiters:
             chosen = self.version(limiter) in versions
-            load.refused[limiter.index] = 0.0 if chosen else monotonic() + LONGEST_RUN_S
+            load.pools.refused_at[limiter.index] = 0.0 if chosen else monotonic() + LONGEST_RUN_S
 
     def most_used_server(self) -> int:
         """The server outside the plan that the most limiters have used of late."""
         since = monotonic() - STEADY_S
         users: dict[int, set[str]] = {}
-        for attempt in list(self.lab.seen):
-            if attempt.at >= since and attempt.server not in PLANNED_SERVERS:
+        for attempt in list(self.lab.attempts):
+            if attempt.arrived_at >= since and attempt.server not in PLANNED_SERVERS:
                 users.setdefault(attempt.server, set()).add(attempt.limiter)
         return max(users, key=lambda server: len(users[server]))
 
@@ -351,7 +352,7 @@
         workers = MixedWorkers(self.lab, MACHINES, WORK_S, GRACE_S)
         for limiter in self.lab.limiters:
             self.lab.plan_path(limiter).write_text(plan_text())  # also for their next lives
-        self.lab.limiters[-1].hit(signal.SIGHUP)
+        self.lab.limiters[-1].send_signal(signal.SIGHUP)
         self.check_all(
             "maintenance: the plan is taken",
             lambda limiter: bool(lines_of(limiter, LOG_EVENTS.plan_taken)),
@@ -383,9 +384,9 @@
         """The plan ended as one: each machine out once, never too many, one digest, nothing refused."""
         done = self.done_machines()
         self.check("maintenance: the plan runs to its end", done == set(MACHINES), f"done: {sorted(done)}")
-        outs = sorted(str(out[0]) for out in workers.outs)
-        agreed = outs == sorted(MACHINES) and workers.most_out() <= MOST_OUT
-        self.check("maintenance: one table at all", agreed, f"out: {outs}, at once {workers.most_out()}")
+        outs = sorted(out.machine for out in workers.outs)
+        agreed = outs == sorted(MACHINES) and workers.max_out() <= MOST_OUT
+        self.check("maintenance: one table at all", agreed, f"out: {outs}, at once {workers.max_out()}")
         limiters = self.lab.limiters
         digests = {line["digest"] for one in limiters for line in lines_of(one, LOG_EVENTS.plan_taken)}
         refused = [one for one in limiters if lines_of(one, LOG_EVENTS.plan_refused)]
@@ -417,12 +418,12 @@
 
     def check_outcome(self, outcome: Outcome) -> None:
         """The judge's verdict, and the logs' faults."""
-        result, excused = outcome.result, outcome.verdict.excused
+        result, excused = outcome.result, outcome.checks.excused
         answers = f"{result.requests} requests, {result.served} served, {result.rejected} rejected, "
         answers += f"{result.failed} failed, {result.lost} lost, {excused} excused"
         self.check("judge: each request has one final answer", not (result.lost or excused), answers)
-        detail = result.first_violation or f"{len(self.lab.seen)} attempts at servers judged"
-        print(f"       noise of this machine: {json.dumps(outcome.noise)}")
+        detail = result.first_violation or f"{len(self.lab.attempts)} attempts at servers judged"
+        print(f"       noise of this machine: {json.dumps(outcome.noise.metrics())}")
         self.check("judge: no rule is broken", not result.violations, detail)
         faults = [line for one in self.lab.limiters for line in lines_of(one, LOG_EVENTS.fault)]
         self.check("log: no fault of the program", not faults, str(faults[:1] or "none"))
@@ -495,7 +496,7 @@
     with tempfile.TemporaryDirectory() as temporary, checkout(commit, Path(temporary) / "other") as other:
         other = other.resolve()
         sources = [ROOT if index % 2 == 0 else other for index in range(LIMITERS)]
-        with ProcessLab(mixed_fleet(), folder, seed=1, source_folders=sources) as lab:
+        with ProcessFleet(mixed_fleet(), folder, seed=1, source_folders=sources) as lab:
             trial = Trial(lab, ROOT, other)
             found = [imported_from(source) for source in (ROOT, other)]
             detail = f"this {revision(ROOT)}, other {revision(other)}"
--- a/tests/test_coordination_processes.py
+++ b/tests/test_coordination_processes.py
@@ -15,8 +15,8 @@
 from brookhub.coordination.epoch_leases import RESUME_GRACE_SECONDS
 from brookhub.coordination.outlier_detector import probe_resource
 from brookhub.coordination.reports import REPORT_TTL_SECONDS
-from brookhub.emulator.server_model import ServerMode
-from brookhub.experiments.processes import ProcessLab
+from brookhub.experiments.client_request import AnswerKind
+from brookhub.experiments.processes import ProcessFleet
 from brookhub.membership import SHRINK_DELAY
 from brookhub.protocol import server_list
 from helpers import experiment, until
@@ -41,11 +41,13 @@
 
 def attempts(lab, since, server=FAILING):
     """The attempts that a server got since then (s, monotonic)."""
-    return [attempt for attempt in list(lab.seen) if attempt.server == server and attempt.at >= since]
+    return [
+        attempt for attempt in list(lab.attempts) if attempt.server == server and attempt.arrived_at >= since
+    ]
 
 
 def described(attempts, since):
-    return [(round(attempt.at - since, 2), attempt.limiter, attempt.how) for attempt in attempts]
+    return [(round(attempt.arrived_at - since, 2), attempt.limiter, attempt.end) for attempt in attempts]
 
 
 def ejection_events(limiter):
@@ -73,7 +75,7 @@
     """All limiters know each other, one server fails, and all eject it; when it began to fail (s)."""
     assert until(all_hold(lab, 8), 8)
     sleep(1.0)
-    lab.servers[FAILING].model.mode = ServerMode(mode)
+    lab.servers[FAILING].model.mode = mode
     began = monotonic()
     assert until(lambda: is_ejected_by_all(lab), 6)
     return began
@@ -97,7 +99,7 @@
     def script(lab):
         assert until(all_hold(lab, 8), 8)
         sleep(6.0)
-        abandoned = sum(attempt.how == "abandoned" for attempt in list(lab.seen))
+        abandoned = sum(attempt.end == "abandoned" for attempt in list(lab.attempts))
         assert abandoned > 10
         ejections = [line for limiter in lab.limiters for line in ejection_events(limiter) if line["servers"]]
         assert len(ejections) <= 2, ejections  # 2: what is common is known after the first
@@ -113,7 +115,7 @@
         probes = attempts(lab, began)[before:]
         # Without reports eight limiters make about 7 attempts a second there.
         assert 1 <= len(probes) <= 3, probes
-        lab.servers[FAILING].model.mode = ServerMode.OK
+        lab.servers[FAILING].model.mode = "ok"
         recovered = monotonic()
         assert is_used_by(lab, recovered, USERS, MAX_EJECTION_SECONDS + 3), users(lab, recovered)
 
@@ -128,12 +130,12 @@
         lab.cut(lab.limiters[0], sorted(lab.servers), "back", 6.0)  # it sends, and gets no answer
         used_by_others = {
             attempt.server
-            for attempt in lab.seen
-            if began + 1 < attempt.at and attempt.limiter != lab.limiters[0].address
+            for attempt in lab.attempts
+            if began + 1 < attempt.arrived_at and attempt.limiter != lab.limiters[0].address
         }
         assert len(used_by_others) >= 20, used_by_others
-        calls = [call for call in lab.load.asked if call.limiter != 0 and began < call.sent < began + 5]
-        served = [call for call in calls if call.answers and call.answers[0][1] == "proxied"]
+        calls = [call for call in lab.load.requests if call.limiter != 0 and began < call.sent_at < began + 5]
+        served = [call for call in calls if call.outcome == AnswerKind.SERVED]
         assert len(calls) > 300
         assert len(served) > 0.97 * len(calls)
 
@@ -146,7 +148,7 @@
         holder = lease_holder(lab, names(8), began + 1.0 + PROBE_AFTER_SHARE * REPORT_TTL_SECONDS)
         lab.kill(holder)
         killed = monotonic()
-        lab.servers[FAILING].model.mode = ServerMode.OK
+        lab.servers[FAILING].model.mode = "ok"
         within = REPORT_TTL_SECONDS + MAX_EJECTION_SECONDS
         assert is_used_by(lab, killed, USERS, within), users(lab, killed)
         assert holder.address not in users(lab, killed + 0.1)
@@ -165,7 +167,7 @@
         began = make_server_fail(lab)
         first_probe_due = began + PROBE_AFTER_SHARE * REPORT_TTL_SECONDS
         assert until(lambda: attempts(lab, first_probe_due), 2 * REPORT_TTL_SECONDS)
-        probed = attempts(lab, first_probe_due)[0].at
+        probed = attempts(lab, first_probe_due)[0].arrived_at
         # The first probe fails, which doubles the time until the next one.
         next_probe_due = probed + PROBE_AFTER_SHARE * 2 * REPORT_TTL_SECONDS
         holder = lease_holder(lab, names(8), next_probe_due + 0.5)
@@ -175,12 +177,12 @@
         sleep(RESUME_GRACE_SECONDS)
         own = [attempt for attempt in attempts(lab, resumed) if attempt.limiter == holder.address]
         assert not own, described(own, resumed)
-        first = [attempt.how for attempt in attempts(lab, probed) if attempt.at <= probed]
+        first = [attempt.end for attempt in attempts(lab, probed) if attempt.arrived_at <= probed]
         assert first == ["failed"], first  # so the others know that it still fails
         later = attempts(lab, probed + 0.5)
         # The probe, by whichever limiter, and one of another view.
         assert len(later) <= 3, described(later, probed)
-        lab.servers[FAILING].model.mode = ServerMode.OK
+        lab.servers[FAILING].model.mode = "ok"
         within = MAX_EJECTION_SECONDS + REPORT_TTL_SECONDS
         assert is_used_by(lab, resumed + RESUME_GRACE_SECONDS, USERS, within)
 
@@ -190,14 +192,14 @@
 def test_partition_of_ten_seconds_has_a_probing_holder_a_side_and_the_server_is_used_after_it(lab):
     def script(lab):
         began = make_server_fail(lab)
-        lab.split(lab.limiters[:3], True)
+        lab.split(lab.limiters[:3])
         split = monotonic()
         sleep(10.0)
         probes = attempts(lab, split)
         # Each side finds two witnesses of its own, and has a holder of its own.
         assert 1 <= len(probes) <= 10, len(probes)
-        lab.split([], False)
-        lab.servers[FAILING].model.mode = ServerMode.OK
+        lab.heal()
+        lab.servers[FAILING].model.mode = "ok"
         assert is_used_by(lab, monotonic(), USERS, MAX_EJECTION_SECONDS + REPORT_TTL_SECONDS)
         assert began < split
 
@@ -245,20 +247,16 @@
     # Cold for 8 s: at 2 s a machine that takes long to start eight processes finds all warm when they are
     # back, and no cold one has been used (seen: 7 of 12).
     spec = spec.model_copy(update={"fleet": spec.fleet.model_copy(update={"zones": 2})})
-    with ProcessLab(spec, tmp_path, 1) as played:
+    with ProcessFleet(spec, tmp_path, 1) as played:
         outcome = played.play()
-        push = {
-            ident: server.model.peak_overload
-            for ident, server in played.servers.items()
-            if server.model.peak_overload
-        }
+        push = {ident: server.model.push for ident, server in played.servers.items() if server.model.push}
     assert not outcome.result.violations, outcome.result.first_violation
     # Cold servers were used, and none up to rule 4's bound.
     assert len(push) >= 11, push
     assert max(push.values()) < 1.0, push
     # A restart of all takes some 2 s of the 11, longer on a loaded machine; calls that find no limiter then
     # are nobody's fault.
-    assert outcome.result.served > 0.5 * (outcome.result.requests - outcome.verdict.excused)
+    assert outcome.result.served > 0.5 * (outcome.result.requests - outcome.checks.excused)
 
 
 class AssignmentTrial:
@@ -289,8 +287,8 @@
         subsets = {limiter_of(self.lab, name).address: self.subset(name, present) for name in present}
         sleep(seconds)
         used = {address: set() for address in subsets}
-        for attempt in list(self.lab.seen):
-            if attempt.at >= since and attempt.limiter in used:
+        for attempt in list(self.lab.attempts):
+            if attempt.arrived_at >= since and attempt.limiter in used:
                 used[attempt.limiter].add(attempt.server)
         outside = {
             address: used[address] - subset for address, subset in subsets.items() if used[address] - subset
@@ -315,11 +313,11 @@
         assert until(lambda: trial.present_counts(survivors) == {13}, 6)
         sleep(SHRINK_DELAY + 1.5)  # a limiter that is absent for a moment keeps its subset
         trial.assert_kept(survivors, 3.0)
-        lab.split([limiter_of(lab, survivors[0])], True)
+        lab.split([limiter_of(lab, survivors[0])])
         assert until(lambda: trial.present_counts(survivors[1:]) == {12}, 8)
         sleep(SHRINK_DELAY + 1.5)
         trial.assert_kept(survivors[1:], 2.0)
-        lab.split([], False)
+        lab.heal()
         assert until(lambda: trial.present_counts(survivors) == {13}, 8)
         sleep(1.5)
         trial.assert_kept(survivors, 2.0)
--- a/tests/test_entry.py
+++ b/tests/test_entry.py
@@ -5,9 +5,11 @@
 
 import pytest
 
+from brookhub.cli import experiments, lab
+
 
 @pytest.mark.parametrize("arguments", [["--help"], ["run", "--help"], ["check-config", "--help"]])
-def test_the_module_and_the_command_have_one_help_text(arguments):
+def test_module_and_command_have_the_same_help_text(arguments):
     command = [sys.executable, "-c", "from brookhub.cli import main; main(prog_name='brookhub')", *arguments]
     told = subprocess.run(command, capture_output=True, text=True)
     ran = subprocess.run([sys.executable, "-m", "brookhub", *arguments], capture_output=True, text=True)
@@ -18,18 +20,46 @@
     )
 
 
-def test_an_unknown_command_is_one_error_and_exit_2():
+def test_unknown_command_is_one_error_and_exit_2():
     ran = subprocess.run([sys.executable, "-m", "brookhub", "serve"], capture_output=True, text=True)
     assert ran.returncode == 2 and "No such command 'serve'" in ran.stderr and "Traceback" not in ran.stderr
 
 
-def test_serving_loads_nothing_of_the_command_line():
+def test_serving_imports_nothing_of_the_command_line():
     probe = "import sys; import brookhub.__main__, brookhub.program.run; sys.exit('click' in sys.modules)"
     assert subprocess.run([sys.executable, "-c", probe]).returncode == 0
 
 
-def test_the_former_name_of_the_simulator_adapter_works_with_one_warning_line():
+def test_former_name_of_the_simulator_adapter_works_with_one_warning_line():
     command = [sys.executable, "-m", "brookhub.drill"]
     completed = subprocess.run(command, stdin=subprocess.DEVNULL, capture_output=True, text=True)
     assert completed.returncode == 0 and completed.stdout == ""
     assert completed.stderr.splitlines() == ["brookhub.drill: deprecated, use `python -m brookhub.simulator`"]
+
+
+def run_cli(*arguments):
+    command = [sys.executable, "-m", "brookhub", *arguments]
+    return subprocess.run(command, capture_output=True, text=True)
+
+
+@pytest.mark.parametrize(
+    "arguments, exit_code",
+    [
+        (["plans", "--scenario", "none of them"], 2),
+        (["sweep", "missing.toml"], 2),
+        (["check", "--seconds", "20", "--depth", "2", "--deviations", "0"], 0),
+        (["check", "--help"], 0),
+    ],
+)
+def test_former_group_name_lab_works_with_one_warning_line(arguments, exit_code):
+    current = run_cli("experiments", *arguments)
+    former = run_cli("lab", *arguments)
+    assert former.returncode == current.returncode == exit_code
+    usage = ("Usage: brookhub lab", "Usage: brookhub experiments")
+    assert former.stdout.replace(*usage) == current.stdout
+    warning = "brookhub lab: deprecated, use `brookhub experiments`"
+    assert former.stderr.splitlines() == [warning, *current.stderr.splitlines()]
+
+
+def test_former_group_name_has_every_command_of_the_current_one():
+    assert lab.commands == experiments.commands and len(experiments.commands) == 11
--- a/tests/test_fleet_processes.py
+++ b/tests/test_fleet_processes.py
@@ -49,9 +49,9 @@
 def test_a_split_in_halves_under_load_heals_and_the_sure_number_never_falls(lab):
     def script(lab):
         assert until(all_hold(lab, 5), 5)
-        lab.split(lab.limiters[:2], True)
+        lab.split(lab.limiters[:2])
         assert until(lambda: present(lab) == {0: 2, 1: 2, 2: 3, 3: 3, 4: 3}, 8), present(lab)
-        lab.split([], False)
+        lab.heal()
         assert until(all_hold(lab, 5), 6), present(lab)
         assert {line["sure"] for one in lab.limiters for line in one.lines() if line["event"] == "fleet"} == {
             5
@@ -77,7 +77,7 @@
 
     outcome = lab(script, 30.0)
     # Its calls were lost while it stood still; the judge excuses no late answer
-    assert outcome.verdict.excused > 0
+    assert outcome.checks.excused > 0
 
 
 def test_half_killed_at_once_and_then_all_restarted_together(lab):
@@ -101,7 +101,7 @@
     def script(lab):
         assert until(all_hold(lab, 4), 5)
         before = {one.index: len(one.lines()) for one in lab.limiters}
-        lab.mesh.every(loss=0.1, duplicate=0.1, reorder=0.1)
+        lab.mesh.set_all(loss=0.1, duplicate=0.1, reorder=0.1)
         for flap in range(
             6
         ):  # one pair, one way, then the other: each still reaches the other through the rest
@@ -145,10 +145,10 @@
         before = memory()
         while time.monotonic() - began < 3.0:
             for _ in range(100):
-                stranger.sendto(false, target.udp)
-                stranger.sendto(chance.randbytes(1400), target.udp)
-                listed.sendto(whole[: chance.randrange(len(whole))], target.udp)
-                listed.sendto(chance.randbytes(200), target.udp)
+                stranger.sendto(false, target.udp_endpoint)
+                stranger.sendto(chance.randbytes(1400), target.udp_endpoint)
+                listed.sendto(whole[: chance.randrange(len(whole))], target.udp_endpoint)
+                listed.sendto(chance.randbytes(200), target.udp_endpoint)
             sent += 400
             time.sleep(max(0.0, began + sent / 10_000 - time.monotonic()))
         assert sent > 25_000
--- a/tests/test_maintenance_processes.py
+++ b/tests/test_maintenance_processes.py
@@ -13,7 +13,8 @@
 
 import pytest
 
-from brookhub.experiments.maintenance import Workers, read_status
+from brookhub.experiments.maintenance_status import read_status
+from brookhub.experiments.maintenance_workers import Workers
 from helpers import Program, until
 from test_fleet_processes import PEERS, all_hold
 
@@ -86,22 +87,25 @@
             log_lines(lab, ""),
         )
         workers.stop()
-        assert workers.most_out() == 2  # at once, and never more
+        assert workers.max_out() == 2  # at once, and never more
         # Used again
         assert until(
-            lambda: [call for call in lab.seen if call.server == 0 and call.at > workers.outs[0][2]], 5
+            lambda: [
+                call for call in lab.attempts if call.server == 0 and call.arrived_at > workers.outs[0].ended
+            ],
+            5,
         )
         assert "m3  done" in read_status([limiter.log_path for limiter in lab.limiters])
 
     outcome = lab(script, 90.0, limiters=5, **LARGE)
-    assert outcome.result.served > 0.9 * (outcome.result.requests - outcome.verdict.excused)
+    assert outcome.result.served > 0.9 * (outcome.result.requests - outcome.checks.excused)
 
 
 def test_minority_drains_nothing_and_two_plans_of_one_version_are_rejected_with_both_digests(lab):
     def script(lab):
         assert until(all_hold(lab, 5), 6)
         workers = Workers(lab, MACHINES, 0.5, 1.0)
-        lab.split([lab.limiters[0], lab.limiters[4]], True)
+        lab.split([lab.limiters[0], lab.limiters[4]])
         lab.give_plan(lab.limiters[0], plan_file())  # one voter of three is on this side
         assert until(lambda: len(log_lines(lab, "plan adopted")) == 2, 8), log_lines(lab, "plan")
         time.sleep(6.0)
@@ -109,7 +113,7 @@
         # Another operator, the same version
         lab.give_plan(lab.limiters[1], plan_file(machines={"m0": [0], "m1": [2]}))
         time.sleep(1.0)
-        lab.split([], False)
+        lab.heal()
         # And now drop what one voter sends, one way. None of the three has state yet: they need each
         # other's replies, and get them by a relay. (Cut some moments after the heal this test once failed and
         # mostly passed.)
@@ -129,7 +133,7 @@
             log_lines(lab, "")[-6:],
         )
         workers.stop()
-        assert workers.most_out() == 1
+        assert workers.max_out() == 1
 
     lab(script, 110.0, limiters=5, **LARGE)
 
@@ -144,12 +148,12 @@
         assert until(lambda: machines_done(lab) == set(machines), 50), log_lines(lab, "")[-6:]
         workers.stop()
         # limiters' machines last
-        assert workers.most_out() == 1 and [machine for machine, _, _ in workers.outs][0] == "m0"
+        assert workers.max_out() == 1 and [out.machine for out in workers.outs][0] == "m0"
         assert lab.limiters[3].starts == lab.limiters[4].starts == 2
 
     outcome = lab(script, 80.0, limiters=5, **LARGE)
     # Its clients' connections ended between calls
-    assert outcome.result.lost == 0 and outcome.verdict.excused == 0
+    assert outcome.result.lost == 0 and outcome.checks.excused == 0
 
 
 def test_all_limiters_restarted_in_mid_plan_release_no_second_machine(lab):
@@ -158,7 +162,7 @@
         workers = Workers(lab, MACHINES, 8.0, 1.0)
         for limiter in lab.limiters:
             lab.plan_path(limiter).write_text(plan_file())  # also for their next start
-        lab.limiters[2].hit(signal.SIGHUP)
+        lab.limiters[2].send_signal(signal.SIGHUP)
         assert until(lambda: workers.outs, 15), log_lines(lab, "")
         time.sleep(1.5)  # it is down by now, and being worked on
         restarts = [threading.Thread(target=lab.kill, args=(limiter, 0.2)) for limiter in lab.limiters]
@@ -168,9 +172,9 @@
             restart.join()
         assert until(lambda: len(workers.outs) > 1, 25), log_lines(lab, "")
         first, second = workers.outs[0], workers.outs[1]
-        assert first[2] and second[1] >= first[2]  # the next went out only once the first was back
+        assert first.ended and second.began >= first.ended  # the next went out only once the first was back
         workers.stop()
-        assert workers.most_out() == 1
+        assert workers.max_out() == 1
 
     lab(script, 80.0, limiters=5, **LARGE)
 
--- a/tests/test_processes.py
+++ b/tests/test_processes.py
@@ -2,7 +2,7 @@
 
 Several processes of the program on loopback, faults between them, and a judge that catches.
 
-Each run here takes a few seconds; long ones are `brookhub lab processes` (docs/process-lab.md).
+Each run here takes a few seconds; long ones are `brookhub experiments processes` (docs/process-lab.md).
 """
 
 import contextlib
@@ -15,13 +15,13 @@
 import pytest
 
 from brookhub.emulator.server_model import ServerMode, ServerModel, ServerSettings
-from brookhub.experiments.address_pool import LANES, Lane
-from brookhub.experiments.errors import LabError
-from brookhub.experiments.invariant_checker import Outage, judge
-from brookhub.experiments.load import Asked, Load
-from brookhub.experiments.processes import ProcessLab
-from brookhub.fakes import FakeListener, ModelServer, Timers, read_value
-from brookhub.fakes.server import Seen
+from brookhub.experiments.address_pool import RANGE_COUNT, AddressRange
+from brookhub.experiments.client_request import Answer, AnswerKind, ClientRequest, RequestEnd
+from brookhub.experiments.errors import ExperimentError
+from brookhub.experiments.invariant_checker import Outage, RunRecords, ServerPlace, check_invariants
+from brookhub.experiments.load import Load
+from brookhub.experiments.processes import ProcessFleet
+from brookhub.fakes import AttemptEnd, FakeListener, ModelServer, ServerAttempt, Timers, read_value
 from brookhub.model import ServerState
 from brookhub.protocol import resp
 from helpers import experiment, until
@@ -38,7 +38,7 @@
         super().__init__()
 
     def ask(self, server, words):
-        with socket.create_connection(server.at, 2.0) as sock, sock.makefile("rb") as lines:
+        with socket.create_connection(server.endpoint, 2.0) as sock, sock.makefile("rb") as lines:
             sock.sendall(resp.encode_command(*words))
             return read_value(lines)
 
@@ -70,7 +70,7 @@
         ("two effects", 2, "may have run it"),
     ],
 )
-def test_the_judge_catches_what_a_limiter_does_wrong_and_nothing_else(wrong, rule, text):
+def test_invariant_checker_reports_each_violation_of_a_limiter_and_nothing_else(wrong, rule, text):
     timers, seen = Timers(), []
     servers = [
         ModelServer(
@@ -90,41 +90,69 @@
             update={"fleet": spec.fleet.model_copy(update={"grace_s": 0.1, "list_delay_s": 0.05})}
         )
     )
-    load = Load(spec, [rogue.at], seed=1)
+    load = Load(spec, [rogue.endpoint], seed=1)
     began = time.monotonic()
     load.run(1.0)
-    verdict = judge(spec, load.asked, seen, [], 0, {0: (0, 0), 1: (1, 0)}, began)
-    assert load.asked and set(verdict.counts()) == ({rule} if rule else set())
-    assert text in (verdict.first() or "")
+    found = check_invariants(
+        spec, RunRecords(load.requests, seen, [], 0, {0: ServerPlace(0, 0), 1: ServerPlace(1, 0)}, began)
+    )
+    assert load.requests and set(found.counts()) == ({rule} if rule else set())
+    assert text in (found.first() or "")
     for one in (rogue, *servers):
         one.close()
     timers.close()
 
 
 @pytest.mark.parametrize("killed, breaks", [(True, False), (False, True)])
-def test_a_call_that_its_client_repeats_after_its_limiter_was_killed_is_judged_by_each_asking(killed, breaks):
+def test_request_sent_again_after_its_limiter_was_killed_is_checked_for_each_sending(killed, breaks):
     """Seen once in a restart of all limiters.
 
     The client's own repeat was held against the limiters as a second effect.
     """
     spec = experiment()
-    call = Asked(1, 0, 1, 2, 10.0, 11.0, answers=[(10.5, "proxied")], end="answered", again=10.3, before=0)
+    call = ClientRequest(
+        1,
+        0,
+        1,
+        2,
+        10.0,
+        11.0,
+        answers=[Answer(10.5, AnswerKind.SERVED)],
+        end=RequestEnd.ANSWERED,
+        resent_at=10.3,
+        previous_limiter=0,
+    )
     seen = [
-        Seen(at, server, "127.0.10.1", 1, 0, "once", b"", False, None, ran=True, how="ok", ended=at + 0.02)
+        ServerAttempt(
+            at,
+            server,
+            "127.0.10.1",
+            1,
+            0,
+            "once",
+            b"",
+            False,
+            None,
+            executed=True,
+            end=AttemptEnd.ANSWERED,
+            ended_at=at + 0.02,
+        )
         for at, server in ((10.1, 3), (10.4, 4))
     ]
     outages = [Outage(0, 10.2, 11.5)] if killed else []
-    verdict = judge(spec, [call], seen, outages, 0, {3: (0, 0), 4: (1, 0)}, 0.0)
-    assert bool(verdict.counts()) == breaks, verdict.first()
+    found = check_invariants(
+        spec, RunRecords([call], seen, outages, 0, {3: ServerPlace(0, 0), 4: ServerPlace(1, 0)}, 0.0)
+    )
+    assert bool(found.counts()) == breaks, found.first()
 
 
 # processes of the program
 
 
 def play(tmp_path, spec, seed=1):
-    with ProcessLab(spec, tmp_path, seed) as lab:
+    with ProcessFleet(spec, tmp_path, seed) as lab:
         outcome = lab.play()
-        outcome.seen = lab.seen
+        outcome.attempts = lab.attempts
         pids = [one.process.pid for one in lab.limiters]
         faults = [line for one in lab.limiters for line in one.lines() if line["event"] == "internal error"]
     assert not faults, faults[0]
@@ -132,7 +160,7 @@
     return outcome
 
 
-def test_four_processes_serve_with_no_rule_broken_through_kills_stalls_and_hurt_links(tmp_path):
+def test_four_processes_break_no_rule_with_kills_stalls_and_link_faults(tmp_path):
     outcome = play(
         tmp_path,
         experiment(
@@ -150,11 +178,13 @@
     )
     result = outcome.result
     assert not result.violations, result.first_violation
-    assert result.requests > 150 and result.served > 0.8 * (result.requests - outcome.verdict.excused)
-    assert any(one.how == "lost" for one in outcome.seen)  # answers that never came, for work that was done
+    assert result.requests > 150 and result.served > 0.8 * (result.calls - outcome.checks.excused)
+    assert any(
+        one.end == "lost" for one in outcome.attempts
+    )  # answers that never came, for work that was done
 
 
-def test_a_planned_end_of_every_limiter_in_turn_loses_no_call(tmp_path):
+def test_graceful_shutdown_of_limiters_in_turn_loses_no_request(tmp_path):
     outcome = play(
         tmp_path,
         experiment(
@@ -167,27 +197,27 @@
         ),
     )
     assert not outcome.result.violations, outcome.result.first_violation
-    assert outcome.result.lost == 0 and outcome.verdict.excused == 0
+    assert outcome.result.lost == 0 and outcome.checks.excused == 0
 
 
-def test_what_the_lab_cannot_play_is_told_in_one_line(tmp_path):
-    with pytest.raises(LabError, match="33 limiters: the process lab plays 1 to 32"):
-        ProcessLab(experiment(limiters=33), tmp_path)
+def test_experiment_that_cannot_run_raises_one_line(tmp_path):
+    with pytest.raises(ExperimentError, match="33 limiters: the process lab plays 1 to 32"):
+        ProcessFleet(experiment(limiters=33), tmp_path)
     with (
-        ProcessLab(experiment(limiters=1), tmp_path) as lab,
-        pytest.raises(LabError, match="no membership, so no peer links"),
+        ProcessFleet(experiment(limiters=1), tmp_path) as lab,
+        pytest.raises(ExperimentError, match="no membership, so no peer links"),
     ):
         lab.faults.play(experiment(faults=[{"at_s": 0, "action": "split_limiters"}]).faults[0])
 
 
-def test_a_model_server_keeps_its_places_its_queue_and_the_rule_of_cold_servers():
+def test_model_server_keeps_capacity_queue_and_the_rule_of_warming_servers():
     timers, seen = Timers(), []
     model = ServerModel(1, 0, 0, ServerSettings(2, 1, 0.2, 0.5, 5.0, 3.0, 0.3), started_at=-100.0)
     server = ModelServer(model, timers, random.Random(1), seen)
     model.mode = ServerMode.SILENT
 
     def ask(n):
-        sock = socket.create_connection(server.at, 2.0)
+        sock = socket.create_connection(server.endpoint, 2.0)
         sock.sendall(resp.encode_command(b"CALL.GET", b"%016x" % 1, b"%016x" % n, b"c=look,t=wide,d=900"))
         return sock
 
@@ -200,7 +230,7 @@
     with ask(3) as fourth:  # two places, one in the queue, the next is turned away
         assert fourth.recv(100) == b"-BUSY\r\n"
     held[0].close()  # given up: its place comes free, who waits begins
-    assert until(lambda: sum(one.ran for one in seen) == 3 and seen[0].how == "abandoned")
+    assert until(lambda: sum(one.executed for one in seen) == 3 and seen[0].end == "abandoned")
     for one in held:
         one.close()
     # cold: 5 calls/s of capacity at first, falls beyond 15 a second
@@ -216,19 +246,19 @@
     assert until(lambda: model.collapses == 1)
     with pytest.raises(OSError):
         ask(50)
-    assert until(lambda: server.sock.fileno() >= 0, 1.0)  # back after the model's time
+    assert until(lambda: server.listener.fileno() >= 0, 1.0)  # back after the model's time
     server.close()
     timers.close()
 
 
-def test_two_labs_at_a_time_have_no_address_in_common_and_a_lane_is_free_again_after_its_lab():
-    first, second = Lane(), Lane()
+def test_address_ranges_are_disjoint_and_released_on_close():
+    first, second = AddressRange(), AddressRange()
     numbers = first.number, second.number
     assert numbers[0] != numbers[1] and first.address(0) != second.address(0)
     assert first.address(0) != first.address(1)
     second.close()
-    for _ in range(LANES + 1):  # each is given back, or none would be left
-        lane = Lane()
-        assert lane.number != first.number
-        lane.close()
+    for _ in range(RANGE_COUNT + 1):  # each is given back, or none would be left
+        addresses = AddressRange()
+        assert addresses.number != first.number
+        addresses.close()
     first.close()
--- a/tests/test_recovery_processes.py
+++ b/tests/test_recovery_processes.py
@@ -10,7 +10,8 @@
 import pytest
 
 from brookhub.config import ConfigError, Experiment, RecoveryFile, loads
-from brookhub.experiments.processes import ProcessLab
+from brookhub.experiments.client_request import AnswerKind
+from brookhub.experiments.processes import ProcessFleet
 from brookhub.experiments.recovery import Debt, bound
 from brookhub.recovery import read_log
 from helpers import play_script, until
@@ -93,15 +94,15 @@
     labs = []
 
     def play_experiment(experiment, script):
-        lab = ProcessLab(experiment, tmp_path, seed=1)
+        lab = ProcessFleet(experiment, tmp_path, seed=1)
         labs.append(lab)
         outcome = play_script(lab, script)
         plan = experiment.fleet.plans[0]
         debts = {}
         for time_served, customer in sorted(
-            (request.answers[0][0], request.customer)
-            for request in lab.load.asked
-            if request.answers and request.answers[0][1] == "proxied"
+            (request.answers[0].arrived_at, request.customer)
+            for request in lab.load.requests
+            if request.outcome == AnswerKind.SERVED
         ):
             debts.setdefault(customer, Debt(plan.rate, plan.burst)).take(time_served, 1.0)
         return lab, outcome, {customer: debt.worst for customer, debt in debts.items()}
@@ -184,14 +185,14 @@
     lab, outcome, excess = play(experiment, script)
     assert_within_bound(excess, experiment, "split")
     limiters_by_token: dict[int, set] = {}  # rejected requests are sent again to any limiter
-    for request in lab.load.asked:
+    for request in lab.load.requests:
         if request.route == 2:
-            limiters_by_token.setdefault(request.token, set()).add(request.limiter < 2)
+            limiters_by_token.setdefault(request.original, set()).add(request.limiter < 2)
     assert sum(len(sides) == 2 for sides in limiters_by_token.values()) > 5
     served_by_key: dict[bytes, set] = {}
-    for call in lab.seen:
-        if call.key and call.ran:
-            served_by_key.setdefault(call.key, set()).add(call.call)
+    for call in lab.attempts:
+        if call.idempotency_key and call.executed:
+            served_by_key.setdefault(call.idempotency_key, set()).add(call.request)
     # A rejected request had no effect, whichever side rejected it
     assert served_by_key and all(len(calls) == 1 for calls in served_by_key.values())
 
