--- a/benchmarks/cold_sum.py
+++ b/benchmarks/cold_sum.py
@@ -15,10 +15,10 @@
 import json
 import random
 import tempfile
+from collections.abc import Iterable
 from functools import partial
 from pathlib import Path
 from statistics import quantiles
-from typing import Iterable
 
 from brookhub.config import Experiment
 from brookhub.emulator import Fleet
--- a/benchmarks/rolling_upgrade.py
+++ b/benchmarks/rolling_upgrade.py
@@ -493,8 +493,8 @@
 
 def run_trial(commit: str, folder: Path) -> list[Check]:
     """Play the trial, with the limiters' files in a folder; what it found."""
-    with tempfile.TemporaryDirectory() as temporary, checkout(commit, Path(temporary) / "other") as other:
-        other = other.resolve()
+    with tempfile.TemporaryDirectory() as temporary, checkout(commit, Path(temporary) / "other") as work_tree:
+        other = work_tree.resolve()
         sources = [ROOT if index % 2 == 0 else other for index in range(LIMITERS)]
         with ProcessFleet(mixed_fleet(), folder, seed=1, source_folders=sources) as lab:
             trial = Trial(lab, ROOT, other)
--- a/brookhub/__main__.py
+++ b/brookhub/__main__.py
@@ -11,7 +11,8 @@
     if len(sys.argv) > 1:
         from .cli import main as command_line
 
-        return command_line(prog_name="brookhub")
+        command_line(prog_name="brookhub")  # exits with the command's code
+        return 0
     from .program.run import main as serve
 
     return serve()
--- a/brookhub/emulator/accounting.py
+++ b/brookhub/emulator/accounting.py
@@ -2,7 +2,8 @@
 
 from __future__ import annotations
 
-from typing import Callable, Protocol
+from collections.abc import Callable
+from typing import Protocol
 
 from ..model import Answer, Request
 from .customers import EmulatedRequest
--- a/brookhub/emulator/clients.py
+++ b/brookhub/emulator/clients.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 import random
-from typing import Sequence
+from collections.abc import Sequence
 
 from ..config.models import LoadSpec
 from ..site import Idempotency, Route
--- a/brookhub/emulator/counter.py
+++ b/brookhub/emulator/counter.py
@@ -3,8 +3,9 @@
 from __future__ import annotations
 
 import random
+from collections.abc import Callable, Hashable
 from dataclasses import dataclass
-from typing import Callable, Hashable, Protocol
+from typing import Protocol
 
 from ..model import Outcome
 from ..ports import CounterCallback
--- a/brookhub/emulator/discovery.py
+++ b/brookhub/emulator/discovery.py
@@ -2,8 +2,9 @@
 
 from __future__ import annotations
 
+from collections.abc import Callable, Iterable, Sequence
 from functools import partial
-from typing import Callable, Iterable, Protocol, Sequence
+from typing import Protocol
 
 from ..registry import RegistryEntry
 from .engine import Engine
--- a/brookhub/emulator/engine.py
+++ b/brookhub/emulator/engine.py
@@ -6,8 +6,8 @@
 
 from __future__ import annotations
 
+from collections.abc import Callable
 from heapq import heappop, heappush
-from typing import Callable
 
 # s: the clock's resolution. A real clock moves on between two reads; without a resolution, a wait shorter
 # than the float spacing of `now` (a token bucket short by a rounding remainder waits 1e-17 s) would fire at
--- a/brookhub/emulator/environment.py
+++ b/brookhub/emulator/environment.py
@@ -2,8 +2,8 @@
 
 from __future__ import annotations
 
+from collections.abc import Callable
 from dataclasses import dataclass, field
-from typing import Callable
 
 from ..policy import Gateway
 from ..ports import GatewayPort
--- a/brookhub/emulator/faults.py
+++ b/brookhub/emulator/faults.py
@@ -3,8 +3,9 @@
 from __future__ import annotations
 
 import random
+from collections.abc import Callable, Sequence
 from functools import partial
-from typing import Callable, Protocol, Sequence, TypeVar
+from typing import Protocol, TypeVar
 
 from ..config.models import FaultSpec
 from ..model import ServerState
--- a/brookhub/emulator/limiter.py
+++ b/brookhub/emulator/limiter.py
@@ -7,8 +7,8 @@
 from __future__ import annotations
 
 import random
+from collections.abc import Callable
 from dataclasses import replace
-from typing import Callable
 
 from ..config.models import CounterSpec
 from ..coordination import OutlierDetector
--- a/brookhub/emulator/peers.py
+++ b/brookhub/emulator/peers.py
@@ -6,9 +6,9 @@
 
 from __future__ import annotations
 
+from collections.abc import Callable
 from dataclasses import dataclass
 from random import Random
-from typing import Callable
 
 from ..membership import (
     ABSENT_STATES,
--- a/brookhub/emulator/site.py
+++ b/brookhub/emulator/site.py
@@ -6,10 +6,11 @@
 
 from __future__ import annotations
 
+from collections.abc import Callable
 from dataclasses import dataclass
 from enum import Enum
 from random import Random
-from typing import Any, Callable
+from typing import Any
 
 from ..maintenance import Machine, Message, Plan, Settings
 from ..model import ServerState
--- a/brookhub/experiments/recovery.py
+++ b/brookhub/experiments/recovery.py
@@ -9,9 +9,10 @@
 
 from __future__ import annotations
 
+from collections.abc import Callable
 from importlib import resources
 from pathlib import Path
-from typing import Any, Callable
+from typing import Any
 
 from ..config import Experiment, loads
 from ..emulator import Fleet
@@ -77,7 +78,7 @@
 class Debt:
     """The most that came in any span beyond burst + rate x span: a store that may go below nothing."""
 
-    def __init__(self, rate: float, burst: float):
+    def __init__(self, rate: float, burst: float) -> None:
         self.rate, self.burst, self.level, self.at, self.worst = rate, burst, burst, 0.0, 0.0
 
     def take(self, now: float, units: float) -> None:
--- a/brookhub/experiments/together.py
+++ b/brookhub/experiments/together.py
@@ -9,9 +9,9 @@
 
 from __future__ import annotations
 
+from collections.abc import Callable
 from importlib import resources
 from pathlib import Path
-from typing import Callable
 
 from ..config import Experiment, loads
 from ..emulator import Fleet
@@ -142,7 +142,7 @@
         fleet.engine.call_at(
             BAD_AT,
             lambda: fleet.limiters[0].unreachable_until.update(
-                {ident: BAD_AT + BAD_FOR for ident in fleet.servers.models}
+                dict.fromkeys(fleet.servers.models, BAD_AT + BAD_FOR)
             ),
         )
 
--- a/brookhub/registry.py
+++ b/brookhub/registry.py
@@ -2,8 +2,8 @@
 
 from __future__ import annotations
 
+from collections.abc import Iterable
 from dataclasses import dataclass
-from typing import Iterable
 from weakref import WeakValueDictionary
 
 from .model import Customer, Server, ServerState
--- a/brookhub/simulator/frames.py
+++ b/brookhub/simulator/frames.py
@@ -3,7 +3,8 @@
 from __future__ import annotations
 
 import struct
-from typing import BinaryIO, Iterator
+from collections.abc import Iterator
+from typing import BinaryIO
 
 from .actions import ACTIONS
 from .events import EVENTS, Event
--- a/brookhub/simulator/hosted_gateway.py
+++ b/brookhub/simulator/hosted_gateway.py
@@ -2,7 +2,8 @@
 
 from __future__ import annotations
 
-from typing import Callable, Mapping, TypeVar
+from collections.abc import Callable, Mapping
+from typing import TypeVar
 
 from ..model import Attempt, Request, Server
 from ..policy import Gateway
--- a/tests/gateway_harness.py
+++ b/tests/gateway_harness.py
@@ -2,8 +2,9 @@
 
 from __future__ import annotations
 
+from collections.abc import Callable
 from dataclasses import dataclass, replace
-from typing import Any, Callable
+from typing import Any
 
 from brookhub.model import Answer, Attempt, Customer, Outcome, Request, Server, ServerState
 from brookhub.policy import NEVER_RAN, Gateway
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -57,7 +57,7 @@
 
     FIRST, LAST = 20000, 32000
 
-    def __init__(self):
+    def __init__(self) -> None:
         self.lock, self.given = threading.Lock(), set()
         self.chance = random.Random(os.getpid())
 
@@ -83,7 +83,7 @@
 class Program:
     """`python -m brookhub`, its stand-ins, and a client's view of it."""
 
-    def __init__(self, folder, servers=None, start=None, limits=None, settings=None, discovery=None):
+    def __init__(self, folder, servers=None, start=None, limits=None, settings=None, discovery=None) -> None:
         self.servers = servers if servers is not None else [FakeServer()]
         self.counter = FakeCounter()
         listed = [host(f"s-{n}", one.address) for n, one in enumerate(self.servers)]
@@ -177,7 +177,7 @@
 class Client:
     """One connection of a client."""
 
-    def __init__(self, program):
+    def __init__(self, program) -> None:
         self.sock = program.dial()
         self.lines = self.sock.makefile("rb")
 
--- a/tests/policy_fleet.py
+++ b/tests/policy_fleet.py
@@ -16,7 +16,7 @@
     the gateways' clocks are one).
     """
 
-    def __init__(self, capacity, wait):
+    def __init__(self, capacity, wait) -> None:
         self.capacity, self.wait, self.free_at, self.totals = capacity, wait, 0.0, {}
         self.calls, self.unanswered = [], 0
 
@@ -30,6 +30,7 @@
                 return harness.later(self.wait, lambda: callback(Outcome.TIMEOUT, 0.0, self.wait))
             self.totals[name] = total = self.totals.get(name, 0.0) + amount
             harness.later(took, lambda: callback(Outcome.OK, total, took))
+            return None
 
         harness.add_to_counter = count
 
--- a/tests/recovery_fleet.py
+++ b/tests/recovery_fleet.py
@@ -4,7 +4,7 @@
 
 import heapq
 import random
-from typing import Callable
+from collections.abc import Callable
 
 from brookhub.emulator.counter import CounterInstance as CounterInstance
 from brookhub.model import Outcome
@@ -20,7 +20,7 @@
     Answers take 2 to 6 ms; a share of `lost_answers` never comes.
     """
 
-    def __init__(self, limiters: int = 4, seed: int = 1):
+    def __init__(self, limiters: int = 4, seed: int = 1) -> None:
         self.now = 100.0
         self.lost_answers = 0.0
         self.random = random.Random(seed)
@@ -112,7 +112,7 @@
 class SimulatedPort:
     """A limiter's `RecoveryPort`."""
 
-    def __init__(self, fleet: SimulatedFleet, index: int):
+    def __init__(self, fleet: SimulatedFleet, index: int) -> None:
         self.fleet = fleet
         self.index = index
         self.random = random.Random(index).random
--- a/tests/test_coordination.py
+++ b/tests/test_coordination.py
@@ -179,7 +179,7 @@
 )
 def test_subsets_of_small_fleets_have_as_many_servers_as_there_are(limiters, servers, size):
     matching = SubsetMatching(range(limiters))
-    matching.set_servers({number: 1.0 for number in range(servers)})
+    matching.set_servers(dict.fromkeys(range(servers), 1.0))
     assert all(len(own) == min(size, servers) for own in matching.subsets(size).values())
 
 
@@ -274,7 +274,7 @@
     `present`: the members that all see; `views`: the members that a limiter sees, where it differs.
     """
 
-    def __init__(self, members, servers, key=1):
+    def __init__(self, members, servers, key=1) -> None:
         self.members = members
         self.present = set(members)
         self.views = {}
@@ -376,12 +376,12 @@
 
 
 class FakeServer:
-    def __init__(self, ident):
+    def __init__(self, ident) -> None:
         self.id, self.zone, self.weight, self.started_at = ident, 0, 1.0, 0.0
 
 
 class FakeUpstream:
-    def __init__(self, server):
+    def __init__(self, server) -> None:
         self.server = server
 
 
--- a/tests/test_coordination_processes.py
+++ b/tests/test_coordination_processes.py
@@ -269,7 +269,7 @@
 
     LIMITERS, SUBSET_SIZE = 14, 24
 
-    def __init__(self, lab):
+    def __init__(self, lab) -> None:
         self.lab = lab
         self.names = names(self.LIMITERS)
         self.servers = {server_list.server_id(f"s-{number}"): number for number in lab.servers}
--- a/tests/test_ejections.py
+++ b/tests/test_ejections.py
@@ -1,7 +1,8 @@
 """Outlier ejection by the fleet: which reports count, what is ejected, who probes, after seeded events."""
 
 import random
-from typing import Any, Callable, NamedTuple
+from collections.abc import Callable
+from typing import Any, NamedTuple
 
 import pytest
 
@@ -462,7 +463,7 @@
 class SimulatedCounter(SimulatedLimiter):
     """The counter as one limiter reaches it; `totals` are shared, `duration` s until its answer."""
 
-    def __init__(self, fleet, totals, duration=0.002, outcome=Outcome.OK):
+    def __init__(self, fleet, totals, duration=0.002, outcome=Outcome.OK) -> None:
         super().__init__(fleet, "n0")
         self.totals, self.duration, self.outcome = totals, duration, outcome
         self.calls = 0
--- a/tests/test_endings.py
+++ b/tests/test_endings.py
@@ -264,7 +264,7 @@
     Its queue of connections is full.
     """
 
-    def __init__(self):
+    def __init__(self) -> None:
         self.sock = socket.create_server(("127.0.0.1", 0), backlog=0)
         self.address = "%s:%d" % self.sock.getsockname()
         self.fillers = []
--- a/tests/test_import_direction.py
+++ b/tests/test_import_direction.py
@@ -25,7 +25,7 @@
     "ports": {"model"},
     "settings": {"site"},
     "registry": {"model", "site"},
-    **{core: BASICS for core in CORES},
+    **dict.fromkeys(CORES, BASICS),
     "policy": BASICS,
     "transport": set(),
     "protocol": {"transport", "site", "model"},
--- a/tests/test_maintenance_processes.py
+++ b/tests/test_maintenance_processes.py
@@ -148,7 +148,7 @@
         assert until(lambda: machines_done(lab) == set(machines), 50), log_lines(lab, "")[-6:]
         workers.stop()
         # limiters' machines last
-        assert workers.max_out() == 1 and [out.machine for out in workers.outs][0] == "m0"
+        assert workers.max_out() == 1 and next(out.machine for out in workers.outs) == "m0"
         assert lab.limiters[3].starts == lab.limiters[4].starts == 2
 
     outcome = lab(script, 80.0, limiters=5, **LARGE)
--- a/tests/test_model_checker.py
+++ b/tests/test_model_checker.py
@@ -55,35 +55,35 @@
     [
         (
             "no look at the lease",
-            dict(voters=3, max_out=1, machines=2, rounds=True, faults={Fault.STALL: 1}),
+            {"voters": 3, "max_out": 1, "machines": 2, "rounds": True, "faults": {Fault.STALL: 1}},
             "two hold the permit",
         ),
         (
             "counted votes",
-            dict(
-                voters=3,
-                max_out=2,
-                machines=3,
-                rounds=True,
-                single_leader=False,
-                sees_only_machines_out=True,
-                faults={Fault.DELAY: 1, Fault.MUTE: 1},
-            ),
+            {
+                "voters": 3,
+                "max_out": 2,
+                "machines": 3,
+                "rounds": True,
+                "single_leader": False,
+                "sees_only_machines_out": True,
+                "faults": {Fault.DELAY: 1, Fault.MUTE: 1},
+            },
             "3 machines out",
         ),
         (
             "no abstaining",
-            dict(
-                voters=3,
-                max_out=1,
-                machines=2,
-                rounds=True,
-                cut_off="n2",
-                sees_only_machines_out=True,
-                work_s=9,
-                single_leader=False,
-                faults={Fault.CRASH: 2},
-            ),
+            {
+                "voters": 3,
+                "max_out": 1,
+                "machines": 2,
+                "rounds": True,
+                "cut_off": "n2",
+                "sees_only_machines_out": True,
+                "work_s": 9,
+                "single_leader": False,
+                "faults": {Fault.CRASH: 2},
+            },
             "2 machines out",
         ),
     ],
@@ -111,7 +111,7 @@
 class RandomTrails(RuleBasedStateMachine):
     """Random trails over the same model, longer and with more faults than the search reaches."""
 
-    def __init__(self):
+    def __init__(self) -> None:
         super().__init__()
         faults = {
             Fault.CRASH: 2,
--- a/tests/test_policy_ceiling.py
+++ b/tests/test_policy_ceiling.py
@@ -95,7 +95,7 @@
         for harness in harnesses:
             counter.join(harness)
             harness.advance(3.0)
-        requests, passed = play(harnesses, counter, 12.0, load, 1, chance)
+        requests, _passed = play(harnesses, counter, 12.0, load, 1, chance)
         sent = sorted(
             attempt.sent_at for harness in harnesses for attempt in harness.attempts if not attempt.index
         )
--- a/tests/test_policy_coordination.py
+++ b/tests/test_policy_coordination.py
@@ -13,7 +13,7 @@
 class FakeCoordination(IndependentCoordination):
     """What the fleet says of servers, as choices.Shared would."""
 
-    def __init__(self):
+    def __init__(self) -> None:
         self.ejected, self.to_probe, self.ended, self.started = set(), set(), [], []
 
     def is_ejected(self, server):
--- a/tests/test_policy_quota.py
+++ b/tests/test_policy_quota.py
@@ -192,7 +192,7 @@
     for harness in harnesses:
         counter.join(harness)
     start = harnesses[0].now
-    requests, passed = play(harnesses, counter, 6.0, 400, 300, chance)
+    _requests, _passed = play(harnesses, counter, 6.0, 400, 300, chance)
     assert counter.unanswered <= 0.05 * len(counter.calls)
     for at in (1.0, 2.0, 3.0, 4.0, 5.0):
         assert (
--- a/tests/test_processes.py
+++ b/tests/test_processes.py
@@ -33,7 +33,7 @@
 class Rogue(FakeListener):
     """A limiter that serves each call right but in one way. Talks to the servers itself."""
 
-    def __init__(self, wrong, servers):
+    def __init__(self, wrong, servers) -> None:
         self.wrong, self.servers, self.calls = wrong, servers, 0
         super().__init__()
 
--- a/tests/test_recovery_processes.py
+++ b/tests/test_recovery_processes.py
@@ -182,7 +182,7 @@
         assert_reconciled(lab, 1, seconds=10)
         time.sleep(1.5)
 
-    lab, outcome, excess = play(experiment, script)
+    lab, _outcome, excess = play(experiment, script)
     assert_within_bound(excess, experiment, "split")
     limiters_by_token: dict[int, set] = {}  # rejected requests are sent again to any limiter
     for request in lab.load.requests:
@@ -226,7 +226,7 @@
         contents = read_log((tmp_path / "n1.ledger").read_bytes(), 0.0, time.time())
         assert contents.ledger.entries and not contents.corrupt_records
 
-    lab, _, excess = play(experiment, script)
+    _lab, _, excess = play(experiment, script)
     assert_within_bound(excess, experiment, "wipe")
 
 
--- a/tests/test_routing.py
+++ b/tests/test_routing.py
@@ -41,7 +41,7 @@
 class RecordingStream:
     """Stands in for a stream: records what was queued, how much of it is written, and why it was closed."""
 
-    def __init__(self):
+    def __init__(self) -> None:
         self.said, self.bytes_queued, self.bytes_maybe_written, self.close_reason, self.full, self.inbound = (
             [],
             0,
@@ -86,7 +86,7 @@
 class RecordingGateway:
     """Stands in for the decisions: records the events."""
 
-    def __init__(self):
+    def __init__(self) -> None:
         self.ends, self.lists = [], []
 
     def on_attempt_ended(self, one, took, final, charged, used, report):
