--- a/brookhub/commands/measure.py
+++ b/brookhub/commands/measure.py
@@ -81,12 +81,13 @@
 def recovery(out: Path, seeds: tuple[int, ...], processes: int | None) -> None:
     """Wipe, swap and split the emulated counter, with and without recovery; prints a table, writes plots."""
     from ..experiments import recovery as measuring
+    from ..experiments import recovery_report
 
     with progress("recovery") as report:
         rows = measuring.measure(out, list(seeds or range(1, 4)), processes, report)
-    click.echo(measuring.table(rows))
-    click.echo(f"plot: {measuring.plot(rows, out / 'recovery.png')}")
-    click.echo(f"plot: {measuring.plot_ceiling(rows, out / 'ceiling.png')}")
+    click.echo(recovery_report.table(rows))
+    click.echo(f"plot: {recovery_report.plot(rows, out / 'recovery.png')}")
+    click.echo(f"plot: {recovery_report.plot_ceiling(rows, out / 'ceiling.png')}")
 
 
 @click.command()
--- a/brookhub/emulator/environment.py
+++ b/brookhub/emulator/environment.py
@@ -5,6 +5,7 @@
 from collections.abc import Callable
 from dataclasses import dataclass, field
 
+from ..model import Request
 from ..policy import Gateway
 from ..ports import GatewayPort
 from ..site import GatewaySettings
@@ -17,6 +18,9 @@
 GatewayFactory = Callable[[GatewayPort, int, GatewaySettings], Gateway]
 """Makes the decisions of a limiter from its port, its seed and its settings."""
 
+RequestListener = Callable[[int, Request], None]
+"""Called with the index of a limiter and a request that arrived there, before the decisions get it."""
+
 
 @dataclass(frozen=True)
 class RecoveryEvent:
@@ -40,3 +44,4 @@
     accounting: RequestAccounting
     create_gateway: GatewayFactory
     recovery_log: list[RecoveryEvent] = field(default_factory=list)
+    request_listeners: list[RequestListener] = field(default_factory=list)
--- a/brookhub/emulator/limiter.py
+++ b/brookhub/emulator/limiter.py
@@ -206,6 +206,8 @@
         self.environment.checker.record(
             "arrive", self.index, request.id, request.customer.id, request.route.name
         )
+        for listener in self.environment.request_listeners:
+            listener(self.index, request)
         self.gateway.on_request(request)
 
     def _on_delayed_request(self, request: Request) -> None:
--- a/brookhub/emulator/servers.py
+++ b/brookhub/emulator/servers.py
@@ -7,6 +7,7 @@
 
 import random
 from collections import deque
+from collections.abc import Callable
 from dataclasses import dataclass, field
 from typing import Protocol
 
@@ -25,6 +26,9 @@
         """Handle the end of an attempt."""
 
 
+AttemptListener = Callable[[Attempt, AttemptOwner], None]
+
+
 @dataclass(slots=True)
 class QueuedAttempt:
     """An attempt that waits for a server's capacity."""
@@ -46,7 +50,10 @@
 
 
 class EmulatedServers:
-    """All upstream servers of a fleet, by id in `models`."""
+    """All upstream servers of a fleet, by id in `models`.
+
+    `attempt_listeners` are called with each attempt that arrives, before its server takes or refuses it.
+    """
 
     def __init__(
         self, engine: Engine, checker: InvariantChecker, rng: random.Random, models: list[EmulatedServer]
@@ -58,9 +65,12 @@
         self.lost_share = 0.0  # of answers that are lost on their way back
         self.sent_to_faulty = 0
         self.sent_to_warming = 0
+        self.attempt_listeners: list[AttemptListener] = []
 
     def receive(self, attempt: Attempt, owner: AttemptOwner) -> None:
         """An attempt arrives at its server."""
+        for listener in self.attempt_listeners:
+            listener(attempt, owner)
         model = self.models[attempt.server.id]
         now = self.engine.now
         self.sent_to_faulty += model.mode is not ServerMode.OK
--- a/tests/test_experiments.py
+++ b/tests/test_experiments.py
@@ -75,7 +75,7 @@
 
 
 def test_plots_of_subsets_and_of_ceilings_are_drawn_from_rows(tmp_path):
-    from brookhub.experiments import choices, recovery
+    from brookhub.experiments import choices, recovery_report
 
     subsets = [
         {
@@ -104,5 +104,5 @@
         for limiters in (4, 40)
         for way in ("off", "on")
     ]
-    for draw, rows in ((choices.plot, subsets), (recovery.plot_ceiling, ceilings)):
+    for draw, rows in ((choices.plot, subsets), (recovery_report.plot_ceiling, ceilings)):
         assert draw(rows, tmp_path / "drawn.png").stat().st_size > 10_000
--- a/tests/test_recovery_bounds.py
+++ b/tests/test_recovery_bounds.py
@@ -3,7 +3,7 @@
 import pytest
 
 from brookhub.experiments import recovery as experiment
-from brookhub.experiments.recovery import Debt
+from brookhub.experiments.recovery_bounds import ExcessUse, excess_bound
 
 
 @pytest.mark.parametrize("fault, duration_s", [("wipe", 0.0), ("lose", 0.0), ("swap", 4.0), ("split", 4.0)])
@@ -57,14 +57,14 @@
 
 
 def test_bound_follows_from_rate_burst_and_settings():
-    assert experiment.bound(20.0, 40.0, "none", 30.0, 1.0, 0.05) == 0.0
-    assert experiment.bound(20.0, 40.0, "wipe", 30.0, 1.0, 0.05) == pytest.approx(30.0 * 1.15)
-    assert experiment.bound(20.0, 40.0, "wipe", 900.0, 1.0, 0.05) == 40.0  # at most a burst
-    assert experiment.bound(20.0, 40.0, "split", 900.0, 1.0, 0.05) == pytest.approx(80.0 + 20.0 * 4.05)
+    assert excess_bound(20.0, 40.0, "none", 30.0, 1.0, 0.05) == 0.0
+    assert excess_bound(20.0, 40.0, "wipe", 30.0, 1.0, 0.05) == pytest.approx(30.0 * 1.15)
+    assert excess_bound(20.0, 40.0, "wipe", 900.0, 1.0, 0.05) == 40.0  # at most a burst
+    assert excess_bound(20.0, 40.0, "split", 900.0, 1.0, 0.05) == pytest.approx(80.0 + 20.0 * 4.05)
 
 
-def test_debt_is_the_maximum_excess_over_any_span():
-    debt = Debt(1.0, 2.0)
+def test_excess_use_is_the_maximum_excess_over_any_span():
+    excess = ExcessUse(1.0, 2.0)
     for time in (0.0, 0.0, 0.0, 10.0, 10.0, 10.5):
-        debt.take(time, 1.0)
-    assert debt.worst == 1.0
+        excess.record(time, 1.0)
+    assert excess.worst == 1.0
--- a/tests/test_recovery_processes.py
+++ b/tests/test_recovery_processes.py
@@ -12,7 +12,7 @@
 from brookhub.config import ConfigError, Experiment, RecoveryFile, loads
 from brookhub.experiments.client_request import AnswerKind
 from brookhub.experiments.processes import ProcessFleet
-from brookhub.experiments.recovery import Debt, bound
+from brookhub.experiments.recovery_bounds import ExcessUse, excess_bound
 from brookhub.recovery import read_log
 from helpers import play_script, until
 
@@ -104,7 +104,7 @@
             for request in lab.load.requests
             if request.outcome == AnswerKind.SERVED
         ):
-            debts.setdefault(customer, Debt(plan.rate, plan.burst)).take(time_served, 1.0)
+            debts.setdefault(customer, ExcessUse(plan.rate, plan.burst)).record(time_served, 1.0)
         return lab, outcome, {customer: debt.worst for customer, debt in debts.items()}
 
     yield play_experiment
@@ -116,7 +116,7 @@
     """No customer got more beyond its quota than the bound of a fault."""
     fleet = experiment.fleet
     plan = fleet.plans[0]
-    max_excess = bound(
+    max_excess = excess_bound(
         plan.rate, plan.burst, fault, plan.calls_per_s * 1.5, fleet.counter.beat_s, fleet.counter.wait_s
     )
     assert excess and max(excess.values()) <= max_excess, (excess, max_excess)
