--- a/brookhub/commands/measure.py
+++ b/brookhub/commands/measure.py
@@ -67,11 +67,12 @@
 def together(out: Path, seeds: tuple[int, ...], processes: int | None) -> None:
     """Measure outlier signals and leases in the emulator: bad and cold servers, fairness; tables, a plot."""
     from ..experiments import together as measuring
+    from ..experiments import together_report
 
     with progress("together") as report:
         rows = measuring.measure(out, list(seeds or range(1, 5)), processes, report)
-    click.echo(measuring.table(rows))
-    click.echo(f"plot: {measuring.plot(rows, out / 'together.png')}")
+    click.echo(together_report.table(rows))
+    click.echo(f"plot: {together_report.plot(rows, out / 'together.png')}")
 
 
 @click.command()
--- a/brookhub/emulator/clients.py
+++ b/brookhub/emulator/clients.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 import random
-from collections.abc import Sequence
+from collections.abc import Callable, Sequence
 
 from ..config.models import LoadSpec
 from ..site import Idempotency, Route
@@ -16,12 +16,15 @@
 # Share of its timeout after which an impatient client leaves: the least, and chance on top
 LEAVES_AFTER, LEAVES_SPREAD = 0.2, 0.7
 
+SendListener = Callable[[EmulatedCustomer, bool], None]  # the customer, and whether it is a retry
+
 
 class Clients:
     """Sends requests to limiters drawn at random.
 
     One Poisson stream over all customers, weighted by their rates; bursty loads multiply it at times.
     `route_weights`: relative rates of the routes; `limiters` is the fleet's own list.
+    `send_listeners` are called before a request is sent.
     """
 
     def __init__(
@@ -43,6 +46,7 @@
         self.accounting = accounting
         self.engine: Engine = accounting.engine
         self.rate = sum(self.customer_weights)  # requests/s outside of bursts
+        self.send_listeners: list[SendListener] = []
         self._last_request = 0
 
     def start(self) -> None:
@@ -66,6 +70,8 @@
 
     def send(self, customer: EmulatedCustomer, route: Route, is_retry: bool, token: int = 0) -> None:
         """Send a request; `token`: the idempotency key of the request that it retries, 0 for a new one."""
+        for listener in self.send_listeners:
+            listener(customer, is_retry)
         available = [limiter for limiter in self.limiters if limiter.is_alive and not limiter.is_draining]
         if not available:
             self.accounting.on_no_limiter()
--- a/brookhub/emulator/servers.py
+++ b/brookhub/emulator/servers.py
@@ -22,6 +22,8 @@
 class AttemptOwner(Protocol):
     """The limiter that sent an attempt."""
 
+    index: int
+
     def end_attempt(self, attempt: Attempt, outcome: Outcome) -> None:
         """Handle the end of an attempt."""
 
--- a/brookhub/experiments/maintenance.py
+++ b/brookhub/experiments/maintenance.py
@@ -19,7 +19,7 @@
 from ..maintenance import Machine, Plan
 from .canvas import panels, save_figure
 from .jobs import Job, Progress, Row, keyed, no_progress, play_all
-from .together import base
+from .together_run import base_experiment
 
 RESULTS = "maintenance.jsonl"
 MACHINES = 12
@@ -111,7 +111,7 @@
 
 def play_under_load(job: Job) -> Row:
     """The plan on a fleet of 40 limiters under load: shares of answers, also without a plan."""
-    content = base(40, "none", count=24, service_s=0.1)
+    content = base_experiment(40, "none", count=24, service_s=0.1)
     content["duration_s"] = 90.0
     content["load"]["scale"] = 1.0
     fleet = Fleet(Experiment.model_validate(content), seed=job["seed"], keep_trail=False)
