--- a/brookhub/emulator/servers.py
+++ b/brookhub/emulator/servers.py
@@ -7,6 +7,7 @@
 
 import random
 from collections import deque
+from collections.abc import Callable
 from dataclasses import dataclass, field
 from typing import Protocol
 
@@ -21,10 +22,15 @@
 class AttemptOwner(Protocol):
     """The limiter that sent an attempt."""
 
+    index: int
+
     def end_attempt(self, attempt: Attempt, outcome: Outcome) -> None:
         """Handle the end of an attempt."""
 
 
+AttemptListener = Callable[[Attempt, AttemptOwner], None]
+
+
 @dataclass(slots=True)
 class QueuedAttempt:
     """An attempt that waits for a server's capacity."""
@@ -46,7 +52,10 @@
 
 
 class EmulatedServers:
-    """All upstream servers of a fleet, by id in `models`."""
+    """All upstream servers of a fleet, by id in `models`.
+
+    `attempt_listeners` are called with each attempt that arrives, before its server takes or refuses it.
+    """
 
     def __init__(
         self, engine: Engine, checker: InvariantChecker, rng: random.Random, models: list[EmulatedServer]
@@ -58,9 +67,12 @@
         self.lost_share = 0.0  # of answers that are lost on their way back
         self.sent_to_faulty = 0
         self.sent_to_warming = 0
+        self.attempt_listeners: list[AttemptListener] = []
 
     def receive(self, attempt: Attempt, owner: AttemptOwner) -> None:
         """An attempt arrives at its server."""
+        for listener in self.attempt_listeners:
+            listener(attempt, owner)
         model = self.models[attempt.server.id]
         now = self.engine.now
         self.sent_to_faulty += model.mode is not ServerMode.OK
