--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -11,7 +11,8 @@
 import pytest
 
 from brookhub.experiments.processes import ProcessFleet
-from helpers import Program, experiment, play_script
+from gateway_program import Program
+from process_fleet import experiment, play_script
 
 KNOWN_RED = Path(__file__).parent.parent / "KNOWN-RED.txt"
 MOST_KNOWN = 3
@@ -90,5 +91,5 @@
         return play_script(lab, script)
 
     yield begin
-    for one in made:
-        one.close()
+    for fleet in made:
+        fleet.close()
--- a/tests/test_coordination_processes.py
+++ b/tests/test_coordination_processes.py
@@ -20,8 +20,9 @@
 from brookhub.experiments.processes import ProcessFleet
 from brookhub.membership import SHRINK_DELAY
 from brookhub.protocol import server_list
-from helpers import experiment, until
+from process_fleet import experiment
 from test_fleet_processes import all_hold, fleet
+from waiting import until
 
 # Two labs at a time are what this machine carries; each has addresses of its own.
 pytestmark = pytest.mark.xdist_group("first process lab")
--- a/tests/test_endings.py
+++ b/tests/test_endings.py
@@ -18,7 +18,7 @@
 
 import pytest
 
-from brookhub.fakes import FakeListener
+from brookhub.fakes import FakeListener, FakeServer, host, read_value
 from brookhub.protocol import http
 from brookhub.protocol.errors import MalformedError
 from brookhub.protocol.json_documents import JsonObjectReader
@@ -28,7 +28,8 @@
 from brookhub.transport import threads
 from brookhub.transport.ring_buffer import RingBuffer
 from brookhub.transport.sockets import Listener
-from helpers import PORTS, Client, FakeServer, api_call, command, host, read_value, until
+from gateway_program import PORTS, Client, api_call, command
+from waiting import until
 
 RESET = struct.pack("ii", 1, 0)  # SO_LINGER: close sends RST
 
--- a/tests/test_fault_injection.py
+++ b/tests/test_fault_injection.py
@@ -8,9 +8,10 @@
 import pytest
 
 from brookhub.emulator.server_model import ServerModel, ServerSettings
-from brookhub.fakes import FakeListener, FakeServer, ModelServer, Timers
+from brookhub.fakes import FakeListener, FakeServer, ModelServer, Timers, read_value
 from brookhub.fault_injection import Direction, Relays
-from helpers import api_call, read_value, until
+from gateway_program import api_call
+from waiting import until
 
 
 @pytest.fixture
--- a/tests/test_fleet_processes.py
+++ b/tests/test_fleet_processes.py
@@ -22,7 +22,8 @@
 
 from brookhub.membership.messages import VERSION, Message, encode
 from brookhub.program import run, start_file
-from helpers import SETTINGS, Program, until
+from gateway_program import SETTINGS, Program
+from waiting import until
 
 # Two labs at a time are what this machine carries; each has addresses of its own
 pytestmark = pytest.mark.xdist_group("second process lab")
--- a/tests/test_golden_process.py
+++ b/tests/test_golden_process.py
@@ -6,8 +6,9 @@
 import re
 from collections.abc import Callable
 
+from brookhub.fakes import FakeServer
+from gateway_program import Program, api_call, command
 from golden_cases import assert_golden
-from helpers import FakeServer, Program, api_call, command
 
 GET, POST = b"CALL.GET", b"CALL.POST"
 CUSTOMER, IDENT = b"%016x" % 7, b"%016x" % 5
--- a/tests/test_known_failures.py
+++ b/tests/test_known_failures.py
@@ -10,13 +10,19 @@
 from conftest import read_known_failures
 
 TESTS = Path(__file__).parent
+COPIED_MODULES = (
+    "conftest.py",
+    "gateway_program.py",
+    "process_fleet.py",
+    "waiting.py",
+)  # conftest imports them
 SUITE = "def test_red():\n    assert False\n\n\ndef test_green():\n    pass\n"
 
 
 def run_suite(folder, listed, suite=SUITE):
     """Play a small suite beside a list of its own; its exit code and what it printed."""
     (folder / "tests").mkdir()
-    for name in ("conftest.py", "helpers.py"):
+    for name in COPIED_MODULES:
         shutil.copy(TESTS / name, folder / "tests" / name)
     (folder / "tests" / "test_small.py").write_text(suite)
     (folder / "KNOWN-RED.txt").write_text(listed)
--- a/tests/test_limiter_process.py
+++ b/tests/test_limiter_process.py
@@ -5,7 +5,8 @@
 from brookhub.experiments.errors import ExperimentError
 from brookhub.experiments.limiter_process import Limiter
 from brookhub.experiments.processes import ProcessFleet
-from helpers import experiment, until
+from process_fleet import experiment
+from waiting import until
 
 
 @pytest.fixture
--- a/tests/test_maintenance_processes.py
+++ b/tests/test_maintenance_processes.py
@@ -15,8 +15,9 @@
 
 from brookhub.experiments.maintenance_status import read_status
 from brookhub.experiments.maintenance_workers import Workers
-from helpers import Program, until
+from gateway_program import Program
 from test_fleet_processes import PEERS, all_hold
+from waiting import until
 
 # Two process labs at a time are what this machine carries; each has addresses of its own
 pytestmark = pytest.mark.xdist_group("second process lab")
--- a/tests/test_processes.py
+++ b/tests/test_processes.py
@@ -24,7 +24,8 @@
 from brookhub.fakes import AttemptEnd, FakeListener, ModelServer, ServerAttempt, Timers, read_value
 from brookhub.model import ServerState
 from brookhub.protocol import resp
-from helpers import experiment, until
+from process_fleet import experiment
+from waiting import until
 
 # Two labs at a time are what this machine carries; each has addresses of its own
 pytestmark = pytest.mark.xdist_group("second process lab")
--- a/tests/test_program.py
+++ b/tests/test_program.py
@@ -14,24 +14,16 @@
 
 import pytest
 
-from helpers import (
-    Client,
-    FakeCounter,
-    FakeDiscovery,
-    FakeServer,
-    api_call,
-    command,
-    host,
-    read_value,
-    until,
-)
+from brookhub.fakes import FakeCounter, FakeDiscovery, FakeServer, host, read_value
+from gateway_program import Client, api_call, command
+from waiting import until
 
 
 def test_requests_and_values_are_forwarded_unchanged(started):
     program = started()
     body = bytes(range(256)) * 256
     with Client(program) as client:
-        assert client.ask(api_call(1, more=",k=5c0f6e1a2b3d4c59")) == b"ok"
+        assert client.ask(api_call(1, extra_fields=",k=5c0f6e1a2b3d4c59")) == b"ok"
         time.sleep(0.02)
         program.servers[0].script = [b"*3\r\n$65536\r\n%b\r\n$-1\r\n$-1\r\n" % body]
         assert client.ask(api_call(2, "once", body=body)) == body
--- a/tests/test_recovery_processes.py
+++ b/tests/test_recovery_processes.py
@@ -14,7 +14,8 @@
 from brookhub.experiments.processes import ProcessFleet
 from brookhub.experiments.recovery import Debt, bound
 from brookhub.recovery import read_log
-from helpers import play_script, until
+from process_fleet import play_script
+from waiting import until
 
 # Two labs at a time are what this machine carries; each has addresses of its own
 pytestmark = pytest.mark.xdist_group("first process lab")
