--- a/tests/test_endings.py
+++ b/tests/test_endings.py
@@ -4,6 +4,7 @@
 """
 
 import contextlib
+import itertools
 import os
 import random
 import select
@@ -130,39 +131,47 @@
 def test_discovery_is_reconnected_in_time_however_the_last_connection_ended(
     monkeypatch, takes, brings, asked, pauses
 ):
-    clock, begun, heard = [100.0], [], []
+    clock = [100.0]
     monkeypatch.setattr(connections, "monotonic", lambda: clock[0])
     monkeypatch.setattr(connections, "connect", lambda address, within: None)
     for seed in range(20):
-
-        def serve(sock):
-            begun.append(clock[0])
-            heard.append(clock[0])
-            clock[0] += takes
-            reconnector.retry_after = asked
-            if len(begun) == 8:
-                reconnector.stopped.set()
-            return "ended", brings
-
-        def wait(seconds):
-            clock[0] += seconds
-
-        begun.clear(), heard.clear()
-        reconnector = Reconnector(
-            "discovery",
-            ("127.0.0.1", 1),
-            ReconnectSettings(1.0, *pauses, max_silence=5.25),
-            random.Random(seed).random,
-            lambda *what: None,
-            lambda met: None,
-        )
-        reconnector.stopped.wait = wait
-        reconnector.run(serve)
-        gaps = [after - before for before, after in zip(heard, begun[1:], strict=False)]
+        starts = connection_starts(clock, seed, takes, brings, asked, pauses)
+        gaps = [after - before for before, after in itertools.pairwise(starts)]
         assert len(gaps) == 7 and max(gaps) <= 5.3 and min(gaps) >= takes + 0.01
         assert len({round(gap, 4) for gap in gaps}) == 7  # drawn: gateways that lost it together return apart
 
 
+def connection_starts(clock, seed, takes, brings, asked, pauses):
+    """When a reconnector begins each of eight connections, by the test's clock `clock[0]`.
+
+    Each takes `takes` s, brings `brings` lists and ends with the Retry-After `asked` s.
+    """
+    starts = []
+    reconnector = Reconnector(
+        "discovery",
+        ("127.0.0.1", 1),
+        ReconnectSettings(1.0, *pauses, max_silence=5.25),
+        random.Random(seed).random,
+        lambda *what: None,
+        lambda met: None,
+    )
+
+    def serve(sock):
+        starts.append(clock[0])
+        clock[0] += takes
+        reconnector.retry_after = asked
+        if len(starts) == 8:
+            reconnector.stopped.set()
+        return "ended", brings
+
+    def wait(seconds):
+        clock[0] += seconds
+
+    reconnector.stopped.wait = wait
+    reconnector.run(serve)
+    return starts
+
+
 def test_thread_that_the_system_could_not_start_is_tried_again(monkeypatch):
     # Before: the thread was asked for once, and a list never heard of was never heard of.
     port, begun, refused = SocketGatewayPort(print, 0.001), threading.Event(), [True, True]
@@ -195,7 +204,7 @@
 
 @contextlib.contextmanager
 def unread_log(program, log):
-    """Another process of the same start file, on a port of its own, whose log goes to the descriptor `log`."""
+    """Another process of the same start file, on a port of its own, which logs to the descriptor `log`."""
     port = PORTS.draw()
     environment = {
         **os.environ,
@@ -336,7 +345,10 @@
 
 
 class SecondAnswerLate(FakeListener):
-    """A server that answers a request with its id and, LATE s after that, once more; sooner if the next request comes first."""
+    """A server that answers a request with its id and, LATE s after that, once more.
+
+    The second answer is sent sooner if the next request comes first.
+    """
 
     LATE = 0.006
 
@@ -350,7 +362,8 @@
 
 
 def test_a_second_answer_that_comes_some_milliseconds_late_is_no_other_request_s(started):
-    # Before: a connection was used again 3 ms after an answer; on the operators' days second answers came up to 3.8 ms late.
+    # Before: a connection was used again 3 ms after an answer; on the operators' days second answers came up
+    # to 3.8 ms late.
     program = started(servers=[SecondAnswerLate()])
     with Client(program) as client:
         for number in range(1, 21):
--- a/tests/test_known_failures.py
+++ b/tests/test_known_failures.py
@@ -10,12 +10,8 @@
 from conftest import read_known_failures
 
 TESTS = Path(__file__).parent
-COPIED_MODULES = (
-    "conftest.py",
-    "gateway_program.py",
-    "process_fleet.py",
-    "waiting.py",
-)  # conftest imports them
+# conftest.py and what it imports of this folder
+COPIED_MODULES = ("conftest.py", "gateway_program.py", "process_fleet.py", "waiting.py")
 SUITE = "def test_red():\n    assert False\n\n\ndef test_green():\n    pass\n"
 
 
--- a/tests/test_program.py
+++ b/tests/test_program.py
@@ -1,6 +1,7 @@
 """The program itself, started and spoken to over sockets, with stand-ins for all its peers on loopback."""
 
 import contextlib
+import functools
 import json
 import os
 import random
@@ -308,8 +309,9 @@
             began, sent = time.monotonic(), 0
             with contextlib.suppress(OSError):
                 client.sock.sendall(data)
-                for sent in range(600):
+                for _ in range(600):
                     client.sock.sendall(b"k" * 100_000)
+                    sent += 1
             assert time.monotonic() - began < 3 and sent < 300  # it was closed, not swallowed
     assert program.status("VmRSS") < before + 2000
 
@@ -496,6 +498,10 @@
     assert program.process.wait(5) == 0 and time.monotonic() - told_at < 2.7
 
 
+def have_no_connections(fakes):
+    return all(not fake.connections for fake in fakes)
+
+
 def test_sighup_changes_addresses_under_load_and_an_invalid_file_changes_nothing(started, tmp_path):
     program = started(servers=[FakeServer([0.002] * 999)])
     told, answers, stop = json.loads((tmp_path / "config.json").read_text()), [], threading.Event()
@@ -511,17 +517,15 @@
         one.start()
     try:
         for _ in range(3):
-            old = program.counter, program.discovery
-            program.counter, program.discovery = FakeCounter(), FakeDiscovery(old[1].hosts)
+            old_fakes = (program.counter, program.discovery)
+            program.counter, program.discovery = FakeCounter(), FakeDiscovery(program.discovery.hosts)
             told.update(counter=program.counter.address, discovery=program.discovery.address)
             (tmp_path / "config.json").write_text(json.dumps(told))
             program.process.send_signal(signal.SIGHUP)
             assert until(lambda: program.counter.request_count > 5 and program.discovery.requests)
-            assert until(
-                lambda: not old[0].connections and not old[1].connections
-            )  # left, though they did not close
-            for one in old:
-                one.close()
+            assert until(functools.partial(have_no_connections, old_fakes))  # left, though they did not close
+            for fake in old_fakes:
+                fake.close()
         (tmp_path / "config.json").write_text("{")
         program.process.send_signal(signal.SIGHUP)
         assert until(lambda: "reload failed" in program.log_path.read_text())
--- a/tests/test_routing.py
+++ b/tests/test_routing.py
@@ -324,60 +324,106 @@
     assert streams[1].close_reason == streams[2].close_reason == "idle-timeout" and not port.upstreams.idle
 
 
-def test_attempts_keep_their_invariants_in_a_random_run(port):
-    chance, where, open_calls, all_calls = random.Random(4), [make_server(port, n) for n in range(4)], [], []
-    port.upstreams.settings = replace(UPSTREAM_SETTINGS, max_connections=1500)
-    for _ in range(1500):
-        step = chance.randrange(7)
-        if step < 2 and len(open_calls) < 6:
-            open_calls.append(make_request(port, chance.choice([0.2, 2.0])))
-            all_calls.append(open_calls[-1])
-            ready = [one for one in where if one.state is ServerState.READY]
-            if ready:
-                start_attempts(port, (open_calls[-1], chance.choice(ready)))
-        elif step == 2 and port.dialled:
-            connection = port.dialled.pop(chance.choice([0, -1, -1]))
-            if chance.random() < 0.2:
-                run_event(port, port.upstreams.on_disconnected, connection)
-            else:
-                connect(port, connection)
-        elif step == 3 and port.upstreams.in_flight:
-            connection = chance.choice(list(port.upstreams.in_flight.values()))
-            if connection.stream:
-                receive(
-                    port,
-                    connection,
-                    chance.choice(
-                        [VALUE, b"-BUSY\r\n", b"-ERR failed\r\n", b"$-1\r\n", b"?\r\n", VALUE[:9], VALUE * 2]
-                    ),
-                )
-        elif step == 4 and port.upstreams.in_flight:
-            one, connection = chance.choice(list(port.upstreams.in_flight.items()))
-            if connection.stream:
-                connection.stream.abort("reset")
-                run_event(port, port.upstreams.on_disconnected, connection)
-            else:
-                run_event(port, port.cancel_attempt, one)
-        elif step == 5:
-            one = chance.choice(where)
-            one.state = chance.choice([ServerState.READY, ServerState.DRAINING])
-            port.upstreams.update_address(one, ("127.0.0.1", 1))
-        advance(port, chance.choice([0.0, 0.01, 0.1]))
-        for connection in [connection for connection in port.upstreams.idle if chance.random() < 0.05]:
-            run_event(port, port.upstreams.on_disconnected, connection)
-        open_calls = [one for one in open_calls if one.pending and port.now < one.deadline]
-        # Each try ends once, no connection carries two, what is free carries none, an answer goes out once.
-        ended = [one for one, _, _ in port.gateway.ends]
+class RandomAttempts:
+    """Random events of requests, connections and servers on a port, and what must hold after each."""
+
+    ANSWERS = (VALUE, b"-BUSY\r\n", b"-ERR failed\r\n", b"$-1\r\n", b"?\r\n", VALUE[:9], VALUE * 2)
+    MAX_OPEN_REQUESTS = 6
+
+    def __init__(self, port, seed):
+        self.port = port
+        self.random = random.Random(seed)
+        self.servers = [make_server(port, number) for number in range(4)]
+        self.open_requests = []
+        self.all_requests = []
+
+    def step(self):
+        """One event of a random kind, some time, and idle connections that their servers close."""
+        events = (
+            self.start_request,
+            self.start_request,
+            self.finish_dial,
+            self.receive_answer,
+            self.end_attempt,
+            self.change_server,
+            self.do_nothing,
+        )
+        events[self.random.randrange(len(events))]()
+        advance(self.port, self.random.choice([0.0, 0.01, 0.1]))
+        closed = [connection for connection in self.port.upstreams.idle if self.random.random() < 0.05]
+        for connection in closed:
+            run_event(self.port, self.port.upstreams.on_disconnected, connection)
+        self.open_requests = [
+            request for request in self.open_requests if request.pending and self.port.now < request.deadline
+        ]
+
+    def start_request(self):
+        if len(self.open_requests) >= self.MAX_OPEN_REQUESTS:
+            return
+        request = make_request(self.port, self.random.choice([0.2, 2.0]))
+        self.open_requests.append(request)
+        self.all_requests.append(request)
+        ready = [server for server in self.servers if server.state is ServerState.READY]
+        if ready:
+            start_attempts(self.port, (request, self.random.choice(ready)))
+
+    def finish_dial(self):
+        if not self.port.dialled:
+            return
+        connection = self.port.dialled.pop(self.random.choice([0, -1, -1]))
+        if self.random.random() < 0.2:
+            run_event(self.port, self.port.upstreams.on_disconnected, connection)
+        else:
+            connect(self.port, connection)
+
+    def receive_answer(self):
+        if not self.port.upstreams.in_flight:
+            return
+        connection = self.random.choice(list(self.port.upstreams.in_flight.values()))
+        if connection.stream:
+            receive(self.port, connection, self.random.choice(self.ANSWERS))
+
+    def end_attempt(self):
+        """Reset the connection of an attempt, or cancel the attempt while it is dialled."""
+        if not self.port.upstreams.in_flight:
+            return
+        attempt, connection = self.random.choice(list(self.port.upstreams.in_flight.items()))
+        if connection.stream:
+            connection.stream.abort("reset")
+            run_event(self.port, self.port.upstreams.on_disconnected, connection)
+        else:
+            run_event(self.port, self.port.cancel_attempt, attempt)
+
+    def change_server(self):
+        server = self.random.choice(self.servers)
+        server.state = self.random.choice([ServerState.READY, ServerState.DRAINING])
+        self.port.upstreams.update_address(server, ("127.0.0.1", 1))
+
+    def do_nothing(self):
+        """Let time alone pass."""
+
+    def check_invariants(self):
+        """Attempts end once, a connection carries at most one, idle ones none; one answer a request."""
+        upstreams = self.port.upstreams
+        ended = [attempt for attempt, _, _ in self.port.gateway.ends]
         assert len(ended) == len(set(map(id, ended)))
         assert all(
-            connection.attempt is one and one.outcome is None
-            for one, connection in port.upstreams.in_flight.items()
+            connection.attempt is attempt and attempt.outcome is None
+            for attempt, connection in upstreams.in_flight.items()
         )
         assert all(
-            connection.attempt is None and not connection.close_reason for connection in port.upstreams.idle
+            connection.attempt is None and not connection.close_reason for connection in upstreams.idle
         )
-        assert all(len(one.said) <= 1 for one in all_calls)
-        assert all(connection in connection.pool.idle for connection in port.upstreams.idle)
+        assert all(len(request.said) <= 1 for request in self.all_requests)
+        assert all(connection in connection.pool.idle for connection in upstreams.idle)
+
+
+def test_attempts_keep_their_invariants_in_a_random_run(port):
+    port.upstreams.settings = replace(UPSTREAM_SETTINGS, max_connections=1500)
+    run = RandomAttempts(port, seed=4)
+    for _ in range(1500):
+        run.step()
+        run.check_invariants()
     assert len(port.gateway.ends) > 100 and set(outcomes(port)) >= set(Outcome) - {
         Outcome.CANCELLED,
         Outcome.DEFERRED,
@@ -790,27 +836,31 @@
 
 
 def test_reconnect_waits_are_random_and_respect_retry_after():
-    from random import Random
-
     for asked, least, most in ((0.0, 0.05, 0.15), (7.0, 7.0, 14.0)):
-        waited = []
-        for index in range(8):
-
-            def ended(*what):
-                reconnector.retry_after = asked
-
-            def wait(seconds):
-                waited.append(seconds)
-                reconnector.stopped.set()
-
-            reconnector = Reconnector(
-                "peer",
-                ("127.0.0.1", 1),
-                ReconnectSettings(0.1, 0.05, 1.0),
-                Random(index).random,
-                ended,
-                lambda met: None,
-            )
-            reconnector.stopped.wait = wait
-            reconnector.run(lambda sock: ("closed", 0))
-        assert len({round(one, 6) for one in waited}) == 8 and all(least <= one <= most for one in waited)
+        waits = [wait for seed in range(8) for wait in reconnect_waits(seed, asked)]
+        assert len({round(wait, 6) for wait in waits}) == 8
+        assert all(least <= wait <= most for wait in waits)
+
+
+def reconnect_waits(seed, retry_after):
+    """The waits, up to the first, of a reconnector whose connection ended with that Retry-After."""
+    waits = []
+
+    def on_end(*_):
+        reconnector.retry_after = retry_after
+
+    def wait(seconds):
+        waits.append(seconds)
+        reconnector.stopped.set()
+
+    reconnector = Reconnector(
+        "peer",
+        ("127.0.0.1", 1),
+        ReconnectSettings(0.1, 0.05, 1.0),
+        random.Random(seed).random,
+        on_end,
+        lambda error: None,
+    )
+    reconnector.stopped.wait = wait
+    reconnector.run(lambda sock: ("closed", 0))
+    return waits
--- a/tests/trail_digest.py
+++ b/tests/trail_digest.py
@@ -1,10 +1,14 @@
-"""Shows that a change leaves the decisions as they were: digests of emulated fleets, compared with another commit.
+"""Shows that a change leaves the decisions as they were.
 
-    python tests/trail_digest.py                   digests of this tree, a line each
-    python tests/trail_digest.py --against HEAD~1  the same for that commit, in a work tree of its own; exit 1 if one differs
+Prints digests of emulated fleets, and compares them with those of another commit.
 
-Each digest covers every event of one run (attempts, answers, counter calls, faults). Not a test by itself: CI has no
-parent commit to compare with.
+    python tests/trail_digest.py
+        digests of this tree, a line each
+    python tests/trail_digest.py --against HEAD~1
+        the same for that commit, in a work tree of its own; exit 1 if one differs
+
+Each digest covers every event of one run (attempts, answers, counter calls, faults). Not a test by itself: CI
+has no parent commit to compare with.
 """
 
 import argparse
