--- a/brookhub/fakes/model_server.py
+++ b/brookhub/fakes/model_server.py
@@ -94,6 +94,7 @@
         self.lock = threading.Lock()
         self.active: set[ConnectedAttempt] = set()
         self.waiting: deque[ConnectedAttempt] = deque()
+        self.collapse_is_due = False  # an attempt has caused a collapse that follows its rejection
         super().__init__(endpoint)
 
     def serve(self, connection: socket.socket, lines: BinaryIO) -> None:
@@ -136,7 +137,8 @@
             has_capacity = self.has_capacity(now)
             has_room = has_capacity or len(self.waiting) < self.model.settings.queue_length
             admitted = self.model.state is ServerState.READY and has_room
-            collapses = self.model.record_sent(now)
+            collapses = self.model.record_sent(now) and not self.collapse_is_due
+            self.collapse_is_due = self.collapse_is_due or collapses
             if not admitted:
                 attempt.finish(AttemptEnd.REJECTED, now)
             elif has_capacity:
@@ -210,6 +212,7 @@
 
     def collapse_locked(self) -> None:
         """Reset all and refuse for a while: too much was sent while warming up (rule 4). Needs the lock."""
+        self.collapse_is_due = False
         self.model.collapses += 1
         self.model.sent_while_warming.clear()
         self.reset_attempts_locked()
--- a/tests/test_processes.py
+++ b/tests/test_processes.py
@@ -22,6 +22,7 @@
 from brookhub.experiments.load import Load
 from brookhub.experiments.processes import ProcessFleet
 from brookhub.fakes import AttemptEnd, FakeListener, ModelServer, ServerAttempt, Timers, read_value
+from brookhub.fakes.model_server import ConnectedAttempt
 from brookhub.model import ServerState
 from brookhub.protocol import resp
 from process_fleet import experiment
@@ -252,6 +253,55 @@
     timers.close()
 
 
+class BarrierConnection:
+    """A connection whose answer is not through before those of all others wait as well."""
+
+    def __init__(self, barrier):
+        self.barrier = barrier
+
+    def sendall(self, data):
+        with contextlib.suppress(threading.BrokenBarrierError):
+            self.barrier.wait(5.0)
+
+
+def test_collapse_that_two_rejected_attempts_cause_together_is_counted_once():
+    # Found by reading, after the test above had waited in vain for one collapse beside load: it was counted twice
+    # where a second attempt was rejected between the first one's answer and its collapse.
+    timers = Timers()
+    settings = ServerSettings(
+        1, 0, 60.0, 1.0, 100.0, 0.5, 60.0
+    )  # the first attempt holds it; any more collapses it
+    server = ModelServer(ServerModel(1, 0, 0, settings, time.monotonic()), timers, random.Random(1), [])
+    server.model.mode = ServerMode.SILENT
+    server.model.sent_while_warming.extend([time.monotonic()] * 40)
+    server.active.add(attempt_on(None))  # it has no capacity left
+    barrier = threading.Barrier(2)
+    attempts = [attempt_on(BarrierConnection(barrier)) for _ in range(2)]
+    threads = [threading.Thread(target=server.receive, args=(attempt,)) for attempt in attempts]
+    for thread in threads:
+        thread.start()
+    for thread in threads:
+        thread.join(10.0)
+    assert server.model.collapses == 1
+    server.close()
+    timers.close()
+
+
+def attempt_on(connection):
+    return ConnectedAttempt(
+        arrived_at=time.monotonic(),
+        server=1,
+        limiter="127.0.0.1",
+        request=1,
+        customer=1,
+        route="look",
+        idempotency_key=b"",
+        warming_up=True,
+        draining_for=None,
+        connection=connection,
+    )
+
+
 def test_address_ranges_are_disjoint_and_released_on_close():
     first, second = AddressRange(), AddressRange()
     numbers = first.number, second.number
