--- a/tests/test_processes.py
+++ b/tests/test_processes.py
@@ -265,8 +265,8 @@
 
 
 def test_collapse_that_two_rejected_attempts_cause_together_is_counted_once():
-    # Found by reading, after the test above had waited in vain for one collapse beside load: it was counted twice
-    # where a second attempt was rejected between the first one's answer and its collapse.
+    # Found by reading, after the test above had waited in vain for one collapse beside load: it was counted
+    # twice where a second attempt was rejected between the first one's answer and its collapse.
     timers = Timers()
     settings = ServerSettings(
         1, 0, 60.0, 1.0, 100.0, 0.5, 60.0
